--- a/Makefile
+++ b/Makefile
@@ -18,20 +18,20 @@
 
 # The long random runs; CI takes a hundred schedules of each.
 random:
-	go test ./internal/replay -run Random -rapid.checks=10000
-	go test ./internal/schedule -run 'Handover|Shares' -rapid.checks=20000
+	go test ./internal/proof/replay -run Random -rapid.checks=10000
+	go test ./internal/daemon/schedule -run 'Handover|Shares' -rapid.checks=20000
 	go test ./internal/request -run Promises -rapid.checks=50000
 
 fuzz:
 	go test -run none -fuzz '^FuzzDecode$$' -fuzztime 60s ./internal/settings
-	go test -run none -fuzz '^FuzzDecodeChat$$' -fuzztime 60s ./internal/api
-	go test -run none -fuzz '^FuzzEventStream$$' -fuzztime 60s ./internal/api
+	go test -run none -fuzz '^FuzzDecodeChat$$' -fuzztime 60s ./internal/daemon/api
+	go test -run none -fuzz '^FuzzEventStream$$' -fuzztime 60s ./internal/daemon/api
 
 # Random days against real daemons on loopback, with faults from outside. CI plays one.
-soak: ; go test ./platform/soak -count=1 -timeout 60m -soak.seed 1 -soak.seeds 50
+soak: ; go test ./platform/proof/soak -count=1 -timeout 60m -soak.seed 1 -soak.seeds 50
 
 # Promises switched off in the product, which the soak must find.
-mutations: ; go test ./platform/soak -count=1 -timeout 30m -run Mutations -v -soak.mutations
+mutations: ; go test ./platform/proof/soak -count=1 -timeout 30m -run Mutations -v -soak.mutations
 
 # All traces under the daemons' policy and the baselines.
 replay: ; go run ./cmd/oxbowslip-replay run --summary --policy all traces/*.jsonl
@@ -45,9 +45,9 @@
 
 # The slopes of docs/CAPACITY.md.
 capacity:
-	go test ./internal/schedule ./internal/change ./internal/membership -run none -bench . -benchtime 1s
-	go test ./internal/peer -run WireBytes -v
-	go test ./internal/gossip -run BeatBytes -v
+	go test ./internal/daemon/schedule ./internal/daemon/change ./internal/daemon/membership -run none -bench . -benchtime 1s
+	go test ./internal/daemon/peer -run WireBytes -v
+	go test ./internal/front/gossip -run BeatBytes -v
 	go test ./internal/daemon -run RelayAllocations -v
 
 ci: ; bash .ci/run
--- a/cmd/oxbowslip-demo/main.go
+++ b/cmd/oxbowslip-demo/main.go
@@ -18,7 +18,7 @@
 	"github.com/go-json-experiment/json/jsontext"
 
 	"oxbowslip.dev/oxbowslip/internal/daemon"
-	"oxbowslip.dev/oxbowslip/internal/demo"
+	"oxbowslip.dev/oxbowslip/internal/proof/demo"
 )
 
 type arguments struct {
--- a/cmd/oxbowslip-replay/main.go
+++ b/cmd/oxbowslip-replay/main.go
@@ -17,7 +17,7 @@
 
 	"oxbowslip.dev/oxbowslip/internal/daemon"
 	"oxbowslip.dev/oxbowslip/internal/operator"
-	"oxbowslip.dev/oxbowslip/internal/replay"
+	"oxbowslip.dev/oxbowslip/internal/proof/replay"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
--- a/cmd/oxbowslip-standin/main.go
+++ b/cmd/oxbowslip-standin/main.go
@@ -17,9 +17,9 @@
 	"github.com/alexflint/go-arg"
 
 	"oxbowslip.dev/oxbowslip/internal/daemon"
-	"oxbowslip.dev/oxbowslip/internal/platform"
+	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
+	"oxbowslip.dev/oxbowslip/internal/proof/standin"
 	"oxbowslip.dev/oxbowslip/internal/settings"
-	"oxbowslip.dev/oxbowslip/internal/standin"
 )
 
 type engineCommand struct {
@@ -109,14 +109,14 @@
 
 const hostParts = 3
 
-func parseHosts(list []string) ([]platform.Host, error) {
-	var hosts []platform.Host
+func parseHosts(list []string) ([]tableclient.Host, error) {
+	var hosts []tableclient.Host
 	for _, text := range list {
 		parts := strings.Split(text, "=")
 		if len(parts) != hostParts {
 			return nil, fmt.Errorf("--host %q: want NAME=PEERS-ADDR=ZONE", text)
 		}
-		hosts = append(hosts, platform.Host{Name: parts[0], Peers: parts[1], Zone: parts[2], State: platform.HostLive})
+		hosts = append(hosts, tableclient.Host{Name: parts[0], Peers: parts[1], Zone: parts[2], State: tableclient.HostLive})
 	}
 	return hosts, nil
 }
--- a/internal/counters/golden_test.go
+++ b/internal/counters/golden_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"oxbowslip.dev/oxbowslip/internal/golden"
+	"oxbowslip.dev/oxbowslip/internal/proof/golden"
 )
 
 // TestGoldenMetrics holds the names and labels of all metrics to those of commit 4c58500.
--- a/internal/api/api.go
+++ b/internal/daemon/api/api.go
@@ -19,11 +19,11 @@
 	"github.com/sirupsen/logrus"
 
 	"oxbowslip.dev/oxbowslip/internal/counters"
-	"oxbowslip.dev/oxbowslip/internal/endpoint"
+	"oxbowslip.dev/oxbowslip/internal/daemon/httpclient"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
 	"oxbowslip.dev/oxbowslip/internal/owner"
 	"oxbowslip.dev/oxbowslip/internal/record"
 	"oxbowslip.dev/oxbowslip/internal/request"
-	"oxbowslip.dev/oxbowslip/internal/schedule"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
@@ -58,7 +58,7 @@
 	zone     string
 	settings *settings.Holder
 	owner    *owner.Owner
-	client   *endpoint.Client
+	client   *httpclient.Client
 	counters *counters.Counters
 	claims   Claims
 	recorded *record.Ring
@@ -77,7 +77,7 @@
 
 // New makes the callers' server. Ready gives the refusal for a host that can't
 // take requests yet, or nil.
-func New(host, zone string, s *settings.Holder, o *owner.Owner, client *endpoint.Client, c *counters.Counters, claims Claims, recorded *record.Ring,
+func New(host, zone string, s *settings.Holder, o *owner.Owner, client *httpclient.Client, c *counters.Counters, claims Claims, recorded *record.Ring,
 	log *logrus.Entry, clock func() time.Time, timeouts Timeouts, ready func() *request.Refusal,
 ) *Server {
 	return &Server{
--- a/internal/api/chat.go
+++ b/internal/daemon/api/chat.go
@@ -12,10 +12,10 @@
 
 	"github.com/tidwall/gjson"
 
-	"oxbowslip.dev/oxbowslip/internal/endpoint"
+	"oxbowslip.dev/oxbowslip/internal/daemon/httpclient"
+	"oxbowslip.dev/oxbowslip/internal/daemon/prefix"
 	"oxbowslip.dev/oxbowslip/internal/hopheader"
 	"oxbowslip.dev/oxbowslip/internal/owner"
-	"oxbowslip.dev/oxbowslip/internal/prefix"
 	"oxbowslip.dev/oxbowslip/internal/record"
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
@@ -130,13 +130,13 @@
 }
 
 // call builds the call for an attempt.
-func (x *chatExchange) call(a *owner.Attempt, part string, partTokens int) (endpoint.Call, error) {
+func (x *chatExchange) call(a *owner.Attempt, part string, partTokens int) (httpclient.Call, error) {
 	c := x.caller
 	data, err := x.body.engineBody(c.policy.Tier, cacheSalt(c.workspace), x.maxTokens, part, partTokens)
 	if err != nil {
-		return endpoint.Call{}, err
+		return httpclient.Call{}, err
 	}
-	return endpoint.Call{
+	return httpclient.Call{
 		Address: a.Endpoint.Address,
 		Method:  http.MethodPost,
 		Path:    chatPath,
@@ -204,7 +204,7 @@
 
 // failed turns an error of the client into a result.
 func failed(err error) owner.Result {
-	if endpoint.IsNotSent(err) {
+	if httpclient.IsNotSent(err) {
 		return owner.Result{Event: request.EventDialFailed, Err: err}
 	}
 	return owner.Result{Event: request.EventBroken, Err: err}
@@ -238,7 +238,7 @@
 	case <-ctx.Done():
 		return owner.Result{Event: request.EventCallerGone}
 	}
-	return x.relay(ctx, a, endpoint.Call{
+	return x.relay(ctx, a, httpclient.Call{
 		Address: a.Endpoint.Address,
 		Method:  http.MethodGet,
 		Path:    streamsPath + x.caller.id,
@@ -249,7 +249,7 @@
 // resumePause gives a connection that broke time to come back.
 const resumePause = 20 * time.Millisecond
 
-func (x *chatExchange) relay(ctx context.Context, a *owner.Attempt, call endpoint.Call) owner.Result {
+func (x *chatExchange) relay(ctx context.Context, a *owner.Attempt, call httpclient.Call) owner.Result {
 	ctx, watch := watchStall(ctx)
 	defer watch.stop()
 	response, err := x.server.client.Do(ctx, call)
--- a/internal/api/service.go
+++ b/internal/daemon/api/service.go
@@ -11,7 +11,7 @@
 
 	"github.com/gorilla/mux"
 
-	"oxbowslip.dev/oxbowslip/internal/endpoint"
+	"oxbowslip.dev/oxbowslip/internal/daemon/httpclient"
 	"oxbowslip.dev/oxbowslip/internal/hopheader"
 	"oxbowslip.dev/oxbowslip/internal/owner"
 	"oxbowslip.dev/oxbowslip/internal/request"
@@ -171,7 +171,7 @@
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
-func (x *serviceExchange) call(a *owner.Attempt) endpoint.Call {
+func (x *serviceExchange) call(a *owner.Attempt) httpclient.Call {
 	header := make(http.Header, len(x.r.Header)+2)
 	hopheader.Copy(header, x.r.Header)
 	header.Del("Authorization")
@@ -184,7 +184,7 @@
 		body = io.MultiReader(body, x.r.Body)
 		length = x.r.ContentLength
 	}
-	return endpoint.Call{
+	return httpclient.Call{
 		Address: a.Endpoint.Address, Method: x.r.Method, Path: x.path, Header: header,
 		Body: body, Length: length, Once: !x.caller.policy.Repeatable, OnSend: a.Sent,
 	}
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -17,9 +17,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"oxbowslip.dev/oxbowslip/internal/demo"
-	"oxbowslip.dev/oxbowslip/internal/emulator"
-	"oxbowslip.dev/oxbowslip/internal/standin"
+	"oxbowslip.dev/oxbowslip/internal/proof/demo"
+	"oxbowslip.dev/oxbowslip/internal/proof/emulator"
+	"oxbowslip.dev/oxbowslip/internal/proof/standin"
 )
 
 // steady is an engine that gives a token every 5 ms whatever its load.
--- a/internal/change/capacity_test.go
+++ b/internal/daemon/change/capacity_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"oxbowslip.dev/oxbowslip/internal/change"
+	"oxbowslip.dev/oxbowslip/internal/daemon/change"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
--- a/internal/claims/claims.go
+++ b/internal/daemon/claims/claims.go
@@ -13,8 +13,8 @@
 	"github.com/go-json-experiment/json"
 	"github.com/sirupsen/logrus"
 
+	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
-	"oxbowslip.dev/oxbowslip/internal/platform"
 )
 
 const (
@@ -60,7 +60,7 @@
 // Table takes claims for one host.
 type Table struct {
 	host   string
-	client *platform.Client
+	client *tableclient.Client
 	log    *logrus.Entry
 	clock  func() time.Time
 	queue  chan *claim
@@ -85,7 +85,7 @@
 const giveBackRounds = 3
 
 // New makes a table. Run must be running for claims to be taken.
-func New(host string, client *platform.Client, log *logrus.Entry, clock func() time.Time) *Table {
+func New(host string, client *tableclient.Client, log *logrus.Entry, clock func() time.Time) *Table {
 	return &Table{
 		host: host, client: client, log: log, clock: clock, queue: make(chan *claim, maxWaiting),
 		orphans: make(map[string]orphan), released: make(chan struct{}, 1),
@@ -177,16 +177,16 @@
 		if len(batch) == 0 {
 			return
 		}
-		var rows []platform.Row
+		var rows []tableclient.Row
 		rows, err = t.client.Commit(ctx, t.transaction(batch))
 		if err == nil {
 			t.settle(batch, result{won: true})
 			return
 		}
-		if errors.Is(err, platform.ErrConflict) {
+		if errors.Is(err, tableclient.ErrConflict) {
 			t.resolve(batch, rows)
 		}
-		if errors.Is(err, platform.ErrUnavailable) {
+		if errors.Is(err, tableclient.ErrUnavailable) {
 			t.lookUp(ctx, batch)
 		}
 	}
@@ -200,10 +200,10 @@
 // stays in the batch: its transaction may still be under way, and the next one
 // finds that out.
 func (t *Table) lookUp(ctx context.Context, batch map[string]*claim) {
-	var rows []platform.Row
+	var rows []tableclient.Row
 	for name := range batch {
 		row, err := t.client.Read(ctx, rowKey(t.clock(), name))
-		if errors.Is(err, platform.ErrUnavailable) {
+		if errors.Is(err, tableclient.ErrUnavailable) {
 			break // The rest would wait for the same.
 		}
 		if err == nil {
@@ -214,7 +214,7 @@
 }
 
 // resolve ends the claims whose rows exist: won if the row is their own.
-func (t *Table) resolve(batch map[string]*claim, rows []platform.Row) {
+func (t *Table) resolve(batch map[string]*claim, rows []tableclient.Row) {
 	for _, row := range rows {
 		c, ok := batch[nameOf(row.Key)]
 		if !ok {
@@ -237,18 +237,18 @@
 
 // transaction sets the rows of a batch if none of their keys exists in any
 // bucket that a host with another clock might use.
-func (t *Table) transaction(batch map[string]*claim) platform.Transaction {
+func (t *Table) transaction(batch map[string]*claim) tableclient.Transaction {
 	now := t.clock()
-	var transaction platform.Transaction
+	var transaction tableclient.Transaction
 	for name, c := range batch {
 		for _, shift := range []time.Duration{-day, 0, day} {
-			transaction.If = append(transaction.If, platform.Condition{Key: rowKey(now.Add(shift), name)})
+			transaction.If = append(transaction.If, tableclient.Condition{Key: rowKey(now.Add(shift), name)})
 		}
 		data, err := json.Marshal(value{Attempt: c.attempt, Host: t.host, At: now})
 		if err != nil {
 			panic(err) // Plain structs always marshal.
 		}
-		transaction.Set = append(transaction.Set, platform.Write{Key: rowKey(now, name), Value: data})
+		transaction.Set = append(transaction.Set, tableclient.Write{Key: rowKey(now, name), Value: data})
 	}
 	return transaction
 }
@@ -307,7 +307,7 @@
 func (t *Table) giveBack(ctx context.Context, name, attempt string) error {
 	for _, shift := range []time.Duration{-day, 0} {
 		row, err := t.client.Read(ctx, rowKey(t.clock().Add(shift), name))
-		if errors.Is(err, platform.ErrNotFound) {
+		if errors.Is(err, tableclient.ErrNotFound) {
 			continue
 		}
 		if err != nil {
@@ -317,9 +317,9 @@
 		if err := json.Unmarshal(row.Value, &held); err != nil || held.Attempt != attempt {
 			continue
 		}
-		_, err = t.client.Commit(ctx, platform.Transaction{
-			If:  []platform.Condition{{Key: row.Key, Version: row.Version}},
-			Set: []platform.Write{{Key: row.Key, Value: []byte("null")}},
+		_, err = t.client.Commit(ctx, tableclient.Transaction{
+			If:  []tableclient.Condition{{Key: row.Key, Version: row.Version}},
+			Set: []tableclient.Write{{Key: row.Key, Value: []byte("null")}},
 		})
 		if err != nil {
 			return err
--- a/internal/claims/claims_test.go
+++ b/internal/daemon/claims/claims_test.go
@@ -10,9 +10,9 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/sirupsen/logrus"
 
-	"oxbowslip.dev/oxbowslip/internal/claims"
-	"oxbowslip.dev/oxbowslip/internal/platform"
-	"oxbowslip.dev/oxbowslip/internal/standin"
+	"oxbowslip.dev/oxbowslip/internal/daemon/claims"
+	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
+	"oxbowslip.dev/oxbowslip/internal/proof/standin"
 )
 
 func startTables(c *qt.C, hosts int) (*standin.Platform, []*claims.Table) {
@@ -23,7 +23,7 @@
 	log.SetOutput(io.Discard)
 	var tables []*claims.Table
 	for range hosts {
-		client := platform.New(p.Address(), time.Minute, nil)
+		client := tableclient.New(p.Address(), time.Minute, nil)
 		table := claims.New("host", client, logrus.NewEntry(log), time.Now)
 		done := make(chan struct{})
 		c.Cleanup(func() { close(done) })
--- a/internal/claims/golden_test.go
+++ b/internal/daemon/claims/golden_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/go-json-experiment/json"
 
-	"oxbowslip.dev/oxbowslip/internal/golden"
+	"oxbowslip.dev/oxbowslip/internal/proof/golden"
 )
 
 // TestGoldenRows holds the key and the value of a claim's row to those of commit 4c58500,
--- a/internal/accept/accept.go
+++ b/internal/daemon/commit/accept.go
@@ -1,7 +1,7 @@
-// Package accept takes operators' changes of the settings into the platform's
+// Package commit takes operators' changes of the settings into the platform's
 // table. A change is accepted by one transaction on the head row; its ID tells a
 // lost answer from a lost race.
-package accept
+package commit
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"github.com/go-json-experiment/json"
 	"github.com/go-json-experiment/json/jsontext"
 
-	"oxbowslip.dev/oxbowslip/internal/change"
-	"oxbowslip.dev/oxbowslip/internal/inforce"
-	"oxbowslip.dev/oxbowslip/internal/platform"
+	"oxbowslip.dev/oxbowslip/internal/daemon/change"
+	"oxbowslip.dev/oxbowslip/internal/daemon/poller"
+	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
 )
 
 // ErrUnknown says that it is not known whether a change was accepted. Sending it
@@ -51,12 +51,12 @@
 
 // Acceptor accepts changes for one host.
 type Acceptor struct {
-	client *platform.Client
+	client *tableclient.Client
 	clock  func() time.Time
 }
 
 // New makes an acceptor.
-func New(client *platform.Client, clock func() time.Time) *Acceptor {
+func New(client *tableclient.Client, clock func() time.Time) *Acceptor {
 	return &Acceptor{client: client, clock: clock}
 }
 
@@ -73,7 +73,7 @@
 		switch {
 		case err == nil:
 			return revision, nil
-		case errors.Is(err, platform.ErrConflict):
+		case errors.Is(err, tableclient.ErrConflict):
 			if revision, err := a.find(ctx, c.ID); err != nil || revision > 0 {
 				return revision, away(err)
 			}
@@ -90,7 +90,7 @@
 var errLost = merry.Sentinel("answer lost")
 
 func away(err error) error {
-	if errors.Is(err, platform.ErrUnavailable) {
+	if errors.Is(err, tableclient.ErrUnavailable) {
 		return merry.Wrap(ErrAway, merry.WithCause(err))
 	}
 	return err
@@ -98,11 +98,11 @@
 
 // try makes one transaction on the head as it is now.
 func (a *Acceptor) try(ctx context.Context, c change.Change) (uint64, error) {
-	row, head, err := inforce.ReadHead(ctx, a.client)
+	row, head, err := poller.ReadHead(ctx, a.client)
 	if err != nil {
 		return 0, err
 	}
-	document, err := inforce.ReadDocument(ctx, a.client, head, change.Document{})
+	document, err := poller.ReadDocument(ctx, a.client, head, change.Document{})
 	if err != nil {
 		return 0, err
 	}
@@ -122,25 +122,25 @@
 	if c.Revision-head.Snapshot >= snapshotEvery {
 		// The name carries the change's ID: another host may try to accept
 		// another change as the same revision.
-		name := inforce.SnapshotName(c.Revision, c.ID)
+		name := poller.SnapshotName(c.Revision, c.ID)
 		if err := a.client.PutObject(ctx, name, next.Data); err != nil {
 			return 0, err
 		}
 		head.Snapshot, head.SnapshotName = c.Revision, name
 	}
 	_, err = a.client.Commit(ctx, transaction(row, head, &c))
-	if errors.Is(err, platform.ErrUnavailable) {
+	if errors.Is(err, tableclient.ErrUnavailable) {
 		return 0, merry.Wrap(errLost, merry.WithCause(err))
 	}
 	return c.Revision, err
 }
 
-func transaction(row platform.Row, head inforce.Head, c *change.Change) platform.Transaction {
-	return platform.Transaction{
-		If: []platform.Condition{{Key: inforce.HeadKey, Version: row.Version}, {Key: idKey(c.ID)}},
-		Set: []platform.Write{
-			{Key: inforce.HeadKey, Value: encode(head)},
-			{Key: inforce.ChangeKey(c.Revision), Value: encode(c)},
+func transaction(row tableclient.Row, head poller.Head, c *change.Change) tableclient.Transaction {
+	return tableclient.Transaction{
+		If: []tableclient.Condition{{Key: poller.HeadKey, Version: row.Version}, {Key: idKey(c.ID)}},
+		Set: []tableclient.Write{
+			{Key: poller.HeadKey, Value: encode(head)},
+			{Key: poller.ChangeKey(c.Revision), Value: encode(c)},
 			{Key: idKey(c.ID), Value: encode(accepted{c.Revision})},
 		},
 	}
@@ -168,7 +168,7 @@
 		return err
 	}
 	for revision := c.Base + 1; revision <= head; revision++ {
-		other, err := inforce.ReadChange(ctx, a.client, revision)
+		other, err := poller.ReadChange(ctx, a.client, revision)
 		if err != nil {
 			return err
 		}
@@ -186,7 +186,7 @@
 // find gives the revision of a change that was accepted, or 0.
 func (a *Acceptor) find(ctx context.Context, id string) (uint64, error) {
 	row, err := a.client.Read(ctx, idKey(id))
-	if errors.Is(err, platform.ErrNotFound) {
+	if errors.Is(err, tableclient.ErrNotFound) {
 		return 0, nil
 	}
 	if err != nil {
--- a/internal/accept/accept_test.go
+++ b/internal/daemon/commit/accept_test.go
@@ -1,4 +1,4 @@
-package accept_test
+package commit_test
 
 import (
 	"context"
@@ -12,27 +12,27 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/sirupsen/logrus"
 
-	"oxbowslip.dev/oxbowslip/internal/accept"
-	"oxbowslip.dev/oxbowslip/internal/change"
 	"oxbowslip.dev/oxbowslip/internal/counters"
-	"oxbowslip.dev/oxbowslip/internal/inforce"
-	"oxbowslip.dev/oxbowslip/internal/platform"
+	"oxbowslip.dev/oxbowslip/internal/daemon/change"
+	"oxbowslip.dev/oxbowslip/internal/daemon/commit"
+	"oxbowslip.dev/oxbowslip/internal/daemon/poller"
+	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
+	"oxbowslip.dev/oxbowslip/internal/proof/standin"
 	"oxbowslip.dev/oxbowslip/internal/settings"
-	"oxbowslip.dev/oxbowslip/internal/standin"
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
 
 const seed = `{"root": {"classes": {"a": {}, "b": {}}}, "workspaces": {"w": {}}}`
 
-func start(c *qt.C) (*standin.Platform, *platform.Client, *accept.Acceptor) {
+func start(c *qt.C) (*standin.Platform, *tableclient.Client, *commit.Acceptor) {
 	p := standin.NewPlatform(standin.PlatformConfig{})
 	c.Assert(p.Start("127.0.0.1:0"), qt.IsNil)
 	c.Cleanup(p.Close)
 	tree, err := settings.Decode("seed", []byte(seed))
 	c.Assert(err, qt.IsNil)
 	c.Assert(p.Seed(tree), qt.IsNil)
-	client := platform.New(p.Address(), time.Minute, nil)
-	return p, client, accept.New(client, time.Now)
+	client := tableclient.New(p.Address(), time.Minute, nil)
+	return p, client, commit.New(client, time.Now)
 }
 
 func patch(id string, base uint64, text string) change.Change {
@@ -74,13 +74,13 @@
 			for i, s := range steps {
 				p.SetFaults(s.faults)
 				revision, err := acceptor.Accept(context.Background(), s.change)
-				var conflict *accept.Conflict
+				var conflict *commit.Conflict
 				var faults *strictjson.Error
 				note := qt.Commentf("step %d: %v", i, err)
 				c.Assert(revision, qt.Equals, s.revision, note)
 				c.Assert(errors.As(err, &conflict), qt.Equals, s.conflict, note)
 				c.Assert(errors.As(err, &faults), qt.Equals, s.invalid, note)
-				c.Assert(errors.Is(err, accept.ErrAway), qt.Equals, s.away, note)
+				c.Assert(errors.Is(err, commit.ErrAway), qt.Equals, s.away, note)
 				c.Assert(errors.Is(err, change.ErrBadPatch), qt.Equals, s.bad, note)
 			}
 		})
@@ -97,9 +97,9 @@
 	p, client, _ := start(c)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	follow := func() (*inforce.Follower, *settings.Holder) {
+	follow := func() (*poller.Follower, *settings.Holder) {
 		holder := settings.NewHolder()
-		return inforce.New(client, holder, counters.New(), logrus.NewEntry(log), time.Second, func() float64 { return 0 }, noPeers, time.Now), holder
+		return poller.New(client, holder, counters.New(), logrus.NewEntry(log), time.Second, func() float64 { return 0 }, noPeers, time.Now), holder
 	}
 	early, holder := follow()
 	ctx := context.Background()
@@ -109,7 +109,7 @@
 	revisions := make(map[uint64]string)
 	const operators, each = 4, 12
 	for host := range operators {
-		acceptor := accept.New(platform.New(p.Address(), time.Minute, nil), time.Now)
+		acceptor := commit.New(tableclient.New(p.Address(), time.Minute, nil), time.Now)
 		group.Go(func() {
 			for i := range each {
 				id := fmt.Sprintf("op%d-%d", host, i)
@@ -120,7 +120,7 @@
 					// with the same ID is what an operator does then.
 					var err error
 					revision, err = acceptor.Accept(ctx, patch(id, 1, text))
-					if err != nil && !errors.Is(err, accept.ErrAway) {
+					if err != nil && !errors.Is(err, commit.ErrAway) {
 						c.Errorf("%s: %v", id, err)
 						return
 					}
@@ -140,7 +140,7 @@
 	late.Poll(ctx)
 	c.Assert(late.Document().Revision, qt.Equals, uint64(1+operators*each))
 	c.Assert(string(late.Document().Data), qt.Equals, string(early.Document().Data))
-	_, head, err := inforce.ReadHead(ctx, client)
+	_, head, err := poller.ReadHead(ctx, client)
 	c.Assert(err, qt.IsNil)
 	c.Assert(head.Snapshot > 1, qt.IsTrue)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -17,28 +17,28 @@
 	"go.uber.org/fx"
 	"go.uber.org/fx/fxevent"
 
-	"oxbowslip.dev/oxbowslip/internal/accept"
-	"oxbowslip.dev/oxbowslip/internal/api"
-	"oxbowslip.dev/oxbowslip/internal/change"
-	"oxbowslip.dev/oxbowslip/internal/claims"
 	"oxbowslip.dev/oxbowslip/internal/counters"
-	"oxbowslip.dev/oxbowslip/internal/dispatch"
-	"oxbowslip.dev/oxbowslip/internal/endpoint"
+	"oxbowslip.dev/oxbowslip/internal/daemon/api"
+	"oxbowslip.dev/oxbowslip/internal/daemon/change"
+	"oxbowslip.dev/oxbowslip/internal/daemon/claims"
+	"oxbowslip.dev/oxbowslip/internal/daemon/commit"
+	"oxbowslip.dev/oxbowslip/internal/daemon/dispatch"
+	"oxbowslip.dev/oxbowslip/internal/daemon/fleet"
+	"oxbowslip.dev/oxbowslip/internal/daemon/httpclient"
+	"oxbowslip.dev/oxbowslip/internal/daemon/membership"
+	"oxbowslip.dev/oxbowslip/internal/daemon/poller"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
+	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
 	"oxbowslip.dev/oxbowslip/internal/explain"
-	"oxbowslip.dev/oxbowslip/internal/fleet"
 	"oxbowslip.dev/oxbowslip/internal/hostconfig"
-	"oxbowslip.dev/oxbowslip/internal/inforce"
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 	"oxbowslip.dev/oxbowslip/internal/logging"
-	"oxbowslip.dev/oxbowslip/internal/membership"
 	"oxbowslip.dev/oxbowslip/internal/operator"
 	"oxbowslip.dev/oxbowslip/internal/owner"
-	"oxbowslip.dev/oxbowslip/internal/platform"
 	"oxbowslip.dev/oxbowslip/internal/record"
 	"oxbowslip.dev/oxbowslip/internal/request"
-	"oxbowslip.dev/oxbowslip/internal/schedule"
 	"oxbowslip.dev/oxbowslip/internal/settings"
-	"oxbowslip.dev/oxbowslip/internal/shard"
 )
 
 // Version is the program's version.
@@ -49,15 +49,15 @@
 	config    hostconfig.Host
 	log       *logrus.Entry
 	holder    *settings.Holder
-	follower  *inforce.Follower
+	follower  *poller.Follower
 	owner     *owner.Owner
 	fleet     *fleet.Fleet
 	shards    *shard.Host
-	client    *endpoint.Client
-	platform  *platform.Client
+	client    *httpclient.Client
+	platform  *tableclient.Client
 	counters  *counters.Counters
 	claims    *claims.Table
-	acceptor  *accept.Acceptor
+	acceptor  *commit.Acceptor
 	callers   *http.Server
 	operators *http.Server
 
@@ -85,14 +85,14 @@
 			record.New,
 			settings.NewHolder,
 			dispatch.New,
-			endpoint.New,
+			httpclient.New,
 			func() *documentSource { return new(documentSource) },
 			newFleet,
 			newPlatform,
 			newFollower,
 			newOwner,
 			newClaims,
-			accept.New,
+			commit.New,
 			New,
 		),
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
@@ -106,7 +106,7 @@
 // stopMargin is the time left to end honestly after the drain's limit.
 const stopMargin = 10 * time.Second
 
-func newFleet(config hostconfig.Host, d *dispatch.Dispatcher, client *platform.Client, log *logrus.Logger,
+func newFleet(config hostconfig.Host, d *dispatch.Dispatcher, client *tableclient.Client, log *logrus.Logger,
 	document *documentSource, clock func() time.Time, random func() float64,
 ) *fleet.Fleet {
 	return fleet.New(fleet.Config{
@@ -116,14 +116,14 @@
 	}, d, client, logging.Part(log, "fleet"), schedule.Options{}, document.get, document.newer, clock, random)
 }
 
-func newPlatform(config hostconfig.Host, c *counters.Counters) *platform.Client {
-	return platform.New(config.Platform.Address, config.Platform.Timeout, c.PlatformErrors.Inc)
+func newPlatform(config hostconfig.Host, c *counters.Counters) *tableclient.Client {
+	return tableclient.New(config.Platform.Address, config.Platform.Timeout, c.PlatformErrors.Inc)
 }
 
-func newFollower(config hostconfig.Host, client *platform.Client, holder *settings.Holder, c *counters.Counters,
+func newFollower(config hostconfig.Host, client *tableclient.Client, holder *settings.Holder, c *counters.Counters,
 	log *logrus.Logger, document *documentSource, f *fleet.Fleet, clock func() time.Time, random func() float64,
-) *inforce.Follower {
-	follower := inforce.New(client, holder, c, logging.Part(log, "settings"), config.Platform.Poll, random, f.Settings, clock)
+) *poller.Follower {
+	follower := poller.New(client, holder, c, logging.Part(log, "settings"), config.Platform.Poll, random, f.Settings, clock)
 	document.follower.Store(follower)
 	return follower
 }
@@ -131,7 +131,7 @@
 // documentSource lets peers read the settings that the follower has. The fleet
 // and the follower need each other, so one is filled in later.
 type documentSource struct {
-	follower atomic.Pointer[inforce.Follower]
+	follower atomic.Pointer[poller.Follower]
 }
 
 func (s *documentSource) get() change.Document {
@@ -159,7 +159,7 @@
 	return s.dispatcher.Ask(ctx, shardName, r)
 }
 
-func newClaims(config hostconfig.Host, client *platform.Client, log *logrus.Logger, clock func() time.Time) *claims.Table {
+func newClaims(config hostconfig.Host, client *tableclient.Client, log *logrus.Logger, clock func() time.Time) *claims.Table {
 	return claims.New(config.Name, client, logging.Part(log, "claims"), clock)
 }
 
@@ -170,9 +170,9 @@
 }
 
 // New makes a daemon that has not started.
-func New(config hostconfig.Host, log *logrus.Logger, holder *settings.Holder, follower *inforce.Follower, o *owner.Owner,
-	f *fleet.Fleet, client *endpoint.Client, platformClient *platform.Client, c *counters.Counters, ring *explain.Ring,
-	table *claims.Table, acceptor *accept.Acceptor, recorded *record.Ring,
+func New(config hostconfig.Host, log *logrus.Logger, holder *settings.Holder, follower *poller.Follower, o *owner.Owner,
+	f *fleet.Fleet, client *httpclient.Client, platformClient *tableclient.Client, c *counters.Counters, ring *explain.Ring,
+	table *claims.Table, acceptor *commit.Acceptor, recorded *record.Ring,
 	clock func() time.Time,
 ) *Daemon {
 	d := &Daemon{
@@ -185,7 +185,7 @@
 	d.operators = operator.New(config.OperatorKeys, c, ring, operator.Settings{
 		Holder: holder, Accept: d.accept, Document: follower.Document,
 		History: func(ctx context.Context, revision uint64) (change.Change, error) {
-			return inforce.ReadChange(ctx, platformClient, revision)
+			return poller.ReadChange(ctx, platformClient, revision)
 		},
 	}, recorded, d.Status).HTTP()
 	c.Gauge("oxbowslip_open_requests", func() float64 { return float64(o.Open()) })
--- a/internal/dispatch/dispatch.go
+++ b/internal/daemon/dispatch/dispatch.go
@@ -7,8 +7,8 @@
 	"context"
 	"sync"
 
-	"oxbowslip.dev/oxbowslip/internal/schedule"
-	"oxbowslip.dev/oxbowslip/internal/shard"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 )
 
 // Router is the way to the schedulers.
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/daemon/dispatch/dispatch_test.go
@@ -8,8 +8,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"oxbowslip.dev/oxbowslip/internal/schedule"
-	"oxbowslip.dev/oxbowslip/internal/shard"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 )
 
 // lossyRouter drops the first messages to a host and hands the rest to a
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -16,10 +16,10 @@
 	"github.com/tmaxmax/go-sse"
 
 	"oxbowslip.dev/oxbowslip/internal/counters"
-	"oxbowslip.dev/oxbowslip/internal/demo"
-	"oxbowslip.dev/oxbowslip/internal/emulator"
+	"oxbowslip.dev/oxbowslip/internal/proof/demo"
+	"oxbowslip.dev/oxbowslip/internal/proof/emulator"
+	"oxbowslip.dev/oxbowslip/internal/proof/standin"
 	"oxbowslip.dev/oxbowslip/internal/request"
-	"oxbowslip.dev/oxbowslip/internal/standin"
 )
 
 // fast is an engine whose steps take so little that no test waits for it.
--- a/internal/fleet/fleet.go
+++ b/internal/daemon/fleet/fleet.go
@@ -12,14 +12,14 @@
 	"github.com/ansel1/merry/v2"
 	"github.com/sirupsen/logrus"
 
-	"oxbowslip.dev/oxbowslip/internal/change"
-	"oxbowslip.dev/oxbowslip/internal/dispatch"
+	"oxbowslip.dev/oxbowslip/internal/daemon/change"
+	"oxbowslip.dev/oxbowslip/internal/daemon/dispatch"
+	"oxbowslip.dev/oxbowslip/internal/daemon/membership"
+	"oxbowslip.dev/oxbowslip/internal/daemon/peer"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
+	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
-	"oxbowslip.dev/oxbowslip/internal/membership"
-	"oxbowslip.dev/oxbowslip/internal/peer"
-	"oxbowslip.dev/oxbowslip/internal/platform"
-	"oxbowslip.dev/oxbowslip/internal/schedule"
-	"oxbowslip.dev/oxbowslip/internal/shard"
 )
 
 // takeoverHold is how long a host that takes over a shard waits for the other
@@ -46,7 +46,7 @@
 type Fleet struct {
 	config     Config
 	dispatcher *dispatch.Dispatcher
-	platform   *platform.Client
+	platform   *tableclient.Client
 	log        *logrus.Entry
 	clock      func() time.Time
 	random     func() float64
@@ -71,7 +71,7 @@
 }
 
 // New makes a host's part of the fleet. Options are those of its schedulers.
-func New(config Config, d *dispatch.Dispatcher, client *platform.Client, log *logrus.Entry, options schedule.Options,
+func New(config Config, d *dispatch.Dispatcher, client *tableclient.Client, log *logrus.Entry, options schedule.Options,
 	settings func() change.Document, newer func(revision uint64), clock func() time.Time, random func() float64,
 ) *Fleet {
 	f := &Fleet{
@@ -164,7 +164,7 @@
 	}
 	hosts := make([]membership.Host, 0, len(list))
 	for _, h := range list {
-		hosts = append(hosts, membership.Host{Name: h.Name, Address: h.Peers, Zone: h.Zone, Leaving: h.State == platform.HostLeaving})
+		hosts = append(hosts, membership.Host{Name: h.Name, Address: h.Peers, Zone: h.Zone, Leaving: h.State == tableclient.HostLeaving})
 	}
 	f.mu.Lock()
 	f.view.SetList(hosts)
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -12,9 +12,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"oxbowslip.dev/oxbowslip/internal/demo"
+	"oxbowslip.dev/oxbowslip/internal/proof/demo"
+	"oxbowslip.dev/oxbowslip/internal/proof/standin"
 	"oxbowslip.dev/oxbowslip/internal/settings"
-	"oxbowslip.dev/oxbowslip/internal/standin"
 )
 
 func startFleet(c *qt.C, hosts, engines int) *demo.Cluster {
--- a/internal/endpoint/endpoint.go
+++ b/internal/daemon/httpclient/endpoint.go
@@ -1,6 +1,6 @@
-// Package endpoint sends calls to endpoints over HTTP. It never sends a call
+// Package httpclient sends calls to endpoints over HTTP. It never sends a call
 // twice, and it tells whether a call that failed may have reached the endpoint.
-package endpoint
+package httpclient
 
 import (
 	"context"
--- a/internal/endpoint/endpoint_test.go
+++ b/internal/daemon/httpclient/endpoint_test.go
@@ -1,4 +1,4 @@
-package endpoint_test
+package httpclient_test
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"oxbowslip.dev/oxbowslip/internal/endpoint"
+	"oxbowslip.dev/oxbowslip/internal/daemon/httpclient"
 )
 
 // dropper answers the first call on each connection and keeps it; it reads the
@@ -81,10 +81,10 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			d := startDropper(c)
-			client := endpoint.New()
+			client := httpclient.New()
 			defer client.Close()
 			call := func() (*http.Response, error) {
-				return client.Do(context.Background(), endpoint.Call{
+				return client.Do(context.Background(), httpclient.Call{
 					Address: d.listener.Addr().String(), Method: test.method, Path: "/x", Header: test.header.Clone(),
 					Body: strings.NewReader(test.body), Length: int64(len(test.body)),
 				})
@@ -96,8 +96,8 @@
 			response.Body.Close()
 
 			_, err = call()
-			c.Assert(err, qt.ErrorIs, endpoint.ErrBroken)
-			c.Assert(endpoint.IsNotSent(err), qt.IsFalse)
+			c.Assert(err, qt.ErrorIs, httpclient.ErrBroken)
+			c.Assert(httpclient.IsNotSent(err), qt.IsFalse)
 			c.Assert(d.dropped.Load(), qt.Equals, int64(1))
 			c.Assert(d.calls.Load(), qt.Equals, int64(2))
 		})
@@ -111,11 +111,11 @@
 	address := listener.Addr().String()
 	c.Assert(listener.Close(), qt.IsNil)
 	sent := false
-	client := endpoint.New()
+	client := httpclient.New()
 	defer client.Close()
-	_, err = client.Do(context.Background(), endpoint.Call{
+	_, err = client.Do(context.Background(), httpclient.Call{
 		Address: address, Method: http.MethodPost, Path: "/", Once: true, OnSend: func() { sent = true },
 	})
-	c.Assert(endpoint.IsNotSent(err), qt.IsTrue)
+	c.Assert(httpclient.IsNotSent(err), qt.IsTrue)
 	c.Assert(sent, qt.IsFalse)
 }
--- a/internal/daemon/partition_test.go
+++ b/internal/daemon/partition_test.go
@@ -10,7 +10,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"oxbowslip.dev/oxbowslip/internal/demo"
+	"oxbowslip.dev/oxbowslip/internal/proof/demo"
 )
 
 // wire stands between a host and its peers, and can be cut.
--- a/internal/peer/golden_test.go
+++ b/internal/daemon/peer/golden_test.go
@@ -8,9 +8,9 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/fxamacker/cbor/v2"
 
-	"oxbowslip.dev/oxbowslip/internal/golden"
-	"oxbowslip.dev/oxbowslip/internal/schedule"
-	"oxbowslip.dev/oxbowslip/internal/shard"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
+	"oxbowslip.dev/oxbowslip/internal/proof/golden"
 )
 
 // fullRequest is a request with every field set and no two of them alike.
--- a/internal/peer/link.go
+++ b/internal/daemon/peer/link.go
@@ -11,9 +11,9 @@
 	"storj.io/drpc"
 	"storj.io/drpc/drpcconn"
 
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
-	"oxbowslip.dev/oxbowslip/internal/schedule"
-	"oxbowslip.dev/oxbowslip/internal/shard"
 )
 
 // The times of a link.
--- a/internal/peer/server.go
+++ b/internal/daemon/peer/server.go
@@ -11,9 +11,9 @@
 	"storj.io/drpc"
 	"storj.io/drpc/drpcserver"
 
-	"oxbowslip.dev/oxbowslip/internal/change"
-	"oxbowslip.dev/oxbowslip/internal/schedule"
-	"oxbowslip.dev/oxbowslip/internal/shard"
+	"oxbowslip.dev/oxbowslip/internal/daemon/change"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 )
 
 // ownerGrace is how long an owner whose link is lost may stay away before its
--- a/internal/peer/settings.go
+++ b/internal/daemon/peer/settings.go
@@ -8,7 +8,7 @@
 	"storj.io/drpc"
 	"storj.io/drpc/drpcconn"
 
-	"oxbowslip.dev/oxbowslip/internal/change"
+	"oxbowslip.dev/oxbowslip/internal/daemon/change"
 )
 
 // FetchSettings asks a peer for its settings. It gives a document of revision 0
--- a/internal/peer/wire.go
+++ b/internal/daemon/peer/wire.go
@@ -14,8 +14,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"storj.io/drpc"
 
-	"oxbowslip.dev/oxbowslip/internal/schedule"
-	"oxbowslip.dev/oxbowslip/internal/shard"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 )
 
 // ErrWrongKey says that a peer does not know the shared key.
--- a/internal/peer/wire_test.go
+++ b/internal/daemon/peer/wire_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/fxamacker/cbor/v2"
 
-	"oxbowslip.dev/oxbowslip/internal/schedule"
-	"oxbowslip.dev/oxbowslip/internal/shard"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 )
 
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/internal/inforce/inforce.go
+++ b/internal/daemon/poller/inforce.go
@@ -1,8 +1,8 @@
-// Package inforce keeps the newest accepted settings in force on this host. It
+// Package poller keeps the newest accepted settings in force on this host. It
 // polls the head row of the platform's table with jitter, reads the changes
 // since the revision that it has, and goes on with what it has while the
 // platform is away.
-package inforce
+package poller
 
 import (
 	"context"
@@ -17,10 +17,10 @@
 	"github.com/go-json-experiment/json"
 	"github.com/sirupsen/logrus"
 
-	"oxbowslip.dev/oxbowslip/internal/change"
 	"oxbowslip.dev/oxbowslip/internal/counters"
+	"oxbowslip.dev/oxbowslip/internal/daemon/change"
+	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
-	"oxbowslip.dev/oxbowslip/internal/platform"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
@@ -48,7 +48,7 @@
 
 // Follower keeps a holder up to date.
 type Follower struct {
-	client   *platform.Client
+	client   *tableclient.Client
 	holder   *settings.Holder
 	counters *counters.Counters
 	log      *logrus.Entry
@@ -82,7 +82,7 @@
 const grace = 30 * time.Second
 
 // New makes a follower that has read nothing.
-func New(client *platform.Client, holder *settings.Holder, c *counters.Counters, log *logrus.Entry,
+func New(client *tableclient.Client, holder *settings.Holder, c *counters.Counters, log *logrus.Entry,
 	poll time.Duration, random func() float64, peers Peers, clock func() time.Time,
 ) *Follower {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -154,7 +154,7 @@
 		f.log.WithError(err).Warn("settings can't be read, the last ones stay in force")
 	}
 	f.problem = err
-	if errors.Is(err, platform.ErrUnavailable) {
+	if errors.Is(err, tableclient.ErrUnavailable) {
 		f.askPeers(ctx)
 	}
 }
@@ -191,10 +191,10 @@
 }
 
 // ReadHead reads the head row.
-func ReadHead(ctx context.Context, client *platform.Client) (platform.Row, Head, error) {
+func ReadHead(ctx context.Context, client *tableclient.Client) (tableclient.Row, Head, error) {
 	var head Head
 	row, err := client.Read(ctx, HeadKey)
-	if errors.Is(err, platform.ErrNotFound) {
+	if errors.Is(err, tableclient.ErrNotFound) {
 		return row, head, merry.New("the platform holds no settings yet")
 	}
 	if err != nil {
@@ -206,7 +206,7 @@
 
 // ReadDocument reads the revision of a head, from the snapshot or from an older
 // revision that is known, whichever is newer.
-func ReadDocument(ctx context.Context, client *platform.Client, head Head, known change.Document) (change.Document, error) {
+func ReadDocument(ctx context.Context, client *tableclient.Client, head Head, known change.Document) (change.Document, error) {
 	document := known
 	if document.Revision < head.Snapshot {
 		data, err := client.GetObject(ctx, head.SnapshotName)
@@ -232,7 +232,7 @@
 }
 
 // ReadChange reads one accepted change.
-func ReadChange(ctx context.Context, client *platform.Client, revision uint64) (change.Change, error) {
+func ReadChange(ctx context.Context, client *tableclient.Client, revision uint64) (change.Change, error) {
 	var c change.Change
 	row, err := client.Read(ctx, ChangeKey(revision))
 	if err != nil {
--- a/internal/inforce/inforce_test.go
+++ b/internal/daemon/poller/inforce_test.go
@@ -1,4 +1,4 @@
-package inforce_test
+package poller_test
 
 import (
 	"context"
@@ -9,12 +9,12 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/sirupsen/logrus"
 
-	"oxbowslip.dev/oxbowslip/internal/change"
 	"oxbowslip.dev/oxbowslip/internal/counters"
-	"oxbowslip.dev/oxbowslip/internal/inforce"
-	"oxbowslip.dev/oxbowslip/internal/platform"
+	"oxbowslip.dev/oxbowslip/internal/daemon/change"
+	"oxbowslip.dev/oxbowslip/internal/daemon/poller"
+	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
+	"oxbowslip.dev/oxbowslip/internal/proof/standin"
 	"oxbowslip.dev/oxbowslip/internal/settings"
-	"oxbowslip.dev/oxbowslip/internal/standin"
 )
 
 // TestCutOff takes the platform and then the peers away: the last settings stay
@@ -34,7 +34,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	holder := settings.NewHolder()
-	f := inforce.New(platform.New(p.Address(), time.Minute, nil), holder, counters.New(), logrus.NewEntry(log), time.Second,
+	f := poller.New(tableclient.New(p.Address(), time.Minute, nil), holder, counters.New(), logrus.NewEntry(log), time.Second,
 		func() float64 { return 0 }, peers, func() time.Time { return now })
 	steps := []struct {
 		name     string
--- a/internal/schedule/prefix.go
+++ b/internal/daemon/schedule/prefix.go
@@ -1,6 +1,6 @@
 package schedule
 
-import "oxbowslip.dev/oxbowslip/internal/prefix"
+import "oxbowslip.dev/oxbowslip/internal/daemon/prefix"
 
 // prefixEntries bounds the prefixes remembered for a shard.
 const prefixEntries = 1 << 14
--- a/internal/shard/shard.go
+++ b/internal/daemon/shard/shard.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"oxbowslip.dev/oxbowslip/internal/schedule"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
 )
 
 // Kind is what an owner tells a scheduler.
--- a/internal/platform/platform.go
+++ b/internal/daemon/tableclient/platform.go
@@ -1,7 +1,7 @@
-// Package platform is the client of the platform's service: a transactional
+// Package tableclient is the client of the platform's service: a transactional
 // table, an object store, a weight store and the list of hosts. Its protocol is
 // JSON over HTTP, described in docs/platform.md.
-package platform
+package tableclient
 
 import (
 	"bytes"
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"oxbowslip.dev/oxbowslip/internal/schedule"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
 )
 
 // Bounds of what is kept.
--- a/internal/router/documents.go
+++ b/internal/front/documents.go
@@ -1,10 +1,10 @@
-package router
+package front
 
 import (
 	"sync"
 
-	"oxbowslip.dev/oxbowslip/internal/gossip"
-	"oxbowslip.dev/oxbowslip/internal/pack"
+	"oxbowslip.dev/oxbowslip/internal/front/gossip"
+	"oxbowslip.dev/oxbowslip/internal/front/pack"
 )
 
 const (
--- a/internal/router/documents_test.go
+++ b/internal/front/documents_test.go
@@ -1,4 +1,4 @@
-package router
+package front
 
 import (
 	"encoding/json"
@@ -13,10 +13,10 @@
 	"github.com/sirupsen/logrus"
 
 	"oxbowslip.dev/oxbowslip/internal/counters"
-	"oxbowslip.dev/oxbowslip/internal/directory"
-	"oxbowslip.dev/oxbowslip/internal/follow"
-	"oxbowslip.dev/oxbowslip/internal/gossip"
-	"oxbowslip.dev/oxbowslip/internal/placement"
+	"oxbowslip.dev/oxbowslip/internal/front/directory"
+	"oxbowslip.dev/oxbowslip/internal/front/follow"
+	"oxbowslip.dev/oxbowslip/internal/front/gossip"
+	"oxbowslip.dev/oxbowslip/internal/front/placement"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
--- a/internal/router/endpoints_sink.go
+++ b/internal/front/endpoints_sink.go
@@ -1,4 +1,4 @@
-package router
+package front
 
 import (
 	"sync"
@@ -8,11 +8,11 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/sirupsen/logrus"
 
-	"oxbowslip.dev/oxbowslip/internal/directory"
-	"oxbowslip.dev/oxbowslip/internal/follow"
-	"oxbowslip.dev/oxbowslip/internal/gossip"
+	"oxbowslip.dev/oxbowslip/internal/front/directory"
+	"oxbowslip.dev/oxbowslip/internal/front/follow"
+	"oxbowslip.dev/oxbowslip/internal/front/gossip"
+	"oxbowslip.dev/oxbowslip/internal/front/pack"
 	"oxbowslip.dev/oxbowslip/internal/logging"
-	"oxbowslip.dev/oxbowslip/internal/pack"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
--- a/internal/router/follow.go
+++ b/internal/front/follow.go
@@ -1,12 +1,12 @@
-package router
+package front
 
 import (
 	"sync/atomic"
 	"time"
 
-	"oxbowslip.dev/oxbowslip/internal/directory"
-	"oxbowslip.dev/oxbowslip/internal/follow"
-	"oxbowslip.dev/oxbowslip/internal/gossip"
+	"oxbowslip.dev/oxbowslip/internal/front/directory"
+	"oxbowslip.dev/oxbowslip/internal/front/follow"
+	"oxbowslip.dev/oxbowslip/internal/front/gossip"
 )
 
 // followers keep the settings and the directory up to date with the store.
--- a/internal/gossip/golden_test.go
+++ b/internal/front/gossip/golden_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/fxamacker/cbor/v2"
 
-	"oxbowslip.dev/oxbowslip/internal/golden"
+	"oxbowslip.dev/oxbowslip/internal/proof/golden"
 )
 
 // messages holds one value of each message between hosts, with every field set and no
--- a/internal/placement/board.go
+++ b/internal/front/placement/board.go
@@ -8,7 +8,7 @@
 import (
 	"time"
 
-	"oxbowslip.dev/oxbowslip/internal/gossip"
+	"oxbowslip.dev/oxbowslip/internal/front/gossip"
 )
 
 // Load is the work that one host has under way at an endpoint.
--- a/internal/placement/choose.go
+++ b/internal/front/placement/choose.go
@@ -6,9 +6,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"oxbowslip.dev/oxbowslip/internal/directory"
-	"oxbowslip.dev/oxbowslip/internal/gossip"
-	"oxbowslip.dev/oxbowslip/internal/schedule"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/front/directory"
+	"oxbowslip.dev/oxbowslip/internal/front/gossip"
 )
 
 const (
--- a/internal/placement/lanes.go
+++ b/internal/front/placement/lanes.go
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"oxbowslip.dev/oxbowslip/internal/directory"
+	"oxbowslip.dev/oxbowslip/internal/front/directory"
 )
 
 // Lanes keep prompts apart that harm each other. While an engine reads a long prompt,
--- a/internal/placement/placement_test.go
+++ b/internal/front/placement/placement_test.go
@@ -10,9 +10,9 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/sirupsen/logrus"
 
-	"oxbowslip.dev/oxbowslip/internal/directory"
-	"oxbowslip.dev/oxbowslip/internal/gossip"
-	"oxbowslip.dev/oxbowslip/internal/schedule"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/front/directory"
+	"oxbowslip.dev/oxbowslip/internal/front/gossip"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
--- a/internal/placement/room.go
+++ b/internal/front/placement/room.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"oxbowslip.dev/oxbowslip/internal/directory"
-	"oxbowslip.dev/oxbowslip/internal/schedule"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/front/directory"
 )
 
 // Ranks are the ends of the order of requests, from the settings in force.
--- a/internal/placement/scheduler.go
+++ b/internal/front/placement/scheduler.go
@@ -8,11 +8,11 @@
 
 	"github.com/sirupsen/logrus"
 
-	"oxbowslip.dev/oxbowslip/internal/directory"
-	"oxbowslip.dev/oxbowslip/internal/gossip"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/front/directory"
+	"oxbowslip.dev/oxbowslip/internal/front/gossip"
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 	"oxbowslip.dev/oxbowslip/internal/owner"
-	"oxbowslip.dev/oxbowslip/internal/schedule"
 )
 
 const (
--- a/internal/placement/streams.go
+++ b/internal/front/placement/streams.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"oxbowslip.dev/oxbowslip/internal/gossip"
+	"oxbowslip.dev/oxbowslip/internal/front/gossip"
 )
 
 // When a service gets a lane for short prompts: while more of their streams than
--- a/internal/relay/golden_test.go
+++ b/internal/front/relay/golden_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"oxbowslip.dev/oxbowslip/internal/golden"
+	"oxbowslip.dev/oxbowslip/internal/proof/golden"
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
--- a/internal/relay/job.go
+++ b/internal/front/relay/job.go
@@ -10,11 +10,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/front/upstream"
 	"oxbowslip.dev/oxbowslip/internal/hopheader"
 	"oxbowslip.dev/oxbowslip/internal/owner"
 	"oxbowslip.dev/oxbowslip/internal/request"
-	"oxbowslip.dev/oxbowslip/internal/schedule"
-	"oxbowslip.dev/oxbowslip/internal/upstream"
 )
 
 const (
--- a/internal/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -11,12 +11,12 @@
 	"github.com/sirupsen/logrus"
 
 	"oxbowslip.dev/oxbowslip/internal/counters"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/front/upstream"
 	"oxbowslip.dev/oxbowslip/internal/logging"
 	"oxbowslip.dev/oxbowslip/internal/owner"
 	"oxbowslip.dev/oxbowslip/internal/request"
-	"oxbowslip.dev/oxbowslip/internal/schedule"
 	"oxbowslip.dev/oxbowslip/internal/settings"
-	"oxbowslip.dev/oxbowslip/internal/upstream"
 )
 
 // Health takes what requests show of endpoints.
--- a/internal/relay/stream.go
+++ b/internal/front/relay/stream.go
@@ -9,10 +9,10 @@
 	"strconv"
 	"time"
 
+	"oxbowslip.dev/oxbowslip/internal/front/upstream"
 	"oxbowslip.dev/oxbowslip/internal/hopheader"
 	"oxbowslip.dev/oxbowslip/internal/owner"
 	"oxbowslip.dev/oxbowslip/internal/request"
-	"oxbowslip.dev/oxbowslip/internal/upstream"
 )
 
 const (
--- a/internal/router/router.go
+++ b/internal/front/router.go
@@ -1,7 +1,7 @@
-// Package router wires the parts of one host that relays calls by route, for a
+// Package front wires the parts of one host that relays calls by route, for a
 // deployment whose settings and endpoints come from a store, and takes them through
 // start and planned stop.
-package router
+package front
 
 import (
 	"context"
@@ -19,20 +19,20 @@
 	"go.uber.org/fx"
 
 	"oxbowslip.dev/oxbowslip/internal/counters"
-	"oxbowslip.dev/oxbowslip/internal/directory"
 	"oxbowslip.dev/oxbowslip/internal/explain"
-	"oxbowslip.dev/oxbowslip/internal/follow"
-	"oxbowslip.dev/oxbowslip/internal/gossip"
+	"oxbowslip.dev/oxbowslip/internal/front/directory"
+	"oxbowslip.dev/oxbowslip/internal/front/follow"
+	"oxbowslip.dev/oxbowslip/internal/front/gossip"
+	"oxbowslip.dev/oxbowslip/internal/front/placement"
+	"oxbowslip.dev/oxbowslip/internal/front/relay"
+	"oxbowslip.dev/oxbowslip/internal/front/upstream"
 	"oxbowslip.dev/oxbowslip/internal/hostconfig"
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 	"oxbowslip.dev/oxbowslip/internal/logging"
 	"oxbowslip.dev/oxbowslip/internal/operator"
 	"oxbowslip.dev/oxbowslip/internal/owner"
-	"oxbowslip.dev/oxbowslip/internal/placement"
 	"oxbowslip.dev/oxbowslip/internal/record"
-	"oxbowslip.dev/oxbowslip/internal/relay"
 	"oxbowslip.dev/oxbowslip/internal/settings"
-	"oxbowslip.dev/oxbowslip/internal/upstream"
 )
 
 // Document is a configuration as the deployment writes it.
--- a/internal/router/router_test.go
+++ b/internal/front/router_test.go
@@ -1,4 +1,4 @@
-package router
+package front
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"oxbowslip.dev/oxbowslip/internal/directory"
+	"oxbowslip.dev/oxbowslip/internal/front/directory"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
--- a/internal/router/settings_sink.go
+++ b/internal/front/settings_sink.go
@@ -1,13 +1,13 @@
-package router
+package front
 
 import (
 	"github.com/sirupsen/logrus"
 
 	"oxbowslip.dev/oxbowslip/internal/counters"
-	"oxbowslip.dev/oxbowslip/internal/follow"
-	"oxbowslip.dev/oxbowslip/internal/gossip"
+	"oxbowslip.dev/oxbowslip/internal/front/follow"
+	"oxbowslip.dev/oxbowslip/internal/front/gossip"
+	"oxbowslip.dev/oxbowslip/internal/front/placement"
 	"oxbowslip.dev/oxbowslip/internal/logging"
-	"oxbowslip.dev/oxbowslip/internal/placement"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
--- a/internal/router/share.go
+++ b/internal/front/share.go
@@ -1,4 +1,4 @@
-package router
+package front
 
 import (
 	"sync"
@@ -6,9 +6,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"oxbowslip.dev/oxbowslip/internal/directory"
-	"oxbowslip.dev/oxbowslip/internal/gossip"
-	"oxbowslip.dev/oxbowslip/internal/placement"
+	"oxbowslip.dev/oxbowslip/internal/front/directory"
+	"oxbowslip.dev/oxbowslip/internal/front/gossip"
+	"oxbowslip.dev/oxbowslip/internal/front/placement"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
--- a/internal/router/status.go
+++ b/internal/front/status.go
@@ -1,4 +1,4 @@
-package router
+package front
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 
 	"github.com/ansel1/merry/v2"
 
-	"oxbowslip.dev/oxbowslip/internal/change"
+	"oxbowslip.dev/oxbowslip/internal/daemon/change"
 	"oxbowslip.dev/oxbowslip/internal/operator"
 	"oxbowslip.dev/oxbowslip/internal/request"
 	"oxbowslip.dev/oxbowslip/internal/settings"
--- a/internal/router/wire.go
+++ b/internal/front/wire.go
@@ -1,4 +1,4 @@
-package router
+package front
 
 import (
 	"math/rand/v2"
@@ -10,18 +10,18 @@
 	"go.uber.org/fx/fxevent"
 
 	"oxbowslip.dev/oxbowslip/internal/counters"
-	"oxbowslip.dev/oxbowslip/internal/directory"
 	"oxbowslip.dev/oxbowslip/internal/explain"
-	"oxbowslip.dev/oxbowslip/internal/gossip"
+	"oxbowslip.dev/oxbowslip/internal/front/directory"
+	"oxbowslip.dev/oxbowslip/internal/front/gossip"
+	"oxbowslip.dev/oxbowslip/internal/front/placement"
+	"oxbowslip.dev/oxbowslip/internal/front/relay"
+	"oxbowslip.dev/oxbowslip/internal/front/upstream"
 	"oxbowslip.dev/oxbowslip/internal/hostconfig"
 	"oxbowslip.dev/oxbowslip/internal/logging"
 	"oxbowslip.dev/oxbowslip/internal/owner"
-	"oxbowslip.dev/oxbowslip/internal/placement"
 	"oxbowslip.dev/oxbowslip/internal/record"
-	"oxbowslip.dev/oxbowslip/internal/relay"
 	"oxbowslip.dev/oxbowslip/internal/retrybudget"
 	"oxbowslip.dev/oxbowslip/internal/settings"
-	"oxbowslip.dev/oxbowslip/internal/upstream"
 )
 
 // Options gives the parts of a router to fx.
--- a/internal/hostconfig/golden_test.go
+++ b/internal/hostconfig/golden_test.go
@@ -6,7 +6,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"oxbowslip.dev/oxbowslip/internal/golden"
+	"oxbowslip.dev/oxbowslip/internal/proof/golden"
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
 
--- a/internal/logread/golden_test.go
+++ b/internal/logread/golden_test.go
@@ -8,7 +8,7 @@
 	"github.com/go-json-experiment/json"
 	"github.com/go-json-experiment/json/jsontext"
 
-	"oxbowslip.dev/oxbowslip/internal/golden"
+	"oxbowslip.dev/oxbowslip/internal/proof/golden"
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
 
--- a/internal/operator/changes.go
+++ b/internal/operator/changes.go
@@ -11,9 +11,9 @@
 	"github.com/go-json-experiment/json/jsontext"
 	"github.com/gorilla/mux"
 
-	"oxbowslip.dev/oxbowslip/internal/accept"
-	"oxbowslip.dev/oxbowslip/internal/change"
-	"oxbowslip.dev/oxbowslip/internal/platform"
+	"oxbowslip.dev/oxbowslip/internal/daemon/change"
+	"oxbowslip.dev/oxbowslip/internal/daemon/commit"
+	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
 
@@ -63,7 +63,7 @@
 	revision, _ := strconv.ParseUint(mux.Vars(r)["revision"], 10, 64)
 	c, err := s.history(r.Context(), revision)
 	switch {
-	case errors.Is(err, platform.ErrNotFound):
+	case errors.Is(err, tableclient.ErrNotFound):
 		answer(w, http.StatusNotFound, Problem{Error: "no such change"})
 	case err != nil:
 		answer(w, http.StatusServiceUnavailable, Problem{Error: "the platform is away"})
@@ -92,7 +92,7 @@
 }
 
 func changeAnswer(revision uint64, err error) (int, ChangeAnswer) {
-	var conflict *accept.Conflict
+	var conflict *commit.Conflict
 	var faults *strictjson.Error
 	switch {
 	case err == nil:
@@ -103,7 +103,7 @@
 		return http.StatusUnprocessableEntity, ChangeAnswer{Error: "the tree would not be valid", Accepted: "no", Faults: faults.Faults}
 	case errors.Is(err, change.ErrBadPatch):
 		return http.StatusUnprocessableEntity, ChangeAnswer{Error: err.Error(), Accepted: "no"}
-	case errors.Is(err, accept.ErrUnknown):
+	case errors.Is(err, commit.ErrUnknown):
 		return http.StatusGatewayTimeout, ChangeAnswer{Error: err.Error(), Accepted: "unknown"}
 	}
 	return http.StatusServiceUnavailable, ChangeAnswer{Error: err.Error(), Accepted: "no"}
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -12,7 +12,7 @@
 	"github.com/ansel1/merry/v2"
 	"github.com/go-json-experiment/json"
 
-	"oxbowslip.dev/oxbowslip/internal/change"
+	"oxbowslip.dev/oxbowslip/internal/daemon/change"
 	"oxbowslip.dev/oxbowslip/internal/explain"
 	"oxbowslip.dev/oxbowslip/internal/record"
 	"oxbowslip.dev/oxbowslip/internal/settings"
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -11,15 +11,15 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"oxbowslip.dev/oxbowslip/internal/accept"
-	"oxbowslip.dev/oxbowslip/internal/change"
 	"oxbowslip.dev/oxbowslip/internal/counters"
+	"oxbowslip.dev/oxbowslip/internal/daemon/change"
+	"oxbowslip.dev/oxbowslip/internal/daemon/commit"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
 	"oxbowslip.dev/oxbowslip/internal/explain"
-	"oxbowslip.dev/oxbowslip/internal/golden"
 	"oxbowslip.dev/oxbowslip/internal/hostconfig"
-	"oxbowslip.dev/oxbowslip/internal/platform"
+	"oxbowslip.dev/oxbowslip/internal/proof/golden"
 	"oxbowslip.dev/oxbowslip/internal/record"
-	"oxbowslip.dev/oxbowslip/internal/schedule"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
@@ -52,9 +52,9 @@
 	recorded := record.New()
 	recorded.Add(record.Entry{Arrived: goldenTime, Class: "c", Workspace: "w", Model: "m", Prompt: 1, Answer: 2})
 	failures := map[string]error{
-		"conflict": &accept.Conflict{Other: goldenChange, Paths: []string{"/root"}},
+		"conflict": &commit.Conflict{Other: goldenChange, Paths: []string{"/root"}},
 		"faults":   &strictjson.Error{Faults: []strictjson.Fault{{Path: "/root", Problem: "wrong"}}},
-		"patch":    change.ErrBadPatch, "unknown": accept.ErrUnknown, "away": accept.ErrAway,
+		"patch":    change.ErrBadPatch, "unknown": commit.ErrUnknown, "away": commit.ErrAway,
 	}
 	keys := []hostconfig.OperatorKey{
 		{Name: "reader", SHA256: settings.HashKey("read"), Role: hostconfig.RoleRead},
@@ -71,7 +71,7 @@
 			case 3:
 				return goldenChange, nil
 			case 4:
-				return change.Change{}, platform.ErrNotFound
+				return change.Change{}, tableclient.ErrNotFound
 			}
 			return change.Change{}, errors.New("away")
 		},
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -12,12 +12,12 @@
 	"github.com/go-json-experiment/json"
 	"github.com/gorilla/mux"
 
-	"oxbowslip.dev/oxbowslip/internal/change"
 	"oxbowslip.dev/oxbowslip/internal/counters"
+	"oxbowslip.dev/oxbowslip/internal/daemon/change"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
 	"oxbowslip.dev/oxbowslip/internal/explain"
 	"oxbowslip.dev/oxbowslip/internal/hostconfig"
 	"oxbowslip.dev/oxbowslip/internal/record"
-	"oxbowslip.dev/oxbowslip/internal/schedule"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -12,10 +12,10 @@
 	"github.com/ansel1/merry/v2"
 
 	"oxbowslip.dev/oxbowslip/internal/counters"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
 	"oxbowslip.dev/oxbowslip/internal/explain"
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 	"oxbowslip.dev/oxbowslip/internal/request"
-	"oxbowslip.dev/oxbowslip/internal/schedule"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
--- a/internal/demo/cluster.go
+++ b/internal/proof/demo/cluster.go
@@ -16,12 +16,12 @@
 	"go.uber.org/fx"
 
 	"oxbowslip.dev/oxbowslip/internal/daemon"
-	"oxbowslip.dev/oxbowslip/internal/emulator"
+	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
 	"oxbowslip.dev/oxbowslip/internal/hostconfig"
 	"oxbowslip.dev/oxbowslip/internal/logging"
-	"oxbowslip.dev/oxbowslip/internal/platform"
+	"oxbowslip.dev/oxbowslip/internal/proof/emulator"
+	"oxbowslip.dev/oxbowslip/internal/proof/standin"
 	"oxbowslip.dev/oxbowslip/internal/settings"
-	"oxbowslip.dev/oxbowslip/internal/standin"
 )
 
 //go:embed tree.json
@@ -142,14 +142,14 @@
 func (c *Cluster) list() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var hosts []platform.Host
+	var hosts []tableclient.Host
 	for _, host := range c.hosts {
 		if !host.Down {
 			address := host.Daemon.PeersAddress()
 			if c.Config.PeerAddress != nil {
 				address = c.Config.PeerAddress(address)
 			}
-			hosts = append(hosts, platform.Host{Name: host.Name, Peers: address, Zone: host.Zone, State: platform.HostLive})
+			hosts = append(hosts, tableclient.Host{Name: host.Name, Peers: address, Zone: host.Zone, State: tableclient.HostLive})
 		}
 	}
 	c.Platform.SetHosts(hosts)
--- a/internal/demo/faults.go
+++ b/internal/proof/demo/faults.go
@@ -9,8 +9,8 @@
 
 	"github.com/ansel1/merry/v2"
 
+	"oxbowslip.dev/oxbowslip/internal/proof/standin"
 	"oxbowslip.dev/oxbowslip/internal/settings"
-	"oxbowslip.dev/oxbowslip/internal/standin"
 )
 
 // Fault names a fault that a demonstration can inject.
--- a/internal/demo/load.go
+++ b/internal/proof/demo/load.go
@@ -18,9 +18,9 @@
 	"github.com/tidwall/gjson"
 	"github.com/tmaxmax/go-sse"
 
+	"oxbowslip.dev/oxbowslip/internal/proof/standin"
 	"oxbowslip.dev/oxbowslip/internal/request"
 	"oxbowslip.dev/oxbowslip/internal/settings"
-	"oxbowslip.dev/oxbowslip/internal/standin"
 )
 
 // Source is one class's part of the load.
--- a/internal/emulator/cache.go
+++ b/internal/proof/emulator/cache.go
@@ -3,7 +3,7 @@
 import (
 	"container/list"
 
-	"oxbowslip.dev/oxbowslip/internal/prefix"
+	"oxbowslip.dev/oxbowslip/internal/daemon/prefix"
 )
 
 // prefixCache holds the prefixes of prompts that were read, the least recently
--- a/internal/emulator/engine.go
+++ b/internal/proof/emulator/engine.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"oxbowslip.dev/oxbowslip/internal/prefix"
+	"oxbowslip.dev/oxbowslip/internal/daemon/prefix"
 )
 
 // Config gives an engine's speed and size.
--- a/internal/replay/invariant.go
+++ b/internal/proof/replay/invariant.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
 	"oxbowslip.dev/oxbowslip/internal/request"
-	"oxbowslip.dev/oxbowslip/internal/schedule"
 )
 
 // The invariants, named after the promises of the brief.
--- a/internal/replay/policy.go
+++ b/internal/proof/replay/policy.go
@@ -7,8 +7,8 @@
 
 	"github.com/ansel1/merry/v2"
 
-	"oxbowslip.dev/oxbowslip/internal/emulator"
-	"oxbowslip.dev/oxbowslip/internal/schedule"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/proof/emulator"
 )
 
 // Policy decides for one shard. *schedule.Scheduler is one.
--- a/internal/replay/replay_test.go
+++ b/internal/proof/replay/replay_test.go
@@ -14,7 +14,7 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-const traceDir = "../../traces"
+const traceDir = "../../../traces"
 
 func readTrace(c *qt.C, path string) *Trace {
 	file, err := os.Open(path)
--- a/internal/replay/report.go
+++ b/internal/proof/replay/report.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 	"time"
 
-	"oxbowslip.dev/oxbowslip/internal/schedule"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
 )
 
 // ClassResult is what one class got.
--- a/internal/replay/trace.go
+++ b/internal/proof/replay/trace.go
@@ -14,7 +14,7 @@
 	"github.com/ansel1/merry/v2"
 	"github.com/go-json-experiment/json"
 
-	"oxbowslip.dev/oxbowslip/internal/emulator"
+	"oxbowslip.dev/oxbowslip/internal/proof/emulator"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
--- a/internal/replay/world.go
+++ b/internal/proof/replay/world.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"oxbowslip.dev/oxbowslip/internal/emulator"
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/proof/emulator"
 	"oxbowslip.dev/oxbowslip/internal/request"
-	"oxbowslip.dev/oxbowslip/internal/schedule"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
--- a/internal/standin/chat.go
+++ b/internal/proof/standin/chat.go
@@ -10,8 +10,8 @@
 	"github.com/go-json-experiment/json"
 	"github.com/gorilla/mux"
 
-	"oxbowslip.dev/oxbowslip/internal/emulator"
-	"oxbowslip.dev/oxbowslip/internal/prefix"
+	"oxbowslip.dev/oxbowslip/internal/daemon/prefix"
+	"oxbowslip.dev/oxbowslip/internal/proof/emulator"
 )
 
 const (
--- a/internal/standin/control.go
+++ b/internal/proof/standin/control.go
@@ -7,7 +7,7 @@
 
 	"github.com/go-json-experiment/json"
 
-	"oxbowslip.dev/oxbowslip/internal/emulator"
+	"oxbowslip.dev/oxbowslip/internal/proof/emulator"
 )
 
 // LoadReport is an engine's report of its own load. It lags.
--- a/internal/standin/engine.go
+++ b/internal/proof/standin/engine.go
@@ -12,7 +12,7 @@
 
 	"github.com/gorilla/mux"
 
-	"oxbowslip.dev/oxbowslip/internal/emulator"
+	"oxbowslip.dev/oxbowslip/internal/proof/emulator"
 )
 
 // EngineFaults are the faults that an engine stand-in shows while they are set.
--- a/internal/standin/platform.go
+++ b/internal/proof/standin/platform.go
@@ -14,7 +14,7 @@
 	"github.com/go-json-experiment/json"
 	"github.com/gorilla/mux"
 
-	"oxbowslip.dev/oxbowslip/internal/platform"
+	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
 )
 
 // PlatformFaults are the faults that the platform stand-in shows while they
@@ -49,7 +49,7 @@
 	address string
 
 	mu         sync.Mutex
-	rows       map[string]platform.Row
+	rows       map[string]tableclient.Row
 	objects    map[string][]byte
 	hosts      []hostVersion
 	lastWeight time.Time
@@ -60,12 +60,12 @@
 
 type hostVersion struct {
 	at    time.Time
-	hosts []platform.Host
+	hosts []tableclient.Host
 }
 
 // NewPlatform makes a platform that does not listen yet.
 func NewPlatform(config PlatformConfig) *Platform {
-	return &Platform{config: config, rows: make(map[string]platform.Row), objects: make(map[string][]byte)}
+	return &Platform{config: config, rows: make(map[string]tableclient.Row), objects: make(map[string][]byte)}
 }
 
 // Start listens on an address; port 0 picks a free one.
@@ -75,13 +75,13 @@
 		return fmt.Errorf("platform stand-in: %w", err)
 	}
 	router := mux.NewRouter().UseEncodedPath()
-	router.HandleFunc(platform.PathRows, p.list).Methods(http.MethodGet)
-	router.HandleFunc(platform.PathRows+"/{key}", p.read).Methods(http.MethodGet)
-	router.HandleFunc(platform.PathTransactions, p.commit).Methods(http.MethodPost)
-	router.HandleFunc(platform.PathObjects+"{name}", p.getObject).Methods(http.MethodGet)
-	router.HandleFunc(platform.PathObjects+"{name}", p.putObject).Methods(http.MethodPut)
-	router.HandleFunc(platform.PathWeights+"{name}", p.weights).Methods(http.MethodGet)
-	router.HandleFunc(platform.PathHosts, p.listHosts).Methods(http.MethodGet)
+	router.HandleFunc(tableclient.PathRows, p.list).Methods(http.MethodGet)
+	router.HandleFunc(tableclient.PathRows+"/{key}", p.read).Methods(http.MethodGet)
+	router.HandleFunc(tableclient.PathTransactions, p.commit).Methods(http.MethodPost)
+	router.HandleFunc(tableclient.PathObjects+"{name}", p.getObject).Methods(http.MethodGet)
+	router.HandleFunc(tableclient.PathObjects+"{name}", p.putObject).Methods(http.MethodPut)
+	router.HandleFunc(tableclient.PathWeights+"{name}", p.weights).Methods(http.MethodGet)
+	router.HandleFunc(tableclient.PathHosts, p.listHosts).Methods(http.MethodGet)
 	router.HandleFunc("/standin/faults", p.setFaults).Methods(http.MethodPost)
 	p.address = listener.Addr().String()
 	p.server = &http.Server{Handler: p.withFaults(router), ReadHeaderTimeout: headerTime}
@@ -110,14 +110,14 @@
 }
 
 // SetHosts changes the list of hosts; readers see it after the lag.
-func (p *Platform) SetHosts(hosts []platform.Host) {
+func (p *Platform) SetHosts(hosts []tableclient.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hosts = append(p.hosts, hostVersion{time.Now(), hosts})
 }
 
 // Commit does a transaction from inside the process.
-func (p *Platform) Commit(t platform.Transaction) ([]platform.Row, bool) {
+func (p *Platform) Commit(t tableclient.Transaction) ([]tableclient.Row, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.apply(t)
@@ -173,7 +173,7 @@
 	row, ok := p.rows[unescape(mux.Vars(r)["key"])]
 	p.mu.Unlock()
 	if !ok {
-		writeJSON(w, http.StatusNotFound, platform.Row{})
+		writeJSON(w, http.StatusNotFound, tableclient.Row{})
 		return
 	}
 	writeJSON(w, http.StatusOK, row)
@@ -181,7 +181,7 @@
 
 func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
 	prefix := r.URL.Query().Get("prefix")
-	list := platform.RowList{Rows: []platform.Row{}}
+	list := tableclient.RowList{Rows: []tableclient.Row{}}
 	p.mu.Lock()
 	for key, row := range p.rows {
 		if strings.HasPrefix(key, prefix) {
@@ -194,7 +194,7 @@
 }
 
 func (p *Platform) commit(w http.ResponseWriter, r *http.Request) {
-	var t platform.Transaction
+	var t tableclient.Transaction
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxRequestBytes))
 	if err == nil {
 		err = json.Unmarshal(data, &t)
@@ -210,13 +210,13 @@
 	if !ok {
 		status = http.StatusConflict
 	}
-	writeJSON(w, status, platform.Conflict{Rows: rows})
+	writeJSON(w, status, tableclient.Conflict{Rows: rows})
 }
 
 // apply does a transaction if all its conditions hold; else it gives the rows
 // in the way.
-func (p *Platform) apply(t platform.Transaction) ([]platform.Row, bool) {
-	rows := []platform.Row{}
+func (p *Platform) apply(t tableclient.Transaction) ([]tableclient.Row, bool) {
+	rows := []tableclient.Row{}
 	for _, condition := range t.If {
 		row := p.rows[condition.Key]
 		if row.Version != condition.Version {
@@ -236,7 +236,7 @@
 			continue
 		}
 		p.version++
-		p.rows[write.Key] = platform.Row{Key: write.Key, Version: p.version, Value: write.Value}
+		p.rows[write.Key] = tableclient.Row{Key: write.Key, Version: p.version, Value: write.Value}
 	}
 	return rows, true
 }
@@ -279,7 +279,7 @@
 func (p *Platform) listHosts(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := platform.HostList{Hosts: []platform.Host{}}
+	list := tableclient.HostList{Hosts: []tableclient.Host{}}
 	for _, version := range p.hosts {
 		if time.Since(version.at) >= p.config.HostLag {
 			list.Hosts = version.hosts
--- a/internal/standin/seed.go
+++ b/internal/proof/standin/seed.go
@@ -5,14 +5,14 @@
 
 	"github.com/go-json-experiment/json"
 
-	"oxbowslip.dev/oxbowslip/internal/inforce"
-	"oxbowslip.dev/oxbowslip/internal/platform"
+	"oxbowslip.dev/oxbowslip/internal/daemon/poller"
+	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
 // Seed puts a settings tree on the platform as revision 1.
 func (p *Platform) Seed(tree *settings.Tree) error {
-	name := inforce.SnapshotName(1, "seed")
+	name := poller.SnapshotName(1, "seed")
 	data, err := settings.Encode(tree)
 	if err != nil {
 		return err
@@ -20,12 +20,12 @@
 	if _, err := settings.Decode("seed", data); err != nil {
 		return err
 	}
-	head, err := json.Marshal(inforce.Head{Revision: 1, Snapshot: 1, SnapshotName: name})
+	head, err := json.Marshal(poller.Head{Revision: 1, Snapshot: 1, SnapshotName: name})
 	if err != nil {
 		return err
 	}
 	p.Put(name, data)
-	p.Commit(platform.Transaction{Set: []platform.Write{{Key: inforce.HeadKey, Value: head}}})
+	p.Commit(tableclient.Transaction{Set: []tableclient.Write{{Key: poller.HeadKey, Value: head}}})
 	return nil
 }
 
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -6,7 +6,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"oxbowslip.dev/oxbowslip/internal/golden"
+	"oxbowslip.dev/oxbowslip/internal/proof/golden"
 )
 
 // TestGoldenTree holds the schema and the form of a tree with every field set to those of
