--- a/cmd/oxbowslip-demo/main.go
+++ b/cmd/oxbowslip-demo/main.go
@@ -17,8 +17,8 @@
 	"github.com/go-json-experiment/json"
 	"github.com/go-json-experiment/json/jsontext"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon"
 	"oxbowslip.dev/oxbowslip/internal/proof/demo"
+	"oxbowslip.dev/oxbowslip/internal/version"
 )
 
 type arguments struct {
@@ -38,7 +38,7 @@
 }
 
 // Version is shown by --version.
-func (arguments) Version() string { return "oxbowslip-demo " + daemon.Version }
+func (arguments) Version() string { return "oxbowslip-demo " + version.Version }
 
 func main() {
 	var args arguments
--- a/cmd/oxbowslip-replay/main.go
+++ b/cmd/oxbowslip-replay/main.go
@@ -15,11 +15,11 @@
 	"github.com/go-json-experiment/json"
 	"github.com/go-json-experiment/json/jsontext"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon"
 	"oxbowslip.dev/oxbowslip/internal/operator"
 	"oxbowslip.dev/oxbowslip/internal/proof/replay"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
+	"oxbowslip.dev/oxbowslip/internal/version"
 )
 
 const (
@@ -59,7 +59,7 @@
 }
 
 // Version is shown by --version.
-func (arguments) Version() string { return "oxbowslip-replay " + daemon.Version }
+func (arguments) Version() string { return "oxbowslip-replay " + version.Version }
 
 func main() {
 	var args arguments
--- a/cmd/oxbowslip-standin/main.go
+++ b/cmd/oxbowslip-standin/main.go
@@ -16,10 +16,10 @@
 
 	"github.com/alexflint/go-arg"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon"
 	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
 	"oxbowslip.dev/oxbowslip/internal/proof/standin"
 	"oxbowslip.dev/oxbowslip/internal/settings"
+	"oxbowslip.dev/oxbowslip/internal/version"
 )
 
 type engineCommand struct {
@@ -52,7 +52,7 @@
 }
 
 // Version is shown by --version.
-func (arguments) Version() string { return "oxbowslip-standin " + daemon.Version }
+func (arguments) Version() string { return "oxbowslip-standin " + version.Version }
 
 func main() {
 	var args arguments
--- a/cmd/oxbowslip/logs.go
+++ b/cmd/oxbowslip/logs.go
@@ -63,7 +63,7 @@
 			figures := ""
 			if f := step.Figures; f != nil {
 				figures = fmt.Sprintf("waited %s; %d open and %d tokens unread there, %d tokens cached",
-					f.Waited.Round(time.Millisecond), f.InFlight, f.WaitingAhead, f.CachedTokens)
+					f.Waited.Round(time.Millisecond), f.InFlight, f.Ahead, f.CachedTokens)
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", step.At.Format(logTime), step.What, step.Endpoint, step.Reason, figures)
 		}
--- a/cmd/oxbowslip/main.go
+++ b/cmd/oxbowslip/main.go
@@ -14,8 +14,8 @@
 
 	"github.com/alexflint/go-arg"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon"
 	"oxbowslip.dev/oxbowslip/internal/operator"
+	"oxbowslip.dev/oxbowslip/internal/version"
 )
 
 const (
@@ -100,7 +100,7 @@
 func (arguments) Description() string { return "Operates a fleet of oxbowslip routers." }
 
 // Version is shown by --version.
-func (arguments) Version() string { return "oxbowslip " + daemon.Version }
+func (arguments) Version() string { return "oxbowslip " + version.Version }
 
 func main() {
 	var args arguments
--- a/cmd/oxbowslip/tool.go
+++ b/cmd/oxbowslip/tool.go
@@ -102,7 +102,7 @@
 			figures := ""
 			if f := step.Figures; f != nil {
 				figures = fmt.Sprintf("waited %s, %d ahead, %d below; endpoint %d of %.1f, first token expected in %s, %d prompt tokens cached, %d answer tokens expected",
-					f.Waited.Round(time.Millisecond), f.WaitingAhead, f.WaitingBelow, f.InFlight, f.Limit,
+					f.Waited.Round(time.Millisecond), f.Ahead, f.WaitingBelow, f.InFlight, f.Limit,
 					f.PredictedFirstToken.Round(time.Millisecond), f.CachedTokens, f.AnswerTokens)
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", step.At.Format("15:04:05.000"), step.What, step.Endpoint, step.Reason, figures)
--- a/cmd/oxbowslipd/main.go
+++ b/cmd/oxbowslipd/main.go
@@ -16,6 +16,7 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon"
 	"oxbowslip.dev/oxbowslip/internal/hostconfig"
 	"oxbowslip.dev/oxbowslip/internal/logging"
+	"oxbowslip.dev/oxbowslip/internal/version"
 )
 
 const (
@@ -34,7 +35,7 @@
 }
 
 // Version is shown by --version.
-func (arguments) Version() string { return "oxbowslipd " + daemon.Version }
+func (arguments) Version() string { return "oxbowslipd " + version.Version }
 
 func main() {
 	var args arguments
--- a/internal/daemon/api/api.go
+++ b/internal/daemon/api/api.go
@@ -18,9 +18,9 @@
 	"github.com/gorilla/mux"
 	"github.com/sirupsen/logrus"
 
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/counters"
 	"oxbowslip.dev/oxbowslip/internal/daemon/httpclient"
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
 	"oxbowslip.dev/oxbowslip/internal/owner"
 	"oxbowslip.dev/oxbowslip/internal/record"
 	"oxbowslip.dev/oxbowslip/internal/request"
@@ -283,9 +283,9 @@
 }
 
 // scheduleRequest fills in what the scheduler needs to know.
-func (s *Server) scheduleRequest(c *caller) schedule.Request {
+func (s *Server) scheduleRequest(c *caller) admission.Request {
 	p := &c.policy
-	return schedule.Request{
+	return admission.Request{
 		ID: c.id, Owner: s.host, Workspace: c.workspace, Class: c.class, Tier: p.Tier, Arrived: c.arrived,
 		FirstToken: p.FirstToken, BetweenTokens: p.BetweenTokens, WholeAnswer: p.WholeAnswer,
 		RefuseLate: p.WhenLate == settings.LateRefuse, MaxWait: p.MaxWait, Repeatable: p.Repeatable,
--- a/internal/daemon/api/fuzz_test.go
+++ b/internal/daemon/api/fuzz_test.go
@@ -6,11 +6,10 @@
 	"strings"
 	"testing"
 
+	qt "github.com/frankban/quicktest"
 	"github.com/go-json-experiment/json"
 	"github.com/go-json-experiment/json/jsontext"
 	"github.com/tmaxmax/go-sse"
-
-	qt "github.com/frankban/quicktest"
 )
 
 func FuzzDecodeChat(f *testing.F) {
--- a/internal/daemon/change/capacity_test.go
+++ b/internal/daemon/change/capacity_test.go
@@ -52,7 +52,7 @@
 			b.Fatal(err)
 		}
 		document := change.Document{Revision: 1, Data: canonical}
-		patch := &change.Change{Revision: 2, ID: strings.Repeat("x", 36), Patch: []byte(`{"endpoints":{"engine-7":{"state":"out"}}}`)}
+		patch := &settings.Change{Revision: 2, ID: strings.Repeat("x", 36), Patch: []byte(`{"endpoints":{"engine-7":{"state":"out"}}}`)}
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			b.ReportMetric(float64(len(canonical)), "tree-bytes")
--- a/internal/daemon/change/change.go
+++ b/internal/daemon/change/change.go
@@ -7,7 +7,6 @@
 	"bytes"
 	"sort"
 	"strings"
-	"time"
 
 	"github.com/ansel1/merry/v2"
 	jsonpatch "github.com/evanphx/json-patch/v5"
@@ -20,20 +19,6 @@
 // ErrBadPatch says that a patch is no JSON object.
 var ErrBadPatch = merry.Sentinel("the patch is no JSON merge patch")
 
-// Change is one accepted change. Its row in the platform's table never changes.
-type Change struct {
-	Revision uint64 `json:"revision"`
-	// ID is the operator's, so that a change whose answer was lost can be found
-	// again.
-	ID string `json:"id"`
-	// Base is the revision that the operator saw.
-	Base uint64 `json:"base"`
-	// Patch is a JSON merge patch (RFC 7396) of the tree.
-	Patch jsontext.Value `json:"patch"`
-	Who   string         `json:"who"`
-	At    time.Time      `json:"at"`
-}
-
 // Document is a revision of the tree in its canonical form. All hosts that
 // apply the same changes hold the same bytes.
 type Document struct {
@@ -42,7 +27,7 @@
 }
 
 // Apply gives the next revision. It does not check whether the tree is valid.
-func (d Document) Apply(c *Change) (Document, error) {
+func (d Document) Apply(c *settings.Change) (Document, error) {
 	data, err := jsonpatch.MergePatch(d.Data, c.Patch)
 	if err != nil {
 		return Document{}, merry.Wrap(ErrBadPatch, merry.WithCause(err))
--- /dev/null
+++ b/internal/daemon/changes.go
@@ -0,0 +1,64 @@
+package daemon
+
+import (
+	"context"
+	"errors"
+
+	"github.com/ansel1/merry/v2"
+	"github.com/sirupsen/logrus"
+
+	"oxbowslip.dev/oxbowslip/internal/daemon/change"
+	"oxbowslip.dev/oxbowslip/internal/daemon/commit"
+	"oxbowslip.dev/oxbowslip/internal/daemon/poller"
+	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
+	"oxbowslip.dev/oxbowslip/internal/operator"
+	"oxbowslip.dev/oxbowslip/internal/settings"
+	"oxbowslip.dev/oxbowslip/internal/strictjson"
+)
+
+// changes lets operators change the settings through this host. It implements
+// operator.Changes.
+type changes struct {
+	committer *commit.Committer
+	follower  *poller.Follower
+	client    *tableclient.Client
+	log       *logrus.Entry
+}
+
+// Accept stores a change and puts it in force on this host at once.
+func (c changes) Accept(ctx context.Context, change settings.Change) (uint64, error) {
+	revision, err := c.committer.Commit(ctx, change)
+	if err != nil {
+		return 0, changeError(err)
+	}
+	c.log.WithFields(logrus.Fields{"revision": revision, "who": change.Who, "change": change.ID}).Info("change accepted")
+	c.follower.Poll(ctx)
+	return revision, nil
+}
+
+// Find reads an accepted change.
+func (c changes) Find(ctx context.Context, revision uint64) (settings.Change, error) {
+	found, err := poller.ReadChange(ctx, c.client, revision)
+	if errors.Is(err, tableclient.ErrNotFound) {
+		return found, merry.Wrap(operator.ErrNoChange, merry.WithCause(err))
+	}
+	return found, err
+}
+
+// changeError turns the error of a commit into what operators are told.
+func changeError(err error) *operator.ChangeError {
+	var conflict *commit.Conflict
+	var faults *strictjson.Error
+	told := &operator.ChangeError{Cause: operator.CauseAway, Detail: err.Error()}
+	switch {
+	case errors.As(err, &conflict):
+		told.Cause, told.Other, told.Paths = operator.CauseConflict, &conflict.Other, conflict.Paths
+	case errors.As(err, &faults):
+		told.Cause, told.Detail, told.Faults = operator.CauseInvalid, "the tree would not be valid", faults.Faults
+	case errors.Is(err, change.ErrBadPatch):
+		told.Cause = operator.CauseInvalid
+	case errors.Is(err, commit.ErrUnknown):
+		told.Cause = operator.CauseUnknown
+	}
+	return told
+}
--- a/internal/daemon/commit/accept.go
+++ b/internal/daemon/commit/commit.go
@@ -16,6 +16,7 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/change"
 	"oxbowslip.dev/oxbowslip/internal/daemon/poller"
 	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
+	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
 // ErrUnknown says that it is not known whether a change was accepted. Sending it
@@ -29,7 +30,7 @@
 // Conflict is a change that was accepted after the base of another and touches
 // the same paths.
 type Conflict struct {
-	Other change.Change
+	Other settings.Change
 	Paths []string
 }
 
@@ -49,22 +50,22 @@
 	snapshotEvery = 32
 )
 
-// Acceptor accepts changes for one host.
-type Acceptor struct {
+// Committer accepts changes for one host.
+type Committer struct {
 	client *tableclient.Client
 	clock  func() time.Time
 }
 
-// New makes an acceptor.
-func New(client *tableclient.Client, clock func() time.Time) *Acceptor {
-	return &Acceptor{client: client, clock: clock}
+// New returns a committer that writes through a client of the table.
+func New(client *tableclient.Client, clock func() time.Time) *Committer {
+	return &Committer{client: client, clock: clock}
 }
 
-// Accept takes a change whose ID, base, patch and operator are set, and gives
+// Commit stores a change whose ID, base, patch and operator are set, and gives
 // its revision. A change with an ID that was accepted before gives that revision
 // again. The error is a *Conflict, a *strictjson.Error if the tree would not be
 // valid, ErrAway or ErrUnknown.
-func (a *Acceptor) Accept(ctx context.Context, c change.Change) (uint64, error) {
+func (a *Committer) Commit(ctx context.Context, c settings.Change) (uint64, error) {
 	if revision, err := a.find(ctx, c.ID); err != nil || revision > 0 {
 		return revision, away(err)
 	}
@@ -97,7 +98,7 @@
 }
 
 // try makes one transaction on the head as it is now.
-func (a *Acceptor) try(ctx context.Context, c change.Change) (uint64, error) {
+func (a *Committer) try(ctx context.Context, c settings.Change) (uint64, error) {
 	row, head, err := poller.ReadHead(ctx, a.client)
 	if err != nil {
 		return 0, err
@@ -135,7 +136,7 @@
 	return c.Revision, err
 }
 
-func transaction(row tableclient.Row, head poller.Head, c *change.Change) tableclient.Transaction {
+func transaction(row tableclient.Row, head poller.Head, c *settings.Change) tableclient.Transaction {
 	return tableclient.Transaction{
 		If: []tableclient.Condition{{Key: poller.HeadKey, Version: row.Version}, {Key: idKey(c.ID)}},
 		Set: []tableclient.Write{
@@ -162,7 +163,7 @@
 }
 
 // checkConflict compares a change with all that were accepted since its base.
-func (a *Acceptor) checkConflict(ctx context.Context, c *change.Change, head uint64) error {
+func (a *Committer) checkConflict(ctx context.Context, c *settings.Change, head uint64) error {
 	mine, err := change.Touched(c.Patch)
 	if err != nil {
 		return err
@@ -184,7 +185,7 @@
 }
 
 // find gives the revision of a change that was accepted, or 0.
-func (a *Acceptor) find(ctx context.Context, id string) (uint64, error) {
+func (a *Committer) find(ctx context.Context, id string) (uint64, error) {
 	row, err := a.client.Read(ctx, idKey(id))
 	if errors.Is(err, tableclient.ErrNotFound) {
 		return 0, nil
@@ -201,7 +202,7 @@
 
 // lookUp finds out what became of a transaction whose answer was lost. That its
 // row is not there is no answer: the transaction may still be under way.
-func (a *Acceptor) lookUp(ctx context.Context, id string) (uint64, error) {
+func (a *Committer) lookUp(ctx context.Context, id string) (uint64, error) {
 	for range maxLookups {
 		if revision, err := a.find(ctx, id); err == nil && revision > 0 {
 			return revision, nil
--- a/internal/daemon/commit/accept_test.go
+++ b/internal/daemon/commit/commit_test.go
@@ -24,7 +24,7 @@
 
 const seed = `{"root": {"classes": {"a": {}, "b": {}}}, "workspaces": {"w": {}}}`
 
-func start(c *qt.C) (*standin.Platform, *tableclient.Client, *commit.Acceptor) {
+func start(c *qt.C) (*standin.Platform, *tableclient.Client, *commit.Committer) {
 	p := standin.NewPlatform(standin.PlatformConfig{})
 	c.Assert(p.Start("127.0.0.1:0"), qt.IsNil)
 	c.Cleanup(p.Close)
@@ -35,8 +35,8 @@
 	return p, client, commit.New(client, time.Now)
 }
 
-func patch(id string, base uint64, text string) change.Change {
-	return change.Change{ID: id, Base: base, Patch: []byte(text), Who: "op"}
+func patch(id string, base uint64, text string) settings.Change {
+	return settings.Change{ID: id, Base: base, Patch: []byte(text), Who: "op"}
 }
 
 const (
@@ -49,7 +49,7 @@
 
 func TestAccept(t *testing.T) {
 	type step struct {
-		change   change.Change
+		change   settings.Change
 		faults   standin.PlatformFaults
 		revision uint64
 		// The kinds of failure.
@@ -73,7 +73,7 @@
 			p, _, acceptor := start(c)
 			for i, s := range steps {
 				p.SetFaults(s.faults)
-				revision, err := acceptor.Accept(context.Background(), s.change)
+				revision, err := acceptor.Commit(context.Background(), s.change)
 				var conflict *commit.Conflict
 				var faults *strictjson.Error
 				note := qt.Commentf("step %d: %v", i, err)
@@ -119,7 +119,7 @@
 					// Losing the race too often is told as not accepted; coming back
 					// with the same ID is what an operator does then.
 					var err error
-					revision, err = acceptor.Accept(ctx, patch(id, 1, text))
+					revision, err = acceptor.Commit(ctx, patch(id, 1, text))
 					if err != nil && !errors.Is(err, commit.ErrAway) {
 						c.Errorf("%s: %v", id, err)
 						return
--- a/internal/daemon/commit/golden_test.go
+++ b/internal/daemon/commit/golden_test.go
@@ -7,10 +7,10 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/go-json-experiment/json"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon/change"
 	"oxbowslip.dev/oxbowslip/internal/daemon/poller"
 	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
 	"oxbowslip.dev/oxbowslip/internal/proof/golden"
+	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
 // TestGoldenTransaction holds the rows of an accepted change to those of commit 4c58500,
@@ -20,7 +20,7 @@
 	at := time.Date(2026, 6, 1, 12, 0, 0, 5_000_000, time.UTC)
 	transaction := transaction(
 		tableclient.Row{Version: 7}, poller.Head{Revision: 3, Snapshot: 2, SnapshotName: poller.SnapshotName(2, "first")},
-		&change.Change{Revision: 3, ID: "a/b", Base: 2, Patch: []byte(`{"root":{}}`), Who: "who", At: at},
+		&settings.Change{Revision: 3, ID: "a/b", Base: 2, Patch: []byte(`{"root":{}}`), Who: "who", At: at},
 	)
 	data, err := json.Marshal(transaction)
 	c.Assert(err, qt.IsNil)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -17,6 +17,7 @@
 	"go.uber.org/fx"
 	"go.uber.org/fx/fxevent"
 
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/counters"
 	"oxbowslip.dev/oxbowslip/internal/daemon/api"
 	"oxbowslip.dev/oxbowslip/internal/daemon/change"
@@ -39,11 +40,9 @@
 	"oxbowslip.dev/oxbowslip/internal/record"
 	"oxbowslip.dev/oxbowslip/internal/request"
 	"oxbowslip.dev/oxbowslip/internal/settings"
+	"oxbowslip.dev/oxbowslip/internal/version"
 )
 
-// Version is the program's version.
-const Version = "0.1.0"
-
 // Daemon is one running host.
 type Daemon struct {
 	config    hostconfig.Host
@@ -57,7 +56,6 @@
 	platform  *tableclient.Client
 	counters  *counters.Counters
 	claims    *claims.Table
-	acceptor  *commit.Acceptor
 	callers   *http.Server
 	operators *http.Server
 
@@ -155,7 +153,7 @@
 type sharedScheduler struct{ dispatcher *dispatch.Dispatcher }
 
 // Ask submits a request to the host that schedules its shard.
-func (s sharedScheduler) Ask(ctx context.Context, shardName string, r schedule.Request) (owner.Ticket, schedule.Decision, error) {
+func (s sharedScheduler) Ask(ctx context.Context, shardName string, r admission.Request) (owner.Ticket, admission.Decision, error) {
 	return s.dispatcher.Ask(ctx, shardName, r)
 }
 
@@ -172,36 +170,31 @@
 // New makes a daemon that has not started.
 func New(config hostconfig.Host, log *logrus.Logger, holder *settings.Holder, follower *poller.Follower, o *owner.Owner,
 	f *fleet.Fleet, client *httpclient.Client, platformClient *tableclient.Client, c *counters.Counters, ring *explain.Ring,
-	table *claims.Table, acceptor *commit.Acceptor, recorded *record.Ring,
+	table *claims.Table, committer *commit.Committer, recorded *record.Ring,
 	clock func() time.Time,
 ) *Daemon {
 	d := &Daemon{
 		config: config, log: logging.Part(log, "daemon"), holder: holder, follower: follower, owner: o, fleet: f, shards: f.Shards(),
-		client: client, platform: platformClient, counters: c, claims: table, acceptor: acceptor, hurry: make(chan struct{}), done: make(chan struct{}), ended: make(chan struct{}),
+		client: client, platform: platformClient, counters: c, claims: table, hurry: make(chan struct{}), done: make(chan struct{}), ended: make(chan struct{}),
 	}
 	d.callers = api.New(config.Name, config.Zone, holder, o, client, c, table, recorded, logging.Part(log, "api"), clock,
 		api.Timeouts{Read: config.ReadTimeout, Write: config.WriteTimeout}, d.notReady).HTTP()
 	d.callers.Handler = lifetime.CloseWhen(&d.draining, d.callers.Handler)
-	d.operators = operator.New(config.OperatorKeys, c, ring, operator.Settings{
-		Holder: holder, Accept: d.accept, Document: follower.Document,
-		History: func(ctx context.Context, revision uint64) (change.Change, error) {
-			return poller.ReadChange(ctx, platformClient, revision)
-		},
-	}, recorded, d.Status).HTTP()
+	d.operators = operator.New(operator.Parts{
+		Keys: config.OperatorKeys, Counters: c, Explained: ring, Recorded: recorded, Settings: holder,
+		Changes: changes{committer: committer, follower: follower, client: platformClient, log: d.log},
+		Tree:    d.tree, Status: d.Status,
+	}).HTTP()
 	c.Gauge("oxbowslip_open_requests", func() float64 { return float64(o.Open()) })
 	c.Gauge("oxbowslip_takeovers", func() float64 { return float64(f.Takeovers()) })
 	c.Gauge("oxbowslip_settings_revision", func() float64 { return float64(d.revision()) })
 	return d
 }
 
-// accept takes an operator's change and puts it in force here at once.
-func (d *Daemon) accept(ctx context.Context, c change.Change) (uint64, error) {
-	revision, err := d.acceptor.Accept(ctx, c)
-	if err == nil {
-		d.log.WithFields(logrus.Fields{"revision": revision, "who": c.Who, "change": c.ID}).Info("change accepted")
-		d.follower.Poll(ctx)
-	}
-	return revision, err
+// tree returns the tree in force as operators see it.
+func (d *Daemon) tree() operator.SettingsAnswer {
+	document := d.follower.Document()
+	return operator.SettingsAnswer{Revision: document.Revision, Tree: document.Data}
 }
 
 // Start listens and begins to follow the settings. It does not wait for them:
@@ -398,7 +391,7 @@
 func (d *Daemon) Status() operator.Status {
 	problem := d.Problem()
 	status := operator.Status{
-		Host: d.config.Name, Zone: d.config.Zone, Version: Version, Revision: d.revision(), Ready: problem == "",
+		Host: d.config.Name, Zone: d.config.Zone, Version: version.Version, Revision: d.revision(), Ready: problem == "",
 		Problem: problem, Open: d.owner.Open(), Now: time.Now(), Schedulers: d.fleet.Schedulers(),
 		Refusals: make(map[string]uint64),
 	}
@@ -409,9 +402,13 @@
 	}
 	for _, name := range d.shards.Names() {
 		d.shards.Inspect(name, func(core *schedule.Scheduler) {
-			status.Shards = append(status.Shards, operator.ShardStatus{
-				Name: name, Waiting: core.Waiting(), Running: core.Running(), Endpoints: core.Endpoints(),
-			})
+			shard := operator.ShardStatus{Name: name, Waiting: core.Waiting(), Running: core.Running()}
+			for _, e := range core.Endpoints() {
+				shard.Endpoints = append(shard.Endpoints, operator.EndpointStatus{
+					ID: e.ID, InFlight: e.InFlight, Limit: e.Limit, Between: e.Between, Ejected: string(e.Ejected), Probing: e.Probing,
+				})
+			}
+			status.Shards = append(status.Shards, shard)
 		})
 	}
 	return status
--- a/internal/daemon/dispatch/dispatch.go
+++ b/internal/daemon/dispatch/dispatch.go
@@ -7,7 +7,7 @@
 	"context"
 	"sync"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 )
 
@@ -40,8 +40,8 @@
 type Ticket struct {
 	dispatcher *Dispatcher
 	shard      string
-	request    schedule.Request
-	decisions  chan schedule.Decision
+	request    admission.Request
+	decisions  chan admission.Decision
 	preempted  chan struct{}
 
 	// The rest is guarded by the dispatcher's lock.
@@ -57,12 +57,12 @@
 
 // Ask submits a request and waits for the decision. It fails only when ctx
 // ends; the request is withdrawn then. A granted ticket must be finished.
-func (d *Dispatcher) Ask(ctx context.Context, shardName string, request schedule.Request) (*Ticket, schedule.Decision, error) {
+func (d *Dispatcher) Ask(ctx context.Context, shardName string, request admission.Request) (*Ticket, admission.Decision, error) {
 	t := &Ticket{
 		dispatcher: d,
 		shard:      shardName,
 		request:    request,
-		decisions:  make(chan schedule.Decision, 1),
+		decisions:  make(chan admission.Decision, 1),
 		preempted:  make(chan struct{}),
 	}
 	d.mu.Lock()
@@ -79,28 +79,28 @@
 	t.tell(shard.Message{Kind: shard.Submit, Request: request})
 	select {
 	case decision := <-t.decisions:
-		if decision.Kind == schedule.Refuse {
+		if decision.Kind == admission.Refuse {
 			d.forget(request.ID)
 		}
 		return t, decision, nil
 	case <-ctx.Done():
 		d.forget(request.ID)
 		t.tell(shard.Message{Kind: shard.Withdraw})
-		return nil, schedule.Decision{}, ctx.Err()
+		return nil, admission.Decision{}, ctx.Err()
 	}
 }
 
 // Deliver hands a scheduler's decision to the request that it is for. A decision
 // of a scheduler that does not have the request any more is dropped: its grant
 // becomes void by itself.
-func (d *Dispatcher) Deliver(host, _ string, decision schedule.Decision) {
+func (d *Dispatcher) Deliver(host, _ string, decision admission.Decision) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	t, ok := d.tickets[decision.ID]
 	if !ok || t.scheduler != host {
 		return
 	}
-	if decision.Kind == schedule.Preempt {
+	if decision.Kind == admission.Preempt {
 		t.preempt()
 		return
 	}
@@ -229,7 +229,7 @@
 }
 
 // Finished ends the attempt and gives the place back.
-func (t *Ticket) Finished(result schedule.Result, tokens int) {
+func (t *Ticket) Finished(result admission.Result, tokens int) {
 	t.dispatcher.forget(t.request.ID)
 	t.tell(shard.Message{Kind: shard.Finished, Result: result, Tokens: tokens})
 }
--- a/internal/daemon/dispatch/dispatch_test.go
+++ b/internal/daemon/dispatch/dispatch_test.go
@@ -8,7 +8,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 )
 
@@ -45,9 +45,9 @@
 	router := &lossyRouter{scheduler: "a", lose: 1, arrived: make(chan *shard.Message, 16)}
 	d := New()
 	d.Connect(router)
-	granted := make(chan schedule.Decision, 1)
+	granted := make(chan admission.Decision, 1)
 	go func() {
-		_, decision, err := d.Ask(context.Background(), "s", schedule.Request{ID: "1"})
+		_, decision, err := d.Ask(context.Background(), "s", admission.Request{ID: "1"})
 		c.Check(err, qt.IsNil)
 		granted <- decision
 	}()
@@ -61,13 +61,13 @@
 	d.Repeat()
 	c.Assert((<-router.arrived).Kind, qt.Equals, shard.Submit)
 	// A decision of a host that does not have the request is dropped.
-	d.Deliver("b", "s", schedule.Decision{ID: "1", Endpoint: "e", Until: time.Unix(0, 0)})
+	d.Deliver("b", "s", admission.Decision{ID: "1", Endpoint: "e", Until: time.Unix(0, 0)})
 	router.mu.Lock()
 	router.scheduler = "b"
 	router.mu.Unlock()
 	d.Repeat()
 	c.Assert((<-router.arrived).Kind, qt.Equals, shard.Submit)
-	d.Deliver("b", "s", schedule.Decision{ID: "1", Endpoint: "f"})
+	d.Deliver("b", "s", admission.Decision{ID: "1", Endpoint: "f"})
 	c.Assert((<-granted).Endpoint, qt.Equals, "f")
 	d.Repeat()
 	c.Assert(router.arrived, qt.HasLen, 0)
@@ -94,8 +94,8 @@
 func TestEndsWhileAnnounced(t *testing.T) {
 	c := qt.New(t)
 	d := New()
-	ticket := &Ticket{dispatcher: d, shard: "s", request: schedule.Request{ID: "1"}, scheduler: "a", endpoint: "e"}
-	router := &endingRouter{end: func() { ticket.Finished(schedule.Answered, 5) }}
+	ticket := &Ticket{dispatcher: d, shard: "s", request: admission.Request{ID: "1"}, scheduler: "a", endpoint: "e"}
+	router := &endingRouter{end: func() { ticket.Finished(admission.Answered, 5) }}
 	d.Connect(router)
 	d.tickets["1"] = ticket
 	d.Move("s")
--- a/internal/daemon/fleet/fleet.go
+++ b/internal/daemon/fleet/fleet.go
@@ -12,6 +12,7 @@
 	"github.com/ansel1/merry/v2"
 	"github.com/sirupsen/logrus"
 
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/daemon/change"
 	"oxbowslip.dev/oxbowslip/internal/daemon/dispatch"
 	"oxbowslip.dev/oxbowslip/internal/daemon/membership"
@@ -263,7 +264,7 @@
 }
 
 // deliver hands a scheduler's decision to the request's owner.
-func (f *Fleet) deliver(shardName string, d schedule.Decision) {
+func (f *Fleet) deliver(shardName string, d admission.Decision) {
 	if d.Owner == f.config.Self.Name || d.Owner == "" {
 		f.dispatcher.Deliver(f.config.Self.Name, shardName, d)
 		return
--- a/internal/daemon/peer/golden_test.go
+++ b/internal/daemon/peer/golden_test.go
@@ -8,14 +8,14 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/fxamacker/cbor/v2"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 	"oxbowslip.dev/oxbowslip/internal/proof/golden"
 )
 
 // fullRequest is a request with every field set and no two of them alike.
-func fullRequest() *schedule.Request {
-	return &schedule.Request{
+func fullRequest() *admission.Request {
+	return &admission.Request{
 		ID: "id", Owner: "owner", Workspace: "workspace", Class: "class", Tier: 1, Urgency: 2,
 		FirstToken: 3 * time.Millisecond, BetweenTokens: 4 * time.Millisecond, WholeAnswer: 5 * time.Millisecond,
 		RefuseLate: true, MaxWait: 6 * time.Millisecond, Share: 0.5, Weight: 1.5, MaxInFlight: 7, MaxWaiting: 8,
@@ -27,11 +27,11 @@
 func frames() map[string]*frame {
 	repeatable, retry := fullRequest(), fullRequest()
 	repeatable.Repeatable, retry.Retry = true, true
-	decision := schedule.Decision{
-		Kind: schedule.Preempt, ID: "id", Owner: "owner", Endpoint: "endpoint", FetchFrom: "from", Reason: schedule.ReasonHigherTier,
+	decision := admission.Decision{
+		Kind: admission.Preempt, ID: "id", Owner: "owner", Endpoint: "endpoint", FetchFrom: "from", Reason: admission.ReasonHigherTier,
 		RetryAfter: time.Second,
-		Figures: schedule.Figures{
-			Waited: 1, WaitingAhead: 2, WaitingBelow: 3, PredictedFirstToken: 4, InFlight: 5, Limit: 6.5, CachedTokens: 7, AnswerTokens: 8,
+		Figures: admission.Figures{
+			Waited: 1, Ahead: 2, WaitingBelow: 3, PredictedFirstToken: 4, InFlight: 5, Limit: 6.5, CachedTokens: 7, AnswerTokens: 8,
 		},
 	}
 	kinds := []kind{kindHello, kindChallenge, kindProof, kindBeat, kindMessages, kindDecisions, kindLeaving, kindWant, kindSettings}
@@ -45,10 +45,10 @@
 			{Shard: "s", Kind: shard.Started, ID: "id"},
 			{Shard: "s", Kind: shard.FirstToken, ID: "id"},
 			{Shard: "s", Kind: shard.Progress, ID: "id", Tokens: 9},
-			{Shard: "s", Kind: shard.Finished, ID: "id", Result: schedule.Preempted},
-			{Shard: "s", Kind: shard.Finished, ID: "id", Result: schedule.Unused},
-			{Shard: "s", Kind: shard.Finished, ID: "id", Result: schedule.Failed},
-			{Shard: "s", Kind: shard.Finished, ID: "id", Result: schedule.Cancelled},
+			{Shard: "s", Kind: shard.Finished, ID: "id", Result: admission.Preempted},
+			{Shard: "s", Kind: shard.Finished, ID: "id", Result: admission.Unused},
+			{Shard: "s", Kind: shard.Finished, ID: "id", Result: admission.Failed},
+			{Shard: "s", Kind: shard.Finished, ID: "id", Result: admission.Cancelled},
 		}},
 		"decisions": {Kind: kindDecisions, Decisions: []decisionForm{{Shard: "s", Left: time.Second, Decision: decision}}},
 		"settings":  {Kind: kindSettings, Revision: 1, Data: []byte("{}")},
--- a/internal/daemon/peer/link.go
+++ b/internal/daemon/peer/link.go
@@ -11,7 +11,7 @@
 	"storj.io/drpc"
 	"storj.io/drpc/drpcconn"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
@@ -45,7 +45,7 @@
 	Revision func() uint64
 	Newer    func(revision uint64)
 	// Decision hands over a decision of the peer's scheduler.
-	Decision func(host, shard string, decision schedule.Decision)
+	Decision func(host, shard string, decision admission.Decision)
 }
 
 // Link is this host's connection, as an owner of requests, to the schedulers of
--- a/internal/daemon/peer/server.go
+++ b/internal/daemon/peer/server.go
@@ -11,8 +11,8 @@
 	"storj.io/drpc"
 	"storj.io/drpc/drpcserver"
 
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/daemon/change"
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
 	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 )
 
@@ -95,7 +95,7 @@
 
 // Deliver sends a decision to an owner. Without a link it is dropped: the owner
 // announces its requests when it comes back, or another scheduler has them.
-func (s *Server) Deliver(shardName string, d schedule.Decision) {
+func (s *Server) Deliver(shardName string, d admission.Decision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	session, ok := s.sessions[d.Owner]
--- a/internal/daemon/peer/wire.go
+++ b/internal/daemon/peer/wire.go
@@ -14,7 +14,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"storj.io/drpc"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 )
 
@@ -69,17 +69,17 @@
 	Kind     shard.Kind
 	ID       string
 	Tokens   int
-	Result   schedule.Result
+	Result   admission.Result
 	Endpoint string
 	Age      time.Duration
-	Request  *schedule.Request
+	Request  *admission.Request
 }
 
 // decisionForm is a scheduler's decision, with the time left for a grant.
 type decisionForm struct {
-	Shard    string            `cbor:"1,keyasint"`
-	Left     time.Duration     `cbor:"2,keyasint,omitempty"`
-	Decision schedule.Decision `cbor:"3,keyasint"`
+	Shard    string             `cbor:"1,keyasint"`
+	Left     time.Duration      `cbor:"2,keyasint,omitempty"`
+	Decision admission.Decision `cbor:"3,keyasint"`
 }
 
 func toForm(now time.Time, shardName string, m *shard.Message) messageForm {
@@ -105,7 +105,7 @@
 	return m
 }
 
-func decisionToForm(now time.Time, shardName string, d *schedule.Decision) decisionForm {
+func decisionToForm(now time.Time, shardName string, d *admission.Decision) decisionForm {
 	form := decisionForm{Shard: shardName, Decision: *d}
 	if !d.Until.IsZero() {
 		form.Left = d.Until.Sub(now)
@@ -114,9 +114,9 @@
 	return form
 }
 
-func (f *decisionForm) decision(now time.Time) schedule.Decision {
+func (f *decisionForm) decision(now time.Time) admission.Decision {
 	d := f.Decision
-	if d.Kind == schedule.Grant {
+	if d.Kind == admission.Grant {
 		d.Until = now.Add(f.Left)
 	}
 	return d
--- a/internal/daemon/peer/wire_test.go
+++ b/internal/daemon/peer/wire_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/fxamacker/cbor/v2"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 )
 
@@ -16,7 +16,7 @@
 
 // submit is a request of ordinary size: a prompt of 1,500 tokens.
 func submit(i int) *shard.Message {
-	r := schedule.Request{
+	r := admission.Request{
 		ID: fmt.Sprintf("0c5f3ad2-1111-4222-8333-%012d", i), Owner: "host-1", Workspace: "prairie-boats", Class: "itinerary", Tier: 1,
 		Arrived: now, FirstToken: 1300 * time.Millisecond, BetweenTokens: 48 * time.Millisecond, MaxWait: time.Minute,
 		Repeatable: true, Share: 0.03, Weight: 1, PromptTokens: 1500, MaxTokens: 4096, Prefix: []uint64{1 << 60, 1 << 61, 1 << 62, 1 << 63, 1 << 59},
@@ -39,7 +39,7 @@
 	want := submit(1)
 	want.Request.Arrived = there.Add(-time.Second)
 	c.Assert(m, qt.DeepEquals, want)
-	grant := schedule.Decision{Kind: schedule.Grant, ID: "x", Owner: "host-1", Endpoint: "voyage-1", Until: now.Add(2 * time.Second)}
+	grant := admission.Decision{Kind: admission.Grant, ID: "x", Owner: "host-1", Endpoint: "voyage-1", Until: now.Add(2 * time.Second)}
 	decision := decisionToForm(now, "voyage", &grant)
 	c.Assert(decision.decision(there).Until, qt.Equals, there.Add(2*time.Second))
 }
@@ -65,9 +65,9 @@
 	for _, k := range kinds {
 		owner += bytesOf(&frame{Kind: kindMessages, Messages: []messageForm{toForm(now, "voyage", &shard.Message{Kind: k, ID: id, Tokens: 99})}})
 	}
-	grant := schedule.Decision{
-		Kind: schedule.Grant, ID: id, Owner: "host-1", Endpoint: "voyage-01", Reason: schedule.ReasonTier, Until: now.Add(time.Second),
-		Figures: schedule.Figures{Waited: time.Second, WaitingAhead: 5, PredictedFirstToken: time.Second, Limit: 25.5, AnswerTokens: 300},
+	grant := admission.Decision{
+		Kind: admission.Grant, ID: id, Owner: "host-1", Endpoint: "voyage-01", Reason: admission.ReasonNext, Until: now.Add(time.Second),
+		Figures: admission.Figures{Waited: time.Second, Ahead: 5, PredictedFirstToken: time.Second, Limit: 25.5, AnswerTokens: 300},
 	}
 	scheduler = bytesOf(&frame{Kind: kindDecisions, Decisions: []decisionForm{decisionToForm(now, "voyage", &grant)}})
 	return owner, scheduler
--- a/internal/daemon/poller/inforce.go
+++ b/internal/daemon/poller/poller.go
@@ -232,8 +232,8 @@
 }
 
 // ReadChange reads one accepted change.
-func ReadChange(ctx context.Context, client *tableclient.Client, revision uint64) (change.Change, error) {
-	var c change.Change
+func ReadChange(ctx context.Context, client *tableclient.Client, revision uint64) (settings.Change, error) {
+	var c settings.Change
 	row, err := client.Read(ctx, ChangeKey(revision))
 	if err != nil {
 		return c, merry.Prepend(err, "settings change")
--- a/internal/daemon/schedule/dispatch.go
+++ b/internal/daemon/schedule/dispatch.go
@@ -1,5 +1,9 @@
 package schedule
 
+import (
+	"oxbowslip.dev/oxbowslip/internal/admission"
+)
+
 import "time"
 
 // maxAside bounds the requests passed over in one dispatch because no endpoint
@@ -23,7 +27,7 @@
 		s.Steps++
 		it.predicted = s.predictLength(&it.request)
 		tier := it.request.Tier
-		if reason == ReasonShare {
+		if reason == admission.ReasonShare {
 			// The places kept for higher tiers would starve a share when those
 			// tiers take all the rest.
 			tier = 0
@@ -45,7 +49,7 @@
 // nextWaiting chooses the request to grant next: a class whose share is due,
 // else the highest tier's workspace with the least service, down to the lowest
 // tier that has a place. Flows that a limit holds are parked on the way.
-func (s *Scheduler) nextWaiting(now time.Time, lowest int) (*item, Reason) {
+func (s *Scheduler) nextWaiting(now time.Time, lowest int) (*item, admission.Reason) {
 	for {
 		it, reason := s.candidate(now, lowest)
 		if it == nil {
@@ -60,13 +64,13 @@
 	}
 }
 
-func (s *Scheduler) candidate(now time.Time, lowest int) (*item, Reason) {
+func (s *Scheduler) candidate(now time.Time, lowest int) (*item, admission.Reason) {
 	if it := s.dueShare(now); it != nil {
-		return it, ReasonShare
+		return it, admission.ReasonShare
 	}
 	for tier := range lowest + 1 {
 		if it := s.bestOf(now, &s.tiers[tier]); it != nil {
-			return it, ReasonTier
+			return it, admission.ReasonNext
 		}
 	}
 	return nil, ""
@@ -92,14 +96,14 @@
 
 // grant gives a waiting request, whose length is predicted, a place at an
 // endpoint.
-func (s *Scheduler) grant(now time.Time, it *item, e *endpoint, reason Reason) {
+func (s *Scheduler) grant(now time.Time, it *item, e *endpoint, reason admission.Reason) {
 	r := &it.request
 	f := it.flow
 	cached := s.prefixes.longest(r)
 	it.uncached = e.uncached(r, cached)
-	figures := Figures{
+	figures := admission.Figures{
 		Waited:              now.Sub(r.Arrived),
-		WaitingAhead:        s.waitingAtOrAbove(r.Tier) - 1,
+		Ahead:               s.waitingAtOrAbove(r.Tier) - 1,
 		WaitingBelow:        s.waiting - s.waitingAtOrAbove(r.Tier),
 		PredictedFirstToken: e.predictFirstToken(now, r, cached),
 		InFlight:            e.inFlight(),
@@ -111,13 +115,13 @@
 	s.bookService(it, f)
 	s.refresh(now, f)
 	s.limitOf(r).use(it.predicted)
-	it.shared = reason == ReasonShare
+	it.shared = reason == admission.ReasonShare
 	s.endpoints.take(now, it, e)
 	s.prefixes.granted(r, e)
 	it.due = now.Add(s.options.GrantTime)
 	s.expiry.put(it)
-	s.decisions = append(s.decisions, Decision{
-		Kind:     Grant,
+	s.decisions = append(s.decisions, admission.Decision{
+		Kind:     admission.Grant,
 		ID:       r.ID,
 		Owner:    r.Owner,
 		Endpoint: e.ID,
--- a/internal/daemon/schedule/endpoint.go
+++ b/internal/daemon/schedule/endpoint.go
@@ -1,5 +1,9 @@
 package schedule
 
+import (
+	"oxbowslip.dev/oxbowslip/internal/admission"
+)
+
 import "time"
 
 // The constants of the learned limits.
@@ -123,7 +127,7 @@
 }
 
 // uncached is the part of a prompt that the endpoint must read.
-func (e *endpoint) uncached(r *Request, cached cachedPart) int {
+func (e *endpoint) uncached(r *admission.Request, cached cachedPart) int {
 	if cached.holder != e {
 		return r.PromptTokens
 	}
@@ -132,7 +136,7 @@
 
 // predictFirstToken estimates the time to the first token of a request that is
 // sent now.
-func (e *endpoint) predictFirstToken(now time.Time, r *Request, cached cachedPart) time.Duration {
+func (e *endpoint) predictFirstToken(now time.Time, r *admission.Request, cached cachedPart) time.Duration {
 	if !e.Engine {
 		return 0
 	}
--- a/internal/daemon/schedule/endpoints.go
+++ b/internal/daemon/schedule/endpoints.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"time"
+
+	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
 // candidates is how many of the least loaded endpoints are compared for a
@@ -114,7 +116,7 @@
 // engine has, the slower are the tokens of all of them.
 const loadCost = 50 * time.Millisecond
 
-func (s *endpointSet) cost(now time.Time, r *Request, e *endpoint, cached cachedPart) time.Duration {
+func (s *endpointSet) cost(now time.Time, r *admission.Request, e *endpoint, cached cachedPart) time.Duration {
 	cost := e.predictFirstToken(now, r, cached)
 	if s.options.NoPrefix {
 		cost += e.readTime(r.PromptTokens - e.uncached(r, cached))
@@ -127,7 +129,7 @@
 
 // leastLoaded gives the usable endpoint with the least load, whether it has
 // room or not.
-func (s *endpointSet) leastLoaded(r *Request) *endpoint {
+func (s *endpointSet) leastLoaded(r *admission.Request) *endpoint {
 	for _, e := range s.byLoad.elements {
 		if !s.avoids(r, e) {
 			return e
@@ -138,7 +140,7 @@
 
 // avoids reports whether a request should not go to an endpoint that failed it
 // before. When it has tried as many as can be used, any will do.
-func (s *endpointSet) avoids(r *Request, e *endpoint) bool {
+func (s *endpointSet) avoids(r *admission.Request, e *endpoint) bool {
 	return len(r.Avoid) < s.byLoad.Len() && slices.Contains(r.Avoid, e.ID)
 }
 
@@ -150,21 +152,21 @@
 	s.place(e)
 }
 
-func (s *endpointSet) release(now time.Time, it *item, result Result) {
+func (s *endpointSet) release(now time.Time, it *item, result admission.Result) {
 	e := it.endpoint
 	if it.preempting {
 		s.preempting--
 	}
 	e.drop(it)
 	e.health.finished(now, result)
-	if e.health.failures >= failuresInRow || (e.health.probing && result == Failed) {
+	if e.health.failures >= failuresInRow || (e.health.probing && result == admission.Failed) {
 		s.eject(now, e, EjectFailing)
 	}
 	s.place(e)
 }
 
 // leastFirstToken is the time to the first token at an idle engine.
-func (s *endpointSet) leastFirstToken(r *Request) time.Duration {
+func (s *endpointSet) leastFirstToken(r *admission.Request) time.Duration {
 	if len(s.order) == 0 || !s.order[0].Engine {
 		return 0
 	}
@@ -176,7 +178,7 @@
 }
 
 // firstTokenWhenIdle is the time to the first token with no prompt ahead.
-func (e *endpoint) firstTokenWhenIdle(r *Request) time.Duration {
+func (e *endpoint) firstTokenWhenIdle(r *admission.Request) time.Duration {
 	return e.readTime(r.PromptTokens) + e.between
 }
 
--- a/internal/daemon/schedule/health.go
+++ b/internal/daemon/schedule/health.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"time"
+
+	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
 // The constants of ejection.
@@ -51,13 +53,13 @@
 )
 
 // finished counts an end of a request at the endpoint.
-func (h *health) finished(now time.Time, result Result) {
+func (h *health) finished(now time.Time, result admission.Result) {
 	switch result {
-	case Failed:
+	case admission.Failed:
 		h.failures++
 		pause := min(firstPause<<min(h.failures-1, 10), longPause)
 		h.pausedUntil = now.Add(pause)
-	case Answered:
+	case admission.Answered:
 		h.heard()
 	}
 }
--- a/internal/daemon/schedule/lengths.go
+++ b/internal/daemon/schedule/lengths.go
@@ -1,5 +1,9 @@
 package schedule
 
+import (
+	"oxbowslip.dev/oxbowslip/internal/admission"
+)
+
 // The first guess of an answer's length, and the quantile that is learned. A
 // high quantile keeps an engine's cache memory from running full.
 const (
@@ -27,7 +31,7 @@
 }
 
 // predictLength estimates the tokens of an answer that has not begun.
-func (s *Scheduler) predictLength(r *Request) int {
+func (s *Scheduler) predictLength(r *admission.Request) int {
 	estimate := firstLength
 	if l, ok := s.lengths[limitKey{r.Workspace, r.Class}]; ok && !s.options.NoLengths {
 		estimate = int(l.estimate)
@@ -38,8 +42,8 @@
 	return estimate
 }
 
-func (s *Scheduler) learnLength(it *item, result Result) {
-	if result != Answered || it.tokens == 0 {
+func (s *Scheduler) learnLength(it *item, result admission.Result) {
+	if result != admission.Answered || it.tokens == 0 {
 		return
 	}
 	key := limitKey{it.request.Workspace, it.request.Class}
--- a/internal/daemon/schedule/limits.go
+++ b/internal/daemon/schedule/limits.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"time"
+
+	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
 // limitKey names the limits of a workspace for a class.
@@ -24,7 +26,7 @@
 	parked []*flow
 }
 
-func (s *Scheduler) limitOf(r *Request) *limit {
+func (s *Scheduler) limitOf(r *admission.Request) *limit {
 	key := limitKey{r.Workspace, r.Class}
 	l, ok := s.limits[key]
 	if !ok {
@@ -36,7 +38,7 @@
 }
 
 // blocks reports whether a request must wait for its workspace's own limits.
-func (l *limit) blocks(r *Request) bool {
+func (l *limit) blocks(r *admission.Request) bool {
 	if r.MaxInFlight > 0 && l.inFlight >= r.MaxInFlight {
 		return true
 	}
--- a/internal/daemon/schedule/preempt.go
+++ b/internal/daemon/schedule/preempt.go
@@ -1,5 +1,9 @@
 package schedule
 
+import (
+	"oxbowslip.dev/oxbowslip/internal/admission"
+)
+
 import "time"
 
 // preemptAge bounds how long a victim may have run: what it has done is thrown
@@ -24,13 +28,13 @@
 	victim.preempting = true
 	s.endpoints.preempting++
 	r := &victim.request
-	s.decisions = append(s.decisions, Decision{
-		Kind:     Preempt,
+	s.decisions = append(s.decisions, admission.Decision{
+		Kind:     admission.Preempt,
 		ID:       r.ID,
 		Owner:    r.Owner,
 		Endpoint: victim.endpoint.ID,
-		Reason:   ReasonHigherTier,
-		Figures:  Figures{Waited: now.Sub(it.request.Arrived), InFlight: victim.endpoint.inFlight(), Limit: victim.endpoint.limit},
+		Reason:   admission.ReasonHigherTier,
+		Figures:  admission.Figures{Waited: now.Sub(it.request.Arrived), InFlight: victim.endpoint.inFlight(), Limit: victim.endpoint.limit},
 	})
 }
 
--- a/internal/daemon/schedule/prefix.go
+++ b/internal/daemon/schedule/prefix.go
@@ -1,5 +1,9 @@
 package schedule
 
+import (
+	"oxbowslip.dev/oxbowslip/internal/admission"
+)
+
 import "oxbowslip.dev/oxbowslip/internal/daemon/prefix"
 
 // prefixEntries bounds the prefixes remembered for a shard.
@@ -33,7 +37,7 @@
 }
 
 // longest finds the endpoint that was given the longest known part of a prompt.
-func (t *prefixTable) longest(r *Request) cachedPart {
+func (t *prefixTable) longest(r *admission.Request) cachedPart {
 	for i := len(r.Prefix) - 1; i >= 0; i-- {
 		if e := t.holder(r.Prefix[i]); e != nil {
 			return cachedPart{e, min((i+1)*prefix.TokensPerPart, r.PromptTokens)}
@@ -43,7 +47,7 @@
 }
 
 // granted notes that an endpoint is given a prompt.
-func (t *prefixTable) granted(r *Request, e *endpoint) {
+func (t *prefixTable) granted(r *admission.Request, e *endpoint) {
 	for _, hash := range r.Prefix {
 		t.put(hash, e)
 	}
--- a/internal/daemon/schedule/queue.go
+++ b/internal/daemon/schedule/queue.go
@@ -4,12 +4,14 @@
 	"time"
 
 	"github.com/tidwall/btree"
+
+	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
 // item is a request in the scheduler: waiting in a flow, or granted to an
 // endpoint.
 type item struct {
-	request  Request
+	request  admission.Request
 	sequence uint64
 
 	// While it waits.
@@ -232,7 +234,7 @@
 	}
 }
 
-func (s *Scheduler) newItem(request Request) *item {
+func (s *Scheduler) newItem(request admission.Request) *item {
 	s.sequence++
 	if request.Weight <= 0 {
 		request.Weight = 1
@@ -325,7 +327,7 @@
 
 // lateAt tells when a request's targets can't be met any more, if it has not
 // been granted: the target less the least time that an engine needs.
-func (s *Scheduler) lateAt(r *Request) time.Time {
+func (s *Scheduler) lateAt(r *admission.Request) time.Time {
 	if r.Retry {
 		return time.Time{}
 	}
@@ -358,7 +360,7 @@
 	}
 }
 
-func (s *Scheduler) flowOf(r *Request) *flow {
+func (s *Scheduler) flowOf(r *admission.Request) *flow {
 	key := flowKey{r.Tier, r.Workspace, r.Class}
 	if f, ok := s.flows[key]; ok {
 		return f
--- a/internal/daemon/schedule/room.go
+++ b/internal/daemon/schedule/room.go
@@ -1,19 +1,23 @@
 package schedule
 
+import (
+	"oxbowslip.dev/oxbowslip/internal/admission"
+)
+
 import "time"
 
 // admit checks whether there is room for a new request, and makes room for it
 // where the rules allow. A request that was admitted before always has room.
-func (s *Scheduler) admit(now time.Time, it *item) (Reason, bool) {
+func (s *Scheduler) admit(now time.Time, it *item) (admission.Reason, bool) {
 	r := &it.request
 	if s.configured && s.endpoints.count() == 0 {
-		return ReasonNoEndpoint, false
+		return admission.ReasonNoEndpoint, false
 	}
 	if r.Retry {
 		return "", true
 	}
 	if r.MaxWaiting > 0 && s.limitOf(r).waiting >= r.MaxWaiting {
-		return ReasonWorkspaceRoom, false
+		return admission.ReasonWorkspaceRoom, false
 	}
 	if s.waiting < s.options.MaxWaiting {
 		return "", true
@@ -25,13 +29,13 @@
 	if s.makeRoom(now, r) {
 		return "", true
 	}
-	return ReasonNoRoom, false
+	return admission.ReasonNoRoom, false
 }
 
 // makeRoom gives up a waiting request for a new one: one of the lowest tier
 // below, or, if none waits, one of a workspace of the same tier that has more
 // requests waiting than the new one's. It never gives up a higher tier's.
-func (s *Scheduler) makeRoom(now time.Time, r *Request) bool {
+func (s *Scheduler) makeRoom(now time.Time, r *admission.Request) bool {
 	for tier := Tiers - 1; tier > r.Tier; tier-- {
 		if w := s.tiers[tier].largest(); w != nil {
 			s.shed(now, w)
@@ -55,7 +59,7 @@
 }
 
 // loadWith is the load of a request's workspace with that request.
-func (s *Scheduler) loadWith(r *Request) float64 {
+func (s *Scheduler) loadWith(r *admission.Request) float64 {
 	count := 1
 	if w, ok := s.tiers[r.Tier].workspaces[r.Workspace]; ok {
 		count += w.count
@@ -84,7 +88,7 @@
 		}
 	}
 	s.removeWaiting(newest)
-	s.refuse(now, newest, ReasonNoRoom)
+	s.refuse(now, newest, admission.ReasonNoRoom)
 }
 
 func (s *Scheduler) oldestOf(now time.Time, tier int) *item {
--- a/internal/daemon/schedule/schedule.go
+++ b/internal/daemon/schedule/schedule.go
@@ -10,62 +10,13 @@
 import (
 	"slices"
 	"time"
+
+	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
 // Tiers is the number of service tiers. Tier 0 is the highest.
 const Tiers = 4
 
-// Request is what the scheduler knows of a request.
-type Request struct {
-	_ struct{} `cbor:",toarray"` // Its form between hosts has no field names.
-
-	// ID is unique in the fleet. Owner is the host that accepted the request.
-	ID    string
-	Owner string
-	// Workspace and Class name the limits, the lengths learned and the shares.
-	Workspace string
-	Class     string
-	Tier      int
-	// Urgency orders the classes inside a tier; 0 is the most urgent.
-	Urgency int
-	Arrived time.Time
-	// FirstToken, BetweenTokens and WholeAnswer are targets; 0 means none.
-	FirstToken    time.Duration
-	BetweenTokens time.Duration
-	WholeAnswer   time.Duration
-	// RefuseLate says that an answer that misses the target is not wanted.
-	RefuseLate bool
-	// MaxWait bounds the time before the request is granted; 0 means no bound.
-	MaxWait time.Duration
-	// Repeatable allows the request to be preempted.
-	Repeatable bool
-	// Share is the fraction of the work that the class gets at least while it
-	// waits.
-	Share float64
-	// Weight divides the capacity of a tier among workspaces; 0 means 1.
-	Weight float64
-	// MaxInFlight, MaxWaiting and TokensPerMinute are limits of the workspace
-	// for the class; 0 means none.
-	MaxInFlight     int
-	MaxWaiting      int
-	TokensPerMinute int
-	// PromptTokens is an estimate. MaxTokens bounds the answer; 0 means
-	// unknown.
-	PromptTokens int
-	MaxTokens    int
-	// Prefix is the hash of each leading part of the prompt, the shortest
-	// first, with the workspace as a part of each hash.
-	Prefix []uint64
-	// PrefixTokens is the tokens up to the end of each part in Prefix, if known.
-	PrefixTokens []int
-	// Zone is the owner's availability zone.
-	Zone string
-	// Avoid names endpoints that have failed the request.
-	Avoid []string
-	// Retry says that the request was granted before.
-	Retry bool
-}
-
 // Endpoint is what the scheduler is told of an endpoint.
 type Endpoint struct {
 	ID   string
@@ -80,100 +31,6 @@
 	Engine bool
 }
 
-// Kind is what a decision does.
-type Kind uint8
-
-// The kinds of decision.
-const (
-	// Grant: the request may run at Endpoint, if it is sent before Until.
-	Grant Kind = iota
-	// Refuse: the request is given up.
-	Refuse
-	// Preempt: the request is to be taken from its endpoint and submitted
-	// again.
-	Preempt
-)
-
-// String names the kind in explanations.
-func (k Kind) String() string {
-	return [...]string{"grant", "refuse", "preempt"}[k]
-}
-
-// Reason says why a decision was taken.
-type Reason string
-
-// The reasons for decisions.
-const (
-	// Grants.
-	ReasonTier     Reason = "tier"
-	ReasonShare    Reason = "share"
-	ReasonGiveBack Reason = "share_given_back"
-	// Refusals.
-	ReasonNoRoom        Reason = "no_room"
-	ReasonWorkspaceRoom Reason = "workspace_room"
-	ReasonTooLate       Reason = "too_late"
-	ReasonMaxWait       Reason = "max_wait"
-	ReasonNoEndpoint    Reason = "no_endpoint"
-	// Preemption.
-	ReasonHigherTier Reason = "higher_tier"
-)
-
-// Figures are the numbers that a decision was taken on.
-type Figures struct {
-	// Waited is how long the request had waited.
-	Waited time.Duration `json:",omitzero"`
-	// WaitingAhead counts the waiting requests of the same and higher tiers.
-	WaitingAhead int `json:",omitzero"`
-	// WaitingBelow counts the waiting requests of lower tiers.
-	WaitingBelow int `json:",omitzero"`
-	// PredictedFirstToken is the time to the first token from now.
-	PredictedFirstToken time.Duration `json:",omitzero"`
-	// InFlight and Limit are those of the endpoint.
-	InFlight int     `json:",omitzero"`
-	Limit    float64 `json:",omitzero"`
-	// CachedTokens is the part of the prompt expected in the endpoint's cache.
-	CachedTokens int `json:",omitzero"`
-	// AnswerTokens is the predicted length of the answer.
-	AnswerTokens int `json:",omitzero"`
-}
-
-// Decision is one result of the scheduler.
-type Decision struct {
-	Kind     Kind
-	ID       string
-	Owner    string
-	Endpoint string
-	// FetchFrom is the address of another endpoint that should hold a shared part
-	// of the prompt, or empty.
-	FetchFrom string
-	Reason    Reason
-	// Until is when an unused grant becomes void.
-	Until time.Time
-	// RetryAfter is when a refused caller should come back.
-	RetryAfter time.Duration
-	Figures    Figures
-}
-
-// Usable reports whether a grant may still be used.
-func (d *Decision) Usable(now time.Time) bool { return now.Before(d.Until) }
-
-// Result is how a granted request ended.
-type Result uint8
-
-// The results.
-const (
-	// Answered: the whole answer came.
-	Answered Result = iota
-	// Unused: the grant was not used; nothing was sent.
-	Unused
-	// Failed: the endpoint could not be reached or broke off.
-	Failed
-	// Cancelled: the caller went away or the owner gave up.
-	Cancelled
-	// Preempted: the owner took the request back.
-	Preempted
-)
-
 // Options switch single mechanisms off, to measure what each is worth, and set
 // the constants of the policy.
 type Options struct {
@@ -234,7 +91,7 @@
 	shares    shareBook
 	prefixes  *prefixTable
 	pace      pace
-	decisions []Decision
+	decisions []admission.Decision
 	waiting   int
 	sequence  uint64
 	aside     []*item
@@ -265,7 +122,7 @@
 
 // Take gives the decisions since the last Take. The slice is valid until the
 // next call of any method.
-func (s *Scheduler) Take() []Decision {
+func (s *Scheduler) Take() []admission.Decision {
 	taken := s.decisions
 	s.decisions = s.decisions[:0]
 	return taken
@@ -296,7 +153,7 @@
 }
 
 // Submit takes a new request, or one that comes back for a retry.
-func (s *Scheduler) Submit(now time.Time, request Request) {
+func (s *Scheduler) Submit(now time.Time, request admission.Request) {
 	if _, ok := s.items[request.ID]; ok {
 		return
 	}
@@ -312,7 +169,7 @@
 
 // Adopt takes a request that another scheduler granted and that goes on at an
 // endpoint. It takes a place there even if none is free.
-func (s *Scheduler) Adopt(now time.Time, request Request, endpointID string, tokens int) {
+func (s *Scheduler) Adopt(now time.Time, request admission.Request, endpointID string, tokens int) {
 	if _, ok := s.items[request.ID]; ok {
 		return
 	}
@@ -360,7 +217,7 @@
 		return
 	}
 	if it.endpoint != nil {
-		s.Finished(now, id, Cancelled, it.tokens)
+		s.Finished(now, id, admission.Cancelled, it.tokens)
 		return
 	}
 	s.removeWaiting(it)
@@ -407,7 +264,7 @@
 
 // Finished says that a granted request has ended at its endpoint, and with how
 // many tokens.
-func (s *Scheduler) Finished(now time.Time, id string, result Result, tokens int) {
+func (s *Scheduler) Finished(now time.Time, id string, result admission.Result, tokens int) {
 	it, ok := s.items[id]
 	if !ok || it.endpoint == nil {
 		return
@@ -449,7 +306,7 @@
 }
 
 // release ends an open grant and frees its place.
-func (s *Scheduler) release(now time.Time, it *item, result Result) {
+func (s *Scheduler) release(now time.Time, it *item, result admission.Result) {
 	s.expiry.remove(it)
 	s.endpoints.release(now, it, result)
 	s.releaseLimit(now, it)
@@ -461,13 +318,13 @@
 // that has waited too long.
 func (s *Scheduler) expire(now time.Time, it *item) {
 	if it.endpoint != nil {
-		s.release(now, it, Unused)
+		s.release(now, it, admission.Unused)
 		return
 	}
 	s.Steps++
-	reason := ReasonMaxWait
+	reason := admission.ReasonMaxWait
 	if it.request.MaxWait == 0 || now.Sub(it.request.Arrived) < it.request.MaxWait {
-		reason = ReasonTooLate
+		reason = admission.ReasonTooLate
 	}
 	if s.giveBack(now, it) {
 		return
@@ -476,18 +333,18 @@
 	s.refuse(now, it, reason)
 }
 
-func (s *Scheduler) refuse(now time.Time, it *item, reason Reason) {
+func (s *Scheduler) refuse(now time.Time, it *item, reason admission.Reason) {
 	delete(s.items, it.request.ID)
 	r := &it.request
-	s.decisions = append(s.decisions, Decision{
-		Kind:       Refuse,
+	s.decisions = append(s.decisions, admission.Decision{
+		Kind:       admission.Refuse,
 		ID:         r.ID,
 		Owner:      r.Owner,
 		Reason:     reason,
 		RetryAfter: s.retryAfter(r.Tier),
-		Figures: Figures{
+		Figures: admission.Figures{
 			Waited:       now.Sub(r.Arrived),
-			WaitingAhead: s.waitingAtOrAbove(r.Tier),
+			Ahead:        s.waitingAtOrAbove(r.Tier),
 			WaitingBelow: s.waiting - s.waitingAtOrAbove(r.Tier),
 		},
 	})
--- a/internal/daemon/schedule/schedule_test.go
+++ b/internal/daemon/schedule/schedule_test.go
@@ -9,6 +9,8 @@
 
 	qt "github.com/frankban/quicktest"
 	"pgregory.net/rapid"
+
+	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -25,7 +27,7 @@
 func grants(s *Scheduler) []string {
 	var ids []string
 	for _, d := range s.Take() {
-		if d.Kind == Grant {
+		if d.Kind == admission.Grant {
 			ids = append(ids, d.ID)
 		}
 	}
@@ -36,19 +38,19 @@
 // one by one.
 func TestOrder(t *testing.T) {
 	tests := map[string]struct {
-		waiting []Request
+		waiting []admission.Request
 		want    []string
 	}{
 		"higher tiers first": {
-			waiting: []Request{{ID: "low", Class: "x", Tier: 2}, {ID: "high", Class: "y", Tier: 0}, {ID: "middle", Class: "z", Tier: 1}},
+			waiting: []admission.Request{{ID: "low", Class: "x", Tier: 2}, {ID: "high", Class: "y", Tier: 0}, {ID: "middle", Class: "z", Tier: 1}},
 			want:    []string{"high", "middle", "low"},
 		},
 		"first come first within a flow": {
-			waiting: []Request{{ID: "1", Class: "x"}, {ID: "2", Class: "x"}, {ID: "3", Class: "x"}},
+			waiting: []admission.Request{{ID: "1", Class: "x"}, {ID: "2", Class: "x"}, {ID: "3", Class: "x"}},
 			want:    []string{"1", "2", "3"},
 		},
 		"workspaces take turns": {
-			waiting: []Request{
+			waiting: []admission.Request{
 				{ID: "a1", Workspace: "a", Class: "x"},
 				{ID: "a2", Workspace: "a", Class: "x"},
 				{ID: "a3", Workspace: "a", Class: "x"},
@@ -57,7 +59,7 @@
 			want: []string{"a1", "b1", "a2", "a3"},
 		},
 		"the weight divides": {
-			waiting: []Request{
+			waiting: []admission.Request{
 				{ID: "a1", Workspace: "a", Class: "x"},
 				{ID: "a2", Workspace: "a", Class: "x"},
 				{ID: "b1", Workspace: "b", Class: "x", Weight: 3},
@@ -67,7 +69,7 @@
 			want: []string{"a1", "b1", "b2", "b3", "a2"},
 		},
 		"a share goes before a higher tier in its turn": {
-			waiting: []Request{
+			waiting: []admission.Request{
 				{ID: "h1", Class: "x", Tier: 0},
 				{ID: "h2", Class: "x", Tier: 0},
 				{ID: "h3", Class: "x", Tier: 0},
@@ -77,7 +79,7 @@
 			want: []string{"h1", "h2", "h3", "low", "h4"},
 		},
 		"the sooner target first within a workspace": {
-			waiting: []Request{{ID: "slow", Class: "x", FirstToken: time.Minute}, {ID: "soon", Class: "y", FirstToken: time.Second}},
+			waiting: []admission.Request{{ID: "slow", Class: "x", FirstToken: time.Minute}, {ID: "soon", Class: "y", FirstToken: time.Second}},
 			want:    []string{"soon", "slow"},
 		},
 	}
@@ -86,7 +88,7 @@
 			c := qt.New(t)
 			s := New(Options{})
 			s.SetEndpoints(start, endpoints(1, 1))
-			s.Submit(start, Request{ID: "first", Class: "first", Arrived: start})
+			s.Submit(start, admission.Request{ID: "first", Class: "first", Arrived: start})
 			c.Assert(grants(s), qt.DeepEquals, []string{"first"})
 			for _, r := range test.waiting {
 				r.Arrived = start
@@ -96,7 +98,7 @@
 			for _, want := range test.want {
 				now = now.Add(time.Millisecond)
 				s.Started(now, running)
-				s.Finished(now, running, Answered, 0)
+				s.Finished(now, running, admission.Answered, 0)
 				c.Assert(grants(s), qt.DeepEquals, []string{want})
 				running = want
 			}
@@ -109,38 +111,38 @@
 		options Options
 		// none leaves the shard without endpoints.
 		none     bool
-		requests []Request
+		requests []admission.Request
 		after    time.Duration
 		want     []string
 	}{
 		"no endpoint": {
-			none: true, requests: []Request{{ID: "1"}}, want: []string{"1 " + string(ReasonNoEndpoint)},
+			none: true, requests: []admission.Request{{ID: "1"}}, want: []string{"1 " + string(admission.ReasonNoEndpoint)},
 		},
 		"full: the new one of the same workspace goes": {
-			options: Options{MaxWaiting: 1}, requests: []Request{{ID: "1"}, {ID: "2"}}, want: []string{"2 " + string(ReasonNoRoom)},
+			options: Options{MaxWaiting: 1}, requests: []admission.Request{{ID: "1"}, {ID: "2"}}, want: []string{"2 " + string(admission.ReasonNoRoom)},
 		},
 		"full: a lower tier goes": {
-			options: Options{MaxWaiting: 1}, requests: []Request{{ID: "1", Tier: 2}, {ID: "2", Tier: 1}}, want: []string{"1 " + string(ReasonNoRoom)},
+			options: Options{MaxWaiting: 1}, requests: []admission.Request{{ID: "1", Tier: 2}, {ID: "2", Tier: 1}}, want: []string{"1 " + string(admission.ReasonNoRoom)},
 		},
 		"full: a higher tier stays": {
-			options: Options{MaxWaiting: 1}, requests: []Request{{ID: "1", Tier: 1}, {ID: "2", Tier: 2}}, want: []string{"2 " + string(ReasonNoRoom)},
+			options: Options{MaxWaiting: 1}, requests: []admission.Request{{ID: "1", Tier: 1}, {ID: "2", Tier: 2}}, want: []string{"2 " + string(admission.ReasonNoRoom)},
 		},
 		"full: the largest workspace's newest goes": {
 			options:  Options{MaxWaiting: 2},
-			requests: []Request{{ID: "a1", Workspace: "a"}, {ID: "a2", Workspace: "a"}, {ID: "b1", Workspace: "b"}},
-			want:     []string{"a2 " + string(ReasonNoRoom)},
+			requests: []admission.Request{{ID: "a1", Workspace: "a"}, {ID: "a2", Workspace: "a"}, {ID: "b1", Workspace: "b"}},
+			want:     []string{"a2 " + string(admission.ReasonNoRoom)},
 		},
 		"the workspace's own room": {
-			requests: []Request{{ID: "1", MaxWaiting: 1}, {ID: "2", MaxWaiting: 1}}, want: []string{"2 " + string(ReasonWorkspaceRoom)},
+			requests: []admission.Request{{ID: "1", MaxWaiting: 1}, {ID: "2", MaxWaiting: 1}}, want: []string{"2 " + string(admission.ReasonWorkspaceRoom)},
 		},
 		"late and not wanted late": {
-			requests: []Request{{ID: "1", FirstToken: time.Second, RefuseLate: true}}, after: 2 * time.Second, want: []string{"1 " + string(ReasonTooLate)},
+			requests: []admission.Request{{ID: "1", FirstToken: time.Second, RefuseLate: true}}, after: 2 * time.Second, want: []string{"1 " + string(admission.ReasonTooLate)},
 		},
 		"late and wanted all the same": {
-			requests: []Request{{ID: "1", FirstToken: time.Second}}, after: 2 * time.Second,
+			requests: []admission.Request{{ID: "1", FirstToken: time.Second}}, after: 2 * time.Second,
 		},
 		"the longest wait": {
-			requests: []Request{{ID: "1", MaxWait: time.Second}}, after: 2 * time.Second, want: []string{"1 " + string(ReasonMaxWait)},
+			requests: []admission.Request{{ID: "1", MaxWait: time.Second}}, after: 2 * time.Second, want: []string{"1 " + string(admission.ReasonMaxWait)},
 		},
 	}
 	for name, test := range tests {
@@ -149,7 +151,7 @@
 			s := New(test.options)
 			if !test.none {
 				s.SetEndpoints(start, endpoints(1, 1))
-				s.Submit(start, Request{ID: "first", Workspace: "z", Arrived: start})
+				s.Submit(start, admission.Request{ID: "first", Workspace: "z", Arrived: start})
 				s.Started(start, "first")
 				c.Assert(grants(s), qt.DeepEquals, []string{"first"})
 			} else {
@@ -162,7 +164,7 @@
 			}
 			s.Tick(start.Add(test.after))
 			for _, d := range s.Take() {
-				c.Assert(d.Kind, qt.Equals, Refuse)
+				c.Assert(d.Kind, qt.Equals, admission.Refuse)
 				c.Assert(d.RetryAfter >= minRetryAfter, qt.IsTrue)
 				got = append(got, d.ID+" "+string(d.Reason))
 			}
@@ -176,8 +178,8 @@
 	c := qt.New(t)
 	s := New(Options{GrantTime: time.Second})
 	s.SetEndpoints(start, endpoints(1, 1))
-	s.Submit(start, Request{ID: "1", Arrived: start})
-	s.Submit(start, Request{ID: "2", Arrived: start})
+	s.Submit(start, admission.Request{ID: "1", Arrived: start})
+	s.Submit(start, admission.Request{ID: "2", Arrived: start})
 	c.Assert(grants(s), qt.DeepEquals, []string{"1"})
 	s.Tick(start.Add(999 * time.Millisecond))
 	c.Assert(grants(s), qt.HasLen, 0)
@@ -189,7 +191,7 @@
 func TestUnconfigured(t *testing.T) {
 	c := qt.New(t)
 	s := New(Options{})
-	s.Submit(start, Request{ID: "1", Arrived: start})
+	s.Submit(start, admission.Request{ID: "1", Arrived: start})
 	c.Assert(s.Take(), qt.HasLen, 0)
 	s.SetEndpoints(start, endpoints(1, 1))
 	c.Assert(grants(s), qt.DeepEquals, []string{"1"})
@@ -201,9 +203,9 @@
 	c := qt.New(t)
 	s := New(Options{})
 	s.SetEndpoints(start, endpoints(1, 1))
-	s.Submit(start, Request{ID: "1", Arrived: start})
+	s.Submit(start, admission.Request{ID: "1", Arrived: start})
 	now := start.Add(time.Hour)
-	s.Submit(now, Request{ID: "2", Arrived: start, MaxWait: time.Second, Retry: true})
+	s.Submit(now, admission.Request{ID: "2", Arrived: start, MaxWait: time.Second, Retry: true})
 	c.Assert(s.Next(now), qt.Equals, now)
 }
 
@@ -213,12 +215,12 @@
 	s := New(Options{})
 	s.SetEndpoints(start, endpoints(1, 100))
 	for i := range 4 {
-		s.Submit(start, Request{ID: fmt.Sprintf("a%d", i), Workspace: "a", Class: "x", MaxInFlight: 2, Arrived: start})
+		s.Submit(start, admission.Request{ID: fmt.Sprintf("a%d", i), Workspace: "a", Class: "x", MaxInFlight: 2, Arrived: start})
 	}
-	s.Submit(start, Request{ID: "b", Workspace: "b", Class: "x", Arrived: start})
+	s.Submit(start, admission.Request{ID: "b", Workspace: "b", Class: "x", Arrived: start})
 	c.Assert(grants(s), qt.DeepEquals, []string{"a0", "a1", "b"})
 	s.Started(start, "a0")
-	s.Finished(start, "a0", Answered, 10)
+	s.Finished(start, "a0", admission.Answered, 10)
 	c.Assert(grants(s), qt.DeepEquals, []string{"a2"})
 }
 
@@ -227,7 +229,7 @@
 	s := New(Options{})
 	s.SetEndpoints(start, endpoints(1, 100))
 	for i := range 3 {
-		s.Submit(start, Request{ID: fmt.Sprint(i), Workspace: "a", Class: "x", TokensPerMinute: 300, MaxTokens: 200, Arrived: start})
+		s.Submit(start, admission.Request{ID: fmt.Sprint(i), Workspace: "a", Class: "x", TokensPerMinute: 300, MaxTokens: 200, Arrived: start})
 	}
 	c.Assert(grants(s), qt.DeepEquals, []string{"0", "1"})
 	s.Started(start, "0")
@@ -247,12 +249,12 @@
 		now := start
 		var running []string
 		shareAt := map[int]time.Time{}
-		arrived := map[string]Request{}
+		arrived := map[string]admission.Request{}
 		for i := range 120 {
 			now = now.Add(time.Duration(rapid.IntRange(1, 80).Draw(t, "gap")) * time.Millisecond)
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0, 1:
-				r := Request{
+				r := admission.Request{
 					ID: fmt.Sprint(i), Tier: rapid.IntRange(0, 3).Draw(t, "tier"), Arrived: now, Share: 0.2,
 					FirstToken: 200 * time.Millisecond, RefuseLate: rapid.Bool().Draw(t, "refuse"), MaxWait: time.Second,
 				}
@@ -261,7 +263,7 @@
 				s.Submit(now, r)
 			case 2:
 				if len(running) > 0 {
-					s.Finished(now, running[0], Answered, 10)
+					s.Finished(now, running[0], admission.Answered, 10)
 					running = running[1:]
 				}
 			}
@@ -269,13 +271,13 @@
 			for _, d := range s.Take() {
 				r := arrived[d.ID]
 				switch {
-				case d.Kind == Grant:
+				case d.Kind == admission.Grant:
 					s.Started(now, d.ID)
 					running = append(running, d.ID)
-					if d.Reason == ReasonShare {
+					if d.Reason == admission.ReasonShare {
 						shareAt[r.Tier] = now
 					}
-				case d.Kind == Refuse:
+				case d.Kind == admission.Refuse:
 					checkOwed(t, s, &r, d.Reason, shareAt)
 				}
 			}
@@ -285,8 +287,8 @@
 
 // checkOwed fails if a request is refused for want of capacity although a lower
 // tier's share took a place while it waited that was not given back.
-func checkOwed(t *rapid.T, s *Scheduler, r *Request, reason Reason, shareAt map[int]time.Time) {
-	if reason != ReasonTooLate && reason != ReasonMaxWait {
+func checkOwed(t *rapid.T, s *Scheduler, r *admission.Request, reason admission.Reason, shareAt map[int]time.Time) {
+	if reason != admission.ReasonTooLate && reason != admission.ReasonMaxWait {
 		return
 	}
 	for tier := r.Tier + 1; tier < Tiers; tier++ {
@@ -326,8 +328,8 @@
 	return s, running
 }
 
-func benchRequest(random *rand.Rand, i int) Request {
-	return Request{
+func benchRequest(random *rand.Rand, i int) admission.Request {
+	return admission.Request{
 		ID: fmt.Sprint(i), Workspace: fmt.Sprint("w", random.IntN(320)), Class: fmt.Sprint("c", i%8), Tier: i % 4,
 		Arrived: start, PromptTokens: 100, FirstToken: time.Hour, Share: 0.02,
 	}
@@ -346,10 +348,10 @@
 // cycle ends the oldest running request and starts what is granted for it.
 func cycle(s *Scheduler, running []string, i int) []string {
 	now := start.Add(time.Duration(i) * time.Millisecond)
-	s.Finished(now, running[0], Answered, 20)
+	s.Finished(now, running[0], admission.Answered, 20)
 	running = running[1:]
 	for _, d := range s.Take() {
-		if d.Kind == Grant {
+		if d.Kind == admission.Grant {
 			s.Started(now, d.ID)
 			running = append(running, d.ID)
 		}
--- a/internal/daemon/schedule/shares.go
+++ b/internal/daemon/schedule/shares.go
@@ -1,5 +1,9 @@
 package schedule
 
+import (
+	"oxbowslip.dev/oxbowslip/internal/admission"
+)
+
 import "time"
 
 // shareBook keeps the guaranteed shares of the classes: deficit round robin
@@ -110,7 +114,7 @@
 const promptTokensPerAnswerToken = 16
 
 // accountShare books the work of a grant to its class and saves up for the others.
-func (s *Scheduler) accountShare(now time.Time, it *item, reason Reason) {
+func (s *Scheduler) accountShare(now time.Time, it *item, reason admission.Reason) {
 	work := s.work(it)
 	for _, a := range s.shares.order {
 		s.Steps++
@@ -124,7 +128,7 @@
 	}
 	own := s.shares.account(it.request.Class)
 	own.credit = max(own.credit-work, -maxCredit*work)
-	if reason != ReasonShare {
+	if reason != admission.ReasonShare {
 		return
 	}
 	if tier := it.request.Tier; s.waitingAtOrAbove(tier)-s.tiers[tier].count > 0 {
@@ -147,7 +151,7 @@
 		}
 		it.predicted = s.predictLength(&it.request)
 		s.shares.owed[tier]--
-		s.grant(now, it, e, ReasonGiveBack)
+		s.grant(now, it, e, admission.ReasonGiveBack)
 		return true
 	}
 	return false
--- a/internal/daemon/schedule/takeover_test.go
+++ b/internal/daemon/schedule/takeover_test.go
@@ -7,6 +7,8 @@
 
 	qt "github.com/frankban/quicktest"
 	"pgregory.net/rapid"
+
+	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
 // TestTakeover hands a shard from one scheduler to another: what ran is adopted,
@@ -17,16 +19,16 @@
 	s.SetEndpoints(start, endpoints(1, 2))
 	hold := start.Add(time.Second)
 	s.Hold(hold)
-	s.Submit(start, Request{ID: "waiting", Owner: "a", Arrived: start})
-	s.Adopt(start, Request{ID: "running", Owner: "b", Arrived: start}, "e0", 7)
-	s.Adopt(start, Request{ID: "running", Owner: "b", Arrived: start}, "e0", 7)
+	s.Submit(start, admission.Request{ID: "waiting", Owner: "a", Arrived: start})
+	s.Adopt(start, admission.Request{ID: "running", Owner: "b", Arrived: start}, "e0", 7)
+	s.Adopt(start, admission.Request{ID: "running", Owner: "b", Arrived: start}, "e0", 7)
 	c.Assert(grants(s), qt.HasLen, 0)
 	c.Assert(s.Next(start), qt.Equals, start.Add(tickInterval))
 	s.Tick(hold)
 	c.Assert(grants(s), qt.DeepEquals, []string{"waiting"})
-	s.Submit(hold, Request{ID: "next", Owner: "a", Arrived: hold})
+	s.Submit(hold, admission.Request{ID: "next", Owner: "a", Arrived: hold})
 	c.Assert(grants(s), qt.HasLen, 0)
-	s.Finished(hold, "running", Answered, 9)
+	s.Finished(hold, "running", admission.Answered, 9)
 	c.Assert(grants(s), qt.DeepEquals, []string{"next"})
 }
 
@@ -38,11 +40,11 @@
 	s.SetEndpoints(start, endpoints(1, 1))
 	s.Hold(start.Add(time.Second))
 	for i, tier := range []int{2, 2, 3, 0} {
-		s.Submit(start, Request{ID: fmt.Sprint(i), Tier: tier, Arrived: start})
+		s.Submit(start, admission.Request{ID: fmt.Sprint(i), Tier: tier, Arrived: start})
 	}
 	var refused []string
 	for _, d := range s.Take() {
-		c.Assert(d.Kind, qt.Equals, Refuse)
+		c.Assert(d.Kind, qt.Equals, admission.Refuse)
 		refused = append(refused, d.ID)
 	}
 	c.Assert(refused, qt.DeepEquals, []string{"2"})
@@ -53,7 +55,7 @@
 	s := New(Options{})
 	s.SetEndpoints(start, endpoints(1, 1))
 	for _, id := range []string{"a1", "b1", "a2"} {
-		s.Submit(start, Request{ID: id, Owner: id[:1], Arrived: start})
+		s.Submit(start, admission.Request{ID: id, Owner: id[:1], Arrived: start})
 	}
 	c.Assert(grants(s), qt.DeepEquals, []string{"a1"})
 	s.DropOwner(start, "a")
@@ -64,8 +66,8 @@
 
 // book is an owner's books in TestHandover.
 type book struct {
-	waiting map[string]Request
-	running map[string]Request
+	waiting map[string]admission.Request
+	running map[string]admission.Request
 	at      map[string]string
 }
 
@@ -78,13 +80,13 @@
 		for _, s := range schedulers {
 			s.SetEndpoints(start, endpoints(2, 2))
 		}
-		b := book{map[string]Request{}, map[string]Request{}, map[string]string{}}
+		b := book{map[string]admission.Request{}, map[string]admission.Request{}, map[string]string{}}
 		now, in, next := start, 0, 0
 		for range 80 {
 			now = now.Add(time.Duration(rapid.IntRange(1, 50).Draw(t, "gap")) * time.Millisecond)
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				r := Request{ID: fmt.Sprint(next), Owner: "o", Tier: next % 4, Arrived: now}
+				r := admission.Request{ID: fmt.Sprint(next), Owner: "o", Tier: next % 4, Arrived: now}
 				next++
 				b.waiting[r.ID] = r
 				schedulers[in].Submit(now, r)
@@ -115,7 +117,7 @@
 func (b *book) take(now time.Time, s *Scheduler) {
 	for _, d := range s.Take() {
 		r, ok := b.waiting[d.ID]
-		if !ok || d.Kind != Grant {
+		if !ok || d.Kind != admission.Grant {
 			continue
 		}
 		delete(b.waiting, d.ID)
@@ -134,7 +136,7 @@
 	}
 	if least != "" {
 		delete(b.running, least)
-		s.Finished(now, least, Answered, 5)
+		s.Finished(now, least, admission.Answered, 5)
 	}
 }
 
--- a/internal/daemon/shard/shard.go
+++ b/internal/daemon/shard/shard.go
@@ -8,6 +8,7 @@
 	"sync"
 	"time"
 
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
 )
 
@@ -37,17 +38,17 @@
 	Kind Kind
 	// ID is the request's. Request is set for Submit and Adopt only.
 	ID      string
-	Request schedule.Request
+	Request admission.Request
 	// Endpoint is set for Adopt only.
 	Endpoint string
 	// Tokens is the length of the answer so far, Result the end of the attempt.
 	Tokens int
-	Result schedule.Result
+	Result admission.Result
 }
 
 // Deliver hands a decision to the host that owns the request. It must not
 // block.
-type Deliver func(shard string, decision schedule.Decision)
+type Deliver func(shard string, decision admission.Decision)
 
 // Clock tells the time.
 type Clock func() time.Time
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
 // Bounds of what is kept.
@@ -24,8 +24,8 @@
 	Endpoint string `json:"endpoint,omitzero"`
 	Reason   string `json:"reason,omitzero"`
 	// Scheduler is the host that decided.
-	Scheduler string            `json:"scheduler,omitzero"`
-	Figures   *schedule.Figures `json:"figures,omitzero"`
+	Scheduler string             `json:"scheduler,omitzero"`
+	Figures   *admission.Figures `json:"figures,omitzero"`
 }
 
 // Record is all that is known of one request.
--- a/internal/front/router.go
+++ b/internal/front/front.go
@@ -130,7 +130,10 @@
 	}
 	r.readiness = &http.Server{Handler: r.readinessHandler(), ReadHeaderTimeout: headerTimeout}
 	r.metrics = &http.Server{Handler: r.metricsHandler(), ReadHeaderTimeout: headerTimeout}
-	r.operators = operator.New(p.Config.OperatorKeys, p.Counters, p.Explained, r.operatorSettings(), p.Recorded, r.Status).HTTP()
+	r.operators = operator.New(operator.Parts{
+		Keys: p.Config.OperatorKeys, Counters: p.Counters, Explained: p.Explained, Recorded: p.Recorded, Settings: p.Settings,
+		Changes: storeChanges{}, Tree: r.tree, Status: r.Status,
+	}).HTTP()
 	r.gauges()
 	return r
 }
--- a/internal/front/placement/choose.go
+++ b/internal/front/placement/choose.go
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/front/directory"
 	"oxbowslip.dev/oxbowslip/internal/front/gossip"
 )
@@ -46,7 +46,7 @@
 
 // question is a request as the choice sees it.
 type question struct {
-	request *schedule.Request
+	request *admission.Request
 	// prefix names the part of the prompt that others share, shared is its length.
 	prefix uint64
 	shared int
@@ -64,7 +64,7 @@
 // least work for a request: what waits there, and what of the prompt it must still
 // read. Leaving are endpoints of the service that take no new work but can still be
 // copied from. It reports false if there is no candidate.
-func (b *Board) Choose(now time.Time, service string, request *schedule.Request, endpoints, candidates, leaving []*directory.Entry) (Choice, bool) {
+func (b *Board) Choose(now time.Time, service string, request *admission.Request, endpoints, candidates, leaving []*directory.Entry) (Choice, bool) {
 	if len(candidates) == 0 {
 		return Choice{}, false
 	}
@@ -159,7 +159,7 @@
 
 // candidates leaves out the endpoints that a request should avoid, then those that
 // failed lately, each as long as others are left.
-func (b *Board) candidates(now time.Time, request *schedule.Request, endpoints []*directory.Entry) []*directory.Entry {
+func (b *Board) candidates(now time.Time, request *admission.Request, endpoints []*directory.Entry) []*directory.Entry {
 	fresh := keep(endpoints, func(e *directory.Entry) bool { return !slices.Contains(request.Avoid, e.ID) })
 	if len(fresh) == 0 {
 		fresh = endpoints
@@ -183,7 +183,7 @@
 
 // sharedPrefix gives the longest leading part of a prompt that other requests
 // share, and its length in tokens. The last part is the request's own.
-func sharedPrefix(request *schedule.Request) (key uint64, tokens int) {
+func sharedPrefix(request *admission.Request) (key uint64, tokens int) {
 	last := len(request.PrefixTokens) - 1
 	if last < 1 || len(request.Prefix) <= last {
 		return 0, 0
--- a/internal/front/placement/placement_test.go
+++ b/internal/front/placement/placement_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/sirupsen/logrus"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/front/directory"
 	"oxbowslip.dev/oxbowslip/internal/front/gossip"
 	"oxbowslip.dev/oxbowslip/internal/settings"
@@ -30,17 +30,17 @@
 
 // short is a request without a shared prefix worth keeping, long one with 10,000
 // shared tokens of 12,000.
-func short() *schedule.Request {
-	return &schedule.Request{ID: "short", Zone: "a", PromptTokens: 500}
+func short() *admission.Request {
+	return &admission.Request{ID: "short", Zone: "a", PromptTokens: 500}
 }
 
-func long(prefix uint64) *schedule.Request {
-	return &schedule.Request{
+func long(prefix uint64) *admission.Request {
+	return &admission.Request{
 		ID: "long", Zone: "a", PromptTokens: 12_000, Prefix: []uint64{prefix, prefix + 1}, PrefixTokens: []int{10_000, 12_000},
 	}
 }
 
-func (b *Board) choose(request *schedule.Request, endpoints []*directory.Entry) Choice {
+func (b *Board) choose(request *admission.Request, endpoints []*directory.Entry) Choice {
 	choice, _ := b.Choose(start, "llm", request, endpoints, b.candidates(start, request, endpoints), nil)
 	return choice
 }
@@ -54,7 +54,7 @@
 	}
 	tests := map[string]struct {
 		prepare func(b *Board)
-		request *schedule.Request
+		request *admission.Request
 		want    string
 	}{
 		"a short prompt goes to the least work": {
@@ -304,13 +304,13 @@
 	least.FirstToken, more.FirstToken, most.FirstToken = time.Second, time.Second, time.Second
 	_, decision, err := s.Ask(context.Background(), "llm", *least)
 	c.Assert(err, qt.IsNil)
-	c.Check(decision.Kind, qt.Equals, schedule.Refuse)
-	c.Check(decision.Reason, qt.Equals, schedule.ReasonNoRoom)
+	c.Check(decision.Kind, qt.Equals, admission.Refuse)
+	c.Check(decision.Reason, qt.Equals, admission.ReasonNoRoom)
 	c.Check(decision.RetryAfter > 0, qt.IsTrue)
-	for _, request := range []*schedule.Request{more, most} {
+	for _, request := range []*admission.Request{more, most} {
 		_, decision, err = s.Ask(context.Background(), "llm", *request)
 		c.Assert(err, qt.IsNil)
-		c.Check(decision.Kind, qt.Equals, schedule.Grant)
+		c.Check(decision.Kind, qt.Equals, admission.Grant)
 	}
 }
 
@@ -319,8 +319,8 @@
 	s := newScheduler(func() time.Time { return start })
 	_, decision, err := s.Ask(context.Background(), "nothing", *short())
 	c.Assert(err, qt.IsNil)
-	c.Check(decision.Kind, qt.Equals, schedule.Refuse)
-	c.Check(decision.Reason, qt.Equals, schedule.ReasonNoEndpoint)
+	c.Check(decision.Kind, qt.Equals, admission.Refuse)
+	c.Check(decision.Reason, qt.Equals, admission.ReasonNoEndpoint)
 }
 
 func TestATicketGivesItsWorkBack(t *testing.T) {
@@ -338,7 +338,7 @@
 	for _, load := range loads {
 		c.Check(load, qt.Equals, Load{Requests: 1})
 	}
-	ticket.Finished(schedule.Answered, 0)
+	ticket.Finished(admission.Answered, 0)
 	loads, _ = s.Own()
 	c.Check(loads, qt.HasLen, 0)
 }
@@ -358,7 +358,7 @@
 	peer.HearReads([]gossip.PrefixRead{{Prefix: 7, Endpoint: gossip.KeyOf("e2")}})
 	ticket, decision, err := peer.Ask(context.Background(), "llm", *long(7))
 	c.Assert(err, qt.IsNil)
-	ticket.Finished(schedule.Answered, 0)
+	ticket.Finished(admission.Answered, 0)
 	c.Check(decision.Endpoint, qt.Equals, "e2")
 }
 
--- a/internal/front/placement/room.go
+++ b/internal/front/placement/room.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/front/directory"
 )
 
@@ -24,13 +24,13 @@
 // isLeast reports whether a request is among the first to wait. Such a request waits
 // for the endpoint that holds its prefix: to read the prefix elsewhere would take
 // from the others what is scarce.
-func (r *Ranks) isLeast(request *schedule.Request) bool {
+func (r *Ranks) isLeast(request *admission.Request) bool {
 	return request.Tier >= r.LowestTier && request.Urgency >= r.LeastUrgent
 }
 
 // hasRoom reports whether an endpoint with a number of places and of open requests
 // has room for a request. Zero places means that the number is not known.
-func (r *Ranks) hasRoom(request *schedule.Request, places, open int) bool {
+func (r *Ranks) hasRoom(request *admission.Request, places, open int) bool {
 	unbounded := request.PromptTokens == 0 || places == 0 || request.Tier < r.LowestTier
 	if unbounded || r.LeastUrgent == 0 || request.Urgency == 0 {
 		return true
@@ -41,7 +41,7 @@
 }
 
 // withRoom leaves out the endpoints that have no room for a request.
-func (b *Board) withRoom(ranks *Ranks, request *schedule.Request, endpoints []*directory.Entry) []*directory.Entry {
+func (b *Board) withRoom(ranks *Ranks, request *admission.Request, endpoints []*directory.Entry) []*directory.Entry {
 	return keep(endpoints, func(e *directory.Entry) bool {
 		return ranks.hasRoom(request, e.Endpoint.MaxInFlight, b.Total(e.ID).Requests)
 	})
@@ -56,6 +56,6 @@
 	roomCheck = 20 * time.Millisecond
 )
 
-func waitFor(request *schedule.Request) time.Duration {
+func waitFor(request *admission.Request) time.Duration {
 	return min(max(request.FirstToken, request.WholeAnswer)/waitPart, longestWait)
 }
--- a/internal/front/placement/scheduler.go
+++ b/internal/front/placement/scheduler.go
@@ -8,7 +8,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/front/directory"
 	"oxbowslip.dev/oxbowslip/internal/front/gossip"
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
@@ -54,7 +54,7 @@
 
 // Ask grants an endpoint as soon as one has room, or refuses: at once if the service
 // has no endpoint, and after a short wait if none has room.
-func (s *Scheduler) Ask(ctx context.Context, service string, request schedule.Request) (owner.Ticket, schedule.Decision, error) {
+func (s *Scheduler) Ask(ctx context.Context, service string, request admission.Request) (owner.Ticket, admission.Decision, error) {
 	asked := s.clock()
 	until := asked.Add(waitFor(&request))
 	for {
@@ -64,24 +64,24 @@
 			s.changed()
 			return s.grant(&request, &choice, now.Sub(asked), now)
 		}
-		if reason == schedule.ReasonNoEndpoint || !now.Before(until) {
+		if reason == admission.ReasonNoEndpoint || !now.Before(until) {
 			return nil, refusal(&request, reason, now.Sub(asked)), nil
 		}
 		if !lifetime.Sleep(ctx, roomCheck) {
-			return nil, schedule.Decision{}, ctx.Err()
+			return nil, admission.Decision{}, ctx.Err()
 		}
 	}
 }
 
 // choose picks an endpoint and books the request there, or gives the reason why
 // there is none.
-func (s *Scheduler) choose(service string, request *schedule.Request) (Choice, schedule.Reason) {
+func (s *Scheduler) choose(service string, request *admission.Request) (Choice, admission.Reason) {
 	now := s.clock()
 	endpoints := s.directory.Serving(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(endpoints) == 0 {
-		return Choice{}, schedule.ReasonNoEndpoint
+		return Choice{}, admission.ReasonNoEndpoint
 	}
 	candidates := s.board.candidates(now, request, endpoints)
 	if !s.ranks.isLeast(request) {
@@ -89,7 +89,7 @@
 	}
 	choice, ok := s.board.Choose(now, service, request, endpoints, candidates, s.directory.Leaving(service))
 	if !ok || !s.ranks.hasRoom(request, choice.Places, choice.Load.Requests) {
-		return Choice{}, schedule.ReasonNoRoom
+		return Choice{}, admission.ReasonNoRoom
 	}
 	s.board.Begin(choice.Endpoint, choice.Tokens)
 	if choice.Prefix != 0 {
@@ -148,28 +148,28 @@
 	s.board.Expire(s.clock())
 }
 
-func (s *Scheduler) grant(request *schedule.Request, choice *Choice, waited time.Duration, now time.Time) (owner.Ticket, schedule.Decision, error) {
+func (s *Scheduler) grant(request *admission.Request, choice *Choice, waited time.Duration, now time.Time) (owner.Ticket, admission.Decision, error) {
 	var fetchFrom string
 	if source, known := s.directory.Lookup(choice.FetchFrom); known {
 		fetchFrom = source.Address
 	}
-	decision := schedule.Decision{
-		Kind: schedule.Grant, ID: request.ID, Owner: request.Owner, Endpoint: choice.Endpoint, FetchFrom: fetchFrom,
-		Reason: schedule.ReasonTier, Until: now.Add(grantTime),
-		Figures: schedule.Figures{
-			Waited: waited, InFlight: choice.Load.Requests, WaitingAhead: choice.Load.Tokens, CachedTokens: choice.Cached,
+	decision := admission.Decision{
+		Kind: admission.Grant, ID: request.ID, Owner: request.Owner, Endpoint: choice.Endpoint, FetchFrom: fetchFrom,
+		Reason: admission.ReasonPlaced, Until: now.Add(grantTime), UnprocessedTokens: choice.Load.Tokens + choice.Tokens,
+		Figures: admission.Figures{
+			Waited: waited, InFlight: choice.Load.Requests, Ahead: choice.Load.Tokens, CachedTokens: choice.Cached,
 		},
 	}
 	return &ticket{scheduler: s, endpoint: choice.Endpoint, tokens: choice.Tokens}, decision, nil
 }
 
-func refusal(request *schedule.Request, reason schedule.Reason, waited time.Duration) schedule.Decision {
+func refusal(request *admission.Request, reason admission.Reason, waited time.Duration) admission.Decision {
 	retryAfter := noEndpointRetry
-	if reason == schedule.ReasonNoRoom {
+	if reason == admission.ReasonNoRoom {
 		retryAfter = noRoomRetry
 	}
-	return schedule.Decision{
-		Kind: schedule.Refuse, ID: request.ID, Reason: reason, RetryAfter: retryAfter, Figures: schedule.Figures{Waited: waited},
+	return admission.Decision{
+		Kind: admission.Refuse, ID: request.ID, Reason: reason, RetryAfter: retryAfter, Figures: admission.Figures{Waited: waited},
 	}
 }
 
@@ -238,7 +238,7 @@
 }
 
 // Streamed books how long a stream paused, against its target.
-func (s *Scheduler) Streamed(service string, request *schedule.Request, longest, target time.Duration) {
+func (s *Scheduler) Streamed(service string, request *admission.Request, longest, target time.Duration) {
 	if _, shared := sharedPrefix(request); shared >= longPrefix || target == 0 {
 		return
 	}
@@ -290,7 +290,7 @@
 func (t *ticket) Progress(int) {}
 
 // Finished gives the place back.
-func (t *ticket) Finished(schedule.Result, int) {
+func (t *ticket) Finished(admission.Result, int) {
 	s := t.scheduler
 	s.mu.Lock()
 	s.board.End(t.endpoint, t.tokens)
--- a/internal/front/relay/job.go
+++ b/internal/front/relay/job.go
@@ -10,7 +10,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/front/upstream"
 	"oxbowslip.dev/oxbowslip/internal/hopheader"
 	"oxbowslip.dev/oxbowslip/internal/owner"
@@ -40,8 +40,8 @@
 	}
 }
 
-func (x *exchange) scheduleRequest() schedule.Request {
-	r := schedule.Request{
+func (x *exchange) scheduleRequest() admission.Request {
+	r := admission.Request{
 		ID: x.call.ID, Owner: x.server.Host, Workspace: x.workspace, Class: x.route.Class, Tier: x.policy.Tier, Urgency: x.policy.Urgency,
 		Arrived: x.arrived, FirstToken: x.policy.FirstToken, WholeAnswer: x.policy.WholeAnswer,
 		Repeatable: x.policy.Repeatable, PromptTokens: x.call.PromptTokens, MaxTokens: x.call.MaxTokens, Zone: x.server.Zone,
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -10,8 +10,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/counters"
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
 	"oxbowslip.dev/oxbowslip/internal/front/upstream"
 	"oxbowslip.dev/oxbowslip/internal/logging"
 	"oxbowslip.dev/oxbowslip/internal/owner"
@@ -26,7 +26,7 @@
 	// Answered says that an endpoint gave a whole answer.
 	Answered(endpoint string)
 	// Streamed says how long a stream paused, against its target.
-	Streamed(service string, request *schedule.Request, longest, target time.Duration)
+	Streamed(service string, request *admission.Request, longest, target time.Duration)
 }
 
 // Parts are what a server works with.
--- a/internal/front/relay/stall.go
+++ b/internal/front/relay/stall.go
@@ -69,7 +69,7 @@
 		return 0
 	}
 	if x.policy.Stream {
-		return streamBegin*x.policy.FirstToken + time.Duration(a.TokensAhead/slowestReading)*time.Millisecond
+		return streamBegin*x.policy.FirstToken + time.Duration(a.UnprocessedTokens/slowestReading)*time.Millisecond
 	}
 	return plainSilence * x.policy.WholeAnswer
 }
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -6,7 +6,6 @@
 
 	"github.com/ansel1/merry/v2"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon/change"
 	"oxbowslip.dev/oxbowslip/internal/operator"
 	"oxbowslip.dev/oxbowslip/internal/request"
 	"oxbowslip.dev/oxbowslip/internal/settings"
@@ -15,26 +14,32 @@
 // errElsewhere: operators change the configuration in the deployment's store.
 var errElsewhere = merry.Sentinel("settings are changed in the deployment's own store, not here")
 
-// operatorSettings lets operators read the settings. They come from the deployment,
-// so they can't be changed here.
-func (r *Router) operatorSettings() operator.Settings {
-	return operator.Settings{
-		Holder: r.settings,
-		Accept: func(context.Context, change.Change) (uint64, error) { return 0, merry.Wrap(errElsewhere) },
-		Document: func() change.Document {
-			current := r.settings.Current()
-			if current == nil {
-				return change.Document{}
-			}
-			data, err := settings.Encode(current.Tree)
-			if err != nil {
-				r.log.WithError(err).Error("the settings can't be shown")
-				return change.Document{}
-			}
-			return change.Document{Revision: current.Number, Data: data}
-		},
-		History: func(context.Context, uint64) (change.Change, error) { return change.Change{}, merry.Wrap(errElsewhere) },
+// storeChanges refuses all changes: they are made in the deployment's store. It implements
+// operator.Changes.
+type storeChanges struct{}
+
+// Accept refuses a change.
+func (storeChanges) Accept(context.Context, settings.Change) (uint64, error) {
+	return 0, &operator.ChangeError{Cause: operator.CauseAway, Detail: errElsewhere.Error()}
+}
+
+// Find fails: this host has no list of changes.
+func (storeChanges) Find(context.Context, uint64) (settings.Change, error) {
+	return settings.Change{}, merry.Wrap(errElsewhere)
+}
+
+// tree returns the tree in force as operators see it.
+func (r *Router) tree() operator.SettingsAnswer {
+	current := r.settings.Current()
+	if current == nil {
+		return operator.SettingsAnswer{}
+	}
+	data, err := settings.Encode(current.Tree)
+	if err != nil {
+		r.log.WithError(err).Error("the settings can't be shown")
+		return operator.SettingsAnswer{}
 	}
+	return operator.SettingsAnswer{Revision: current.Number, Tree: data}
 }
 
 func (r *Router) revision() uint64 {
--- a/internal/operator/changes.go
+++ b/internal/operator/changes.go
@@ -11,9 +11,7 @@
 	"github.com/go-json-experiment/json/jsontext"
 	"github.com/gorilla/mux"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon/change"
-	"oxbowslip.dev/oxbowslip/internal/daemon/commit"
-	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
+	"oxbowslip.dev/oxbowslip/internal/settings"
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
 
@@ -37,8 +35,8 @@
 	// Faults lists what would be wrong with the tree.
 	Faults []strictjson.Fault `json:"faults,omitzero"`
 	// Other is the change that is in the way, Paths what both touch.
-	Other *change.Change `json:"other,omitzero"`
-	Paths []string       `json:"paths,omitzero"`
+	Other *settings.Change `json:"other,omitzero"`
+	Paths []string         `json:"paths,omitzero"`
 }
 
 // SettingsAnswer is the tree in force.
@@ -50,20 +48,20 @@
 const maxChangeBytes = 4 << 20
 
 func (s *Server) showSettings(w http.ResponseWriter, _ *http.Request) {
-	document := s.document()
-	if document.Revision == 0 {
+	tree := s.tree()
+	if tree.Revision == 0 {
 		answer(w, http.StatusServiceUnavailable, Problem{Error: "no settings are in force yet"})
 		return
 	}
-	answer(w, http.StatusOK, SettingsAnswer{Revision: document.Revision, Tree: document.Data})
+	answer(w, http.StatusOK, tree)
 }
 
 func (s *Server) showChange(w http.ResponseWriter, r *http.Request) {
 	// The route allows digits only; a number that is too large names nothing.
 	revision, _ := strconv.ParseUint(mux.Vars(r)["revision"], 10, 64)
-	c, err := s.history(r.Context(), revision)
+	c, err := s.changes.Find(r.Context(), revision)
 	switch {
-	case errors.Is(err, tableclient.ErrNotFound):
+	case errors.Is(err, ErrNoChange):
 		answer(w, http.StatusNotFound, Problem{Error: "no such change"})
 	case err != nil:
 		answer(w, http.StatusServiceUnavailable, Problem{Error: "the platform is away"})
@@ -85,26 +83,30 @@
 		answer(w, http.StatusBadRequest, ChangeAnswer{Error: err.Error(), Accepted: "no"})
 		return
 	}
-	c := change.Change{ID: request.ID, Base: request.Base, Patch: request.Patch, Who: who(r)}
-	revision, err := s.accept(r.Context(), c)
+	c := settings.Change{ID: request.ID, Base: request.Base, Patch: request.Patch, Who: who(r)}
+	revision, err := s.changes.Accept(r.Context(), c)
 	status, result := changeAnswer(revision, err)
 	answer(w, status, result)
 }
 
+// changeAnswer returns the status and body that tell an operator what became of a change.
 func changeAnswer(revision uint64, err error) (int, ChangeAnswer) {
-	var conflict *commit.Conflict
-	var faults *strictjson.Error
-	switch {
-	case err == nil:
+	if err == nil {
 		return http.StatusOK, ChangeAnswer{Revision: revision, Accepted: "yes"}
-	case errors.As(err, &conflict):
-		return http.StatusConflict, ChangeAnswer{Error: err.Error(), Accepted: "no", Other: &conflict.Other, Paths: conflict.Paths}
-	case errors.As(err, &faults):
-		return http.StatusUnprocessableEntity, ChangeAnswer{Error: "the tree would not be valid", Accepted: "no", Faults: faults.Faults}
-	case errors.Is(err, change.ErrBadPatch):
-		return http.StatusUnprocessableEntity, ChangeAnswer{Error: err.Error(), Accepted: "no"}
-	case errors.Is(err, commit.ErrUnknown):
-		return http.StatusGatewayTimeout, ChangeAnswer{Error: err.Error(), Accepted: "unknown"}
 	}
-	return http.StatusServiceUnavailable, ChangeAnswer{Error: err.Error(), Accepted: "no"}
+	var failed *ChangeError
+	if !errors.As(err, &failed) {
+		return http.StatusServiceUnavailable, ChangeAnswer{Error: err.Error(), Accepted: "no"}
+	}
+	result := ChangeAnswer{Error: failed.Detail, Accepted: "no", Faults: failed.Faults, Other: failed.Other, Paths: failed.Paths}
+	switch failed.Cause {
+	case CauseConflict:
+		return http.StatusConflict, result
+	case CauseInvalid:
+		return http.StatusUnprocessableEntity, result
+	case CauseUnknown:
+		result.Accepted = "unknown"
+		return http.StatusGatewayTimeout, result
+	}
+	return http.StatusServiceUnavailable, result
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -12,7 +12,6 @@
 	"github.com/ansel1/merry/v2"
 	"github.com/go-json-experiment/json"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon/change"
 	"oxbowslip.dev/oxbowslip/internal/explain"
 	"oxbowslip.dev/oxbowslip/internal/record"
 	"oxbowslip.dev/oxbowslip/internal/settings"
@@ -45,8 +44,8 @@
 }
 
 // Change gives an accepted change.
-func (c *Client) Change(ctx context.Context, revision uint64) (change.Change, error) {
-	return get[change.Change](ctx, c, "/v1/settings/changes/"+strconv.FormatUint(revision, 10))
+func (c *Client) Change(ctx context.Context, revision uint64) (settings.Change, error) {
+	return get[settings.Change](ctx, c, "/v1/settings/changes/"+strconv.FormatUint(revision, 10))
 }
 
 // Effective gives each effective value of a workspace and class.
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -11,11 +11,8 @@
 
 	qt "github.com/frankban/quicktest"
 
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/counters"
-	"oxbowslip.dev/oxbowslip/internal/daemon/change"
-	"oxbowslip.dev/oxbowslip/internal/daemon/commit"
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
-	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
 	"oxbowslip.dev/oxbowslip/internal/explain"
 	"oxbowslip.dev/oxbowslip/internal/hostconfig"
 	"oxbowslip.dev/oxbowslip/internal/proof/golden"
@@ -26,12 +23,12 @@
 
 var goldenTime = time.Date(2026, 6, 1, 12, 0, 0, 5_000_000, time.UTC)
 
-var goldenChange = change.Change{Revision: 3, ID: "other", Base: 2, Patch: []byte(`{"root":{}}`), Who: "who", At: goldenTime}
+var goldenChange = settings.Change{Revision: 3, ID: "other", Base: 2, Patch: []byte(`{"root":{}}`), Who: "who", At: goldenTime}
 
 // goldenStatus has every field set.
 var goldenStatus = Status{
 	Host: "host", Zone: "zone", Version: "1.2.3", Revision: 4, Ready: true, Problem: "problem", Open: 5,
-	Shards: []ShardStatus{{Name: "shard", Waiting: 6, Running: 7, Endpoints: []schedule.EndpointState{
+	Shards: []ShardStatus{{Name: "shard", Waiting: 6, Running: 7, Endpoints: []EndpointStatus{
 		{ID: "e1", InFlight: 8, Limit: 9.5, Between: 10 * time.Millisecond, Ejected: "slow", Probing: true},
 	}}},
 	Schedulers: map[string]string{"shard": "host-2"}, Refusals: map[string]uint64{"no_room": 10}, Hosts: 11, Directory: 12, Endpoints: 13,
@@ -39,49 +36,57 @@
 }
 
 // goldenServer answers with fixed values. Accept fails by the ID of the change.
-func goldenServer(ready bool, holder *settings.Holder, document change.Document) *Server {
+func goldenServer(ready bool, holder *settings.Holder, tree SettingsAnswer) *Server {
 	ring := explain.New()
 	ring.Begin(explain.Record{ID: "id-1", Host: "host", Workspace: "w", Class: "c", Shard: "s", Tier: 1})
 	ring.Add("id-1", explain.Step{
 		At: goldenTime, What: "grant", Endpoint: "e1", Reason: "tier", Scheduler: "host-2",
-		Figures: &schedule.Figures{
-			Waited: time.Millisecond, WaitingAhead: 2, WaitingBelow: 3, PredictedFirstToken: 4 * time.Millisecond, InFlight: 5, Limit: 6.5,
+		Figures: &admission.Figures{
+			Waited: time.Millisecond, Ahead: 2, WaitingBelow: 3, PredictedFirstToken: 4 * time.Millisecond, InFlight: 5, Limit: 6.5,
 			CachedTokens: 7, AnswerTokens: 8,
 		},
 	})
 	recorded := record.New()
 	recorded.Add(record.Entry{Arrived: goldenTime, Class: "c", Workspace: "w", Model: "m", Prompt: 1, Answer: 2})
 	failures := map[string]error{
-		"conflict": &commit.Conflict{Other: goldenChange, Paths: []string{"/root"}},
-		"faults":   &strictjson.Error{Faults: []strictjson.Fault{{Path: "/root", Problem: "wrong"}}},
-		"patch":    change.ErrBadPatch, "unknown": commit.ErrUnknown, "away": commit.ErrAway,
+		"conflict": &ChangeError{Cause: CauseConflict, Detail: "conflicts with a change that was accepted since", Other: &goldenChange, Paths: []string{"/root"}},
+		"faults":   &ChangeError{Cause: CauseInvalid, Detail: "the tree would not be valid", Faults: []strictjson.Fault{{Path: "/root", Problem: "wrong"}}},
+		"patch":    &ChangeError{Cause: CauseInvalid, Detail: "the patch is no JSON merge patch"},
+		"unknown":  &ChangeError{Cause: CauseUnknown, Detail: "it is not known whether the change was accepted; send it again with the same ID"},
+		"away":     &ChangeError{Cause: CauseAway, Detail: "the platform is away; the change was not accepted"},
 	}
 	keys := []hostconfig.OperatorKey{
 		{Name: "reader", SHA256: settings.HashKey("read"), Role: hostconfig.RoleRead},
 		{Name: "changer", SHA256: settings.HashKey("change"), Role: hostconfig.RoleChange},
 	}
-	return New(keys, counters.New(), ring, Settings{
-		Holder: holder,
-		Accept: func(_ context.Context, c change.Change) (uint64, error) { return 9, failures[c.ID] },
-		Document: func() change.Document {
-			return document
+	return New(Parts{
+		Keys: keys, Counters: counters.New(), Explained: ring, Recorded: recorded, Settings: holder, Changes: goldenChanges(failures),
+		Tree: func() SettingsAnswer { return tree },
+		Status: func() Status {
+			status := goldenStatus
+			status.Ready = ready
+			return status
 		},
-		History: func(_ context.Context, revision uint64) (change.Change, error) {
-			switch revision {
-			case 3:
-				return goldenChange, nil
-			case 4:
-				return change.Change{}, tableclient.ErrNotFound
-			}
-			return change.Change{}, errors.New("away")
-		},
-	}, recorded, func() Status {
-		status := goldenStatus
-		status.Ready = ready
-		return status
 	})
 }
 
+// goldenChanges fails by the ID of a change.
+type goldenChanges map[string]error
+
+func (c goldenChanges) Accept(_ context.Context, change settings.Change) (uint64, error) {
+	return 9, c[change.ID]
+}
+
+func (goldenChanges) Find(_ context.Context, revision uint64) (settings.Change, error) {
+	switch revision {
+	case 3:
+		return goldenChange, nil
+	case 4:
+		return settings.Change{}, ErrNoChange
+	}
+	return settings.Change{}, errors.New("away")
+}
+
 // TestGoldenAnswers holds the answers of the operators' interface to those of commit
 // 4c58500.
 func TestGoldenAnswers(t *testing.T) {
@@ -91,8 +96,8 @@
 	holder := settings.NewHolder()
 	holder.Offer(&settings.Revision{Number: 4, Tree: tree})
 	servers := map[string]*Server{
-		"ready":     goldenServer(true, holder, change.Document{Revision: 4, Data: []byte(`{"root":{}}`)}),
-		"not ready": goldenServer(false, settings.NewHolder(), change.Document{}),
+		"ready":     goldenServer(true, holder, SettingsAnswer{Revision: 4, Tree: []byte(`{"root":{}}`)}),
+		"not ready": goldenServer(false, settings.NewHolder(), SettingsAnswer{}),
 	}
 	type call struct{ server, method, path, key, body string }
 	calls := []call{
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -13,8 +13,6 @@
 	"github.com/gorilla/mux"
 
 	"oxbowslip.dev/oxbowslip/internal/counters"
-	"oxbowslip.dev/oxbowslip/internal/daemon/change"
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
 	"oxbowslip.dev/oxbowslip/internal/explain"
 	"oxbowslip.dev/oxbowslip/internal/hostconfig"
 	"oxbowslip.dev/oxbowslip/internal/record"
@@ -28,7 +26,20 @@
 	Waiting int    `json:"waiting"`
 	Running int    `json:"running"`
 	// Endpoints is what the shard's scheduler has learned of each.
-	Endpoints []schedule.EndpointState `json:"endpoints,omitzero"`
+	Endpoints []EndpointStatus `json:"endpoints,omitzero"`
+}
+
+// EndpointStatus is what the shared queue of a shard has learned of an endpoint.
+type EndpointStatus struct {
+	ID       string  `json:"id"`
+	InFlight int     `json:"in_flight"`
+	Limit    float64 `json:"limit"`
+	// Between is the mean time between tokens.
+	Between time.Duration `json:"between"`
+	// Ejected is why the endpoint gets no work now, or empty.
+	Ejected string `json:"ejected,omitzero"`
+	// Probing is set while one request tests whether the endpoint works again.
+	Probing bool `json:"probing,omitzero"`
 }
 
 // Status is the state of one daemon.
@@ -67,28 +78,40 @@
 	counters *counters.Counters
 	ring     *explain.Ring
 	settings *settings.Holder
-	accept   func(ctx context.Context, c change.Change) (uint64, error)
-	document func() change.Document
-	history  func(ctx context.Context, revision uint64) (change.Change, error)
+	changes  Changes
+	tree     func() SettingsAnswer
 	status   func() Status
 	recorded *record.Ring
 }
 
-// Settings are the parts of a host that read and change the settings.
-type Settings struct {
-	Holder *settings.Holder
-	// Accept takes a change; Document gives the tree in force; History reads an
-	// accepted change.
-	Accept   func(ctx context.Context, c change.Change) (uint64, error)
-	Document func() change.Document
-	History  func(ctx context.Context, revision uint64) (change.Change, error)
+// Changes accepts changes of the settings and reads accepted ones. A host whose settings
+// are changed elsewhere refuses all.
+type Changes interface {
+	// Accept stores a change and returns its revision. A change that was not accepted, or
+	// of which that is not known, is a *ChangeError.
+	Accept(ctx context.Context, c settings.Change) (uint64, error)
+	// Find reads an accepted change. The error is ErrNoChange if there is none.
+	Find(ctx context.Context, revision uint64) (settings.Change, error)
+}
+
+// Parts are what the server shows and changes.
+type Parts struct {
+	Keys      []hostconfig.OperatorKey
+	Counters  *counters.Counters
+	Explained *explain.Ring
+	Recorded  *record.Ring
+	Settings  *settings.Holder
+	Changes   Changes
+	// Tree returns the tree in force; its revision is 0 before the first.
+	Tree   func() SettingsAnswer
+	Status func() Status
 }
 
-// New makes the operators' server.
-func New(keys []hostconfig.OperatorKey, c *counters.Counters, ring *explain.Ring, s Settings, recorded *record.Ring, status func() Status) *Server {
+// New returns a server for operators that does not listen yet.
+func New(p Parts) *Server {
 	return &Server{
-		keys: keys, counters: c, ring: ring, settings: s.Holder, accept: s.Accept, document: s.Document, history: s.History,
-		status: status, recorded: recorded,
+		keys: p.Keys, counters: p.Counters, ring: p.Explained, settings: p.Settings, changes: p.Changes, tree: p.Tree,
+		status: p.Status, recorded: p.Recorded,
 	}
 }
 
--- a/internal/owner/attempt.go
+++ b/internal/owner/attempt.go
@@ -34,10 +34,10 @@
 	// FetchFrom is the address of an endpoint from which this one can copy a shared
 	// part of the prompt, or empty.
 	FetchFrom string
-	// TokensAhead is the prompt tokens that the endpoint had to read when it was
-	// granted, the request's own among them.
-	TokensAhead int
-	state       atomic.Int32
+	// UnprocessedTokens is the number of prompt tokens, the request's own included, that
+	// the endpoint had to process before the answer begins; 0 if unknown.
+	UnprocessedTokens int
+	state             atomic.Int32
 }
 
 // watch cancels the attempt when the scheduler takes the endpoint back, unless
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -11,8 +11,8 @@
 
 	"github.com/ansel1/merry/v2"
 
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/counters"
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
 	"oxbowslip.dev/oxbowslip/internal/explain"
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 	"oxbowslip.dev/oxbowslip/internal/request"
@@ -35,7 +35,7 @@
 
 // Job is one request and how to attempt it.
 type Job struct {
-	Request schedule.Request
+	Request admission.Request
 	Shard   string
 	Rules   request.Rules
 	// RetryBudget is the class's retries as a fraction of its first tries.
@@ -106,7 +106,7 @@
 type Scheduler interface {
 	// Ask submits a request and waits for the decision. It fails only when ctx
 	// ends; the request is withdrawn then. A granted ticket must be finished.
-	Ask(ctx context.Context, shard string, request schedule.Request) (Ticket, schedule.Decision, error)
+	Ask(ctx context.Context, shard string, request admission.Request) (Ticket, admission.Decision, error)
 }
 
 // Ticket is the standing of one granted request with its scheduler.
@@ -120,7 +120,7 @@
 	// Progress says how many tokens came so far.
 	Progress(tokens int)
 	// Finished ends the attempt and gives the place back.
-	Finished(result schedule.Result, tokens int)
+	Finished(result admission.Result, tokens int)
 }
 
 // Endpoints gives the newest knowledge of an endpoint, and whether it may
@@ -250,12 +250,12 @@
 	life    *request.Life
 	arrived time.Time
 
-	ticket     Ticket
-	endpointID string
-	endpoint   settings.Endpoint
-	fetchFrom  string
-	ahead      int
-	tokens     int
+	ticket      Ticket
+	endpointID  string
+	endpoint    settings.Endpoint
+	fetchFrom   string
+	unprocessed int
+	tokens      int
 	// base is the tokens that earlier attempts brought, which this one goes on
 	// from.
 	base       int
@@ -279,7 +279,7 @@
 			r.owner.counters.Retried(r.life.Retry())
 			action = r.attempt(ctx, r.job.Resume)
 		default:
-			r.release(schedule.Cancelled)
+			r.release(admission.Cancelled)
 			return
 		}
 	}
@@ -288,7 +288,7 @@
 // ask gets a grant, after a pause if this is a retry.
 func (r *run) ask(ctx context.Context) request.Action {
 	o := r.owner
-	r.release(schedule.Failed)
+	r.release(admission.Failed)
 	if r.life.Tries() > 0 || r.job.Request.Retry {
 		o.counters.Retried(r.life.Retry())
 		if retry := r.life.Retry(); retry != request.RetryPreempted && retry != request.RetryGrantVoid {
@@ -307,7 +307,7 @@
 		At: o.clock(), What: decision.Kind.String(), Endpoint: decision.Endpoint,
 		Reason: string(decision.Reason), Figures: &decision.Figures,
 	})
-	if decision.Kind == schedule.Refuse {
+	if decision.Kind == admission.Refuse {
 		r.retryAfter = decision.RetryAfter
 		r.detail = "the scheduler gave the request up"
 		r.life.Refuse(request.Reason(decision.Reason))
@@ -320,17 +320,17 @@
 
 // accept checks a grant against the newest settings: the endpoint may have been
 // ordered out since it was decided.
-func (r *run) accept(decision schedule.Decision) request.Action {
+func (r *run) accept(decision admission.Decision) request.Action {
 	o := r.owner
 	e, ok := o.endpoints(decision.Endpoint)
 	if !ok || !decision.Usable(o.clock()) {
-		r.release(schedule.Unused)
+		r.release(admission.Unused)
 		// The scheduler may not have the order yet.
 		r.job.Request.Avoid = append(r.job.Request.Avoid, decision.Endpoint)
 		return r.life.Apply(request.EventGrantVoid, r.facts(false))
 	}
 	r.endpointID, r.endpoint, r.fetchFrom = decision.Endpoint, e, decision.FetchFrom
-	r.ahead = decision.Figures.WaitingAhead + r.job.Request.PromptTokens - decision.Figures.CachedTokens
+	r.unprocessed = decision.UnprocessedTokens
 	r.base = r.tokens
 	r.lastTold = time.Time{}
 	return r.life.Apply(request.EventGranted, r.facts(false))
@@ -340,7 +340,7 @@
 func (r *run) attempt(ctx context.Context, try func(context.Context, *Attempt) Result) request.Action {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	a := &Attempt{run: r, Number: r.life.Tries(), EndpointID: r.endpointID, Endpoint: r.endpoint, FetchFrom: r.fetchFrom, TokensAhead: r.ahead}
+	a := &Attempt{run: r, Number: r.life.Tries(), EndpointID: r.endpointID, Endpoint: r.endpoint, FetchFrom: r.fetchFrom, UnprocessedTokens: r.unprocessed}
 	done := make(chan struct{})
 	go a.watch(r.ticket.Preempted(), cancel, done)
 	result := try(ctx, a)
@@ -377,7 +377,7 @@
 	}
 	r.step(eventNames[event], reason, nil)
 	if event == request.EventWhole {
-		r.release(schedule.Answered)
+		r.release(admission.Answered)
 		return r.life.Apply(event, r.facts(false))
 	}
 	action := r.life.Apply(event, r.facts(result.CanResume && r.job.Resume != nil))
@@ -386,9 +386,9 @@
 	}
 	r.job.Request.Avoid = append(r.job.Request.Avoid, r.endpointID)
 	cause := counters.WasteBroken
-	outcome := schedule.Failed
+	outcome := admission.Failed
 	if event == request.EventPreempted {
-		cause, outcome = counters.WastePreempted, schedule.Preempted
+		cause, outcome = counters.WastePreempted, admission.Preempted
 		r.job.Request.Avoid = nil
 	}
 	r.detail = "the endpoint failed"
@@ -426,7 +426,7 @@
 	return request.ActFinish
 }
 
-func (r *run) release(result schedule.Result) {
+func (r *run) release(result admission.Result) {
 	if r.ticket == nil {
 		return
 	}
@@ -449,7 +449,7 @@
 	}
 }
 
-func (r *run) step(what, reason string, figures *schedule.Figures) {
+func (r *run) step(what, reason string, figures *admission.Figures) {
 	r.note(explain.Step{
 		At: r.owner.clock(), What: what, Endpoint: r.endpointID, Reason: reason, Figures: figures,
 	})
--- a/internal/proof/replay/invariant.go
+++ b/internal/proof/replay/invariant.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
@@ -32,9 +32,9 @@
 }
 
 // checkDecision checks a decision against the replay's own books.
-func (w *world) checkDecision(now time.Time, s *shardWorld, j *job, d *schedule.Decision) {
+func (w *world) checkDecision(now time.Time, s *shardWorld, j *job, d *admission.Decision) {
 	switch d.Kind {
-	case schedule.Grant:
+	case admission.Grant:
 		e := w.engines[d.Endpoint]
 		if e.out {
 			w.violate(LeavingGetsNothing, fmt.Sprintf("%s was granted %s, out since %s", j.id, e.id, now.Sub(e.outAt)))
@@ -42,9 +42,9 @@
 		if j.executions > 0 && !j.policy.Repeatable {
 			w.violate(AtMostOnce, j.id+" was granted again")
 		}
-	case schedule.Refuse:
+	case admission.Refuse:
 		w.checkShed(s, j, d)
-	case schedule.Preempt:
+	case admission.Preempt:
 		w.checkPreempt(s, j)
 	}
 }
@@ -59,8 +59,8 @@
 // checkShed finds requests of lower tiers that wait while a higher one is
 // refused for want of room. One that was granted before and comes back is left
 // out: it may be in its owner's pause, where the scheduler does not hold it.
-func (w *world) checkShed(s *shardWorld, j *job, d *schedule.Decision) {
-	if d.Reason != schedule.ReasonNoRoom {
+func (w *world) checkShed(s *shardWorld, j *job, d *admission.Decision) {
+	if d.Reason != admission.ReasonNoRoom {
 		return
 	}
 	for _, other := range w.order {
--- a/internal/proof/replay/owner.go
+++ b/internal/proof/replay/owner.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/daemon/prefix"
-	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
 	"oxbowslip.dev/oxbowslip/internal/proof/emulator"
 	"oxbowslip.dev/oxbowslip/internal/request"
 	"oxbowslip.dev/oxbowslip/internal/settings"
@@ -23,7 +23,7 @@
 	}
 	j := &job{id: id, event: event, policy: policy, shard: shard, arrived: now, returns: returns}
 	j.life = request.NewLife(request.Rules{Repeatable: policy.Repeatable, MaxTries: policy.MaxTries})
-	j.request = schedule.Request{
+	j.request = admission.Request{
 		ID: id, Owner: "replay", Workspace: event.Workspace, Class: event.Class, Tier: policy.Tier, Arrived: now,
 		FirstToken: policy.FirstToken, BetweenTokens: policy.BetweenTokens, WholeAnswer: policy.WholeAnswer,
 		RefuseLate: policy.WhenLate == settings.LateRefuse, MaxWait: policy.MaxWait, Repeatable: policy.Repeatable,
@@ -114,18 +114,18 @@
 	})
 }
 
-func (w *world) decide(now time.Time, s *shardWorld, d *schedule.Decision) {
+func (w *world) decide(now time.Time, s *shardWorld, d *admission.Decision) {
 	j := w.jobs[d.ID]
 	w.checkDecision(now, s, j, d)
 	switch d.Kind {
-	case schedule.Grant:
+	case admission.Grant:
 		w.granted(now, j, w.engines[d.Endpoint])
-	case schedule.Refuse:
+	case admission.Refuse:
 		j.life.Refuse(request.Reason(d.Reason))
 		w.checkRefusal(j)
 		j.state, j.reason, j.ended = stateRefused, d.Reason, now
 		w.maybeReturn(j, d.RetryAfter)
-	case schedule.Preempt:
+	case admission.Preempt:
 		w.preempt(now, j)
 	}
 }
@@ -204,7 +204,7 @@
 	if event.Kind == emulator.Last {
 		j.state, j.ended = stateAnswered, now
 		if !j.event.Outside {
-			policy.Finished(now, j.id, schedule.Answered, j.tokens-j.base)
+			policy.Finished(now, j.id, admission.Answered, j.tokens-j.base)
 			w.settle(now, j.shard)
 		}
 		return
@@ -252,7 +252,7 @@
 		return
 	}
 	j.request.Avoid = append(j.request.Avoid, j.endpoint.id)
-	w.endAttempt(now, j, schedule.Failed)
+	w.endAttempt(now, j, admission.Failed)
 	if j.life.Apply(event, request.Facts{CanContinue: true, BudgetLeft: true}) != request.ActAsk {
 		w.checkRefusal(j)
 		j.state, j.ended = stateFailed, now
@@ -262,7 +262,7 @@
 	w.resubmit(j)
 }
 
-func (w *world) endAttempt(now time.Time, j *job, result schedule.Result) {
+func (w *world) endAttempt(now time.Time, j *job, result admission.Result) {
 	j.endpoint.lost++
 	j.state = stateWaiting
 	j.endpoint = nil
@@ -293,7 +293,7 @@
 	}
 	j.endpoint.model.Cancel(j.id)
 	j.wastedRead += j.event.Prompt
-	w.endAttempt(now, j, schedule.Preempted)
+	w.endAttempt(now, j, admission.Preempted)
 	w.resubmit(j)
 }
 
--- a/internal/proof/replay/policy.go
+++ b/internal/proof/replay/policy.go
@@ -7,6 +7,7 @@
 
 	"github.com/ansel1/merry/v2"
 
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
 	"oxbowslip.dev/oxbowslip/internal/proof/emulator"
 )
@@ -14,15 +15,15 @@
 // Policy decides for one shard. *schedule.Scheduler is one.
 type Policy interface {
 	SetEndpoints(now time.Time, endpoints []schedule.Endpoint)
-	Submit(now time.Time, request schedule.Request)
+	Submit(now time.Time, request admission.Request)
 	Withdraw(now time.Time, id string)
 	Started(now time.Time, id string)
 	FirstToken(now time.Time, id string)
 	Progress(now time.Time, id string, tokens int)
-	Finished(now time.Time, id string, result schedule.Result, tokens int)
+	Finished(now time.Time, id string, result admission.Result, tokens int)
 	Tick(now time.Time)
 	Next(now time.Time) time.Time
-	Take() []schedule.Decision
+	Take() []admission.Decision
 	Waiting() int
 	Running() int
 }
@@ -86,7 +87,7 @@
 	endpoints []*directEndpoint
 	byID      map[string]*directEndpoint
 	open      map[string]*directEndpoint
-	decisions []schedule.Decision
+	decisions []admission.Decision
 }
 
 type directEndpoint struct {
@@ -116,18 +117,18 @@
 }
 
 // Submit grants at once.
-func (d *direct) Submit(now time.Time, r schedule.Request) {
+func (d *direct) Submit(now time.Time, r admission.Request) {
 	if len(d.endpoints) == 0 {
-		d.decisions = append(d.decisions, schedule.Decision{
-			Kind: schedule.Refuse, ID: r.ID, Reason: schedule.ReasonNoEndpoint, RetryAfter: time.Second,
+		d.decisions = append(d.decisions, admission.Decision{
+			Kind: admission.Refuse, ID: r.ID, Reason: admission.ReasonNoEndpoint, RetryAfter: time.Second,
 		})
 		return
 	}
 	e := d.choose()
 	e.inFlight++
 	d.open[r.ID] = e
-	d.decisions = append(d.decisions, schedule.Decision{
-		Kind: schedule.Grant, ID: r.ID, Endpoint: e.id, Reason: schedule.ReasonTier, Until: now.Add(time.Second),
+	d.decisions = append(d.decisions, admission.Decision{
+		Kind: admission.Grant, ID: r.ID, Endpoint: e.id, Reason: admission.ReasonPlaced, Until: now.Add(time.Second),
 	})
 }
 
@@ -167,7 +168,7 @@
 }
 
 // Finished frees a place.
-func (d *direct) Finished(_ time.Time, id string, _ schedule.Result, _ int) {
+func (d *direct) Finished(_ time.Time, id string, _ admission.Result, _ int) {
 	if e, ok := d.open[id]; ok {
 		e.inFlight--
 		delete(d.open, id)
@@ -175,10 +176,10 @@
 }
 
 // Withdraw frees a place.
-func (d *direct) Withdraw(now time.Time, id string) { d.Finished(now, id, schedule.Cancelled, 0) }
+func (d *direct) Withdraw(now time.Time, id string) { d.Finished(now, id, admission.Cancelled, 0) }
 
 // Take gives the decisions.
-func (d *direct) Take() []schedule.Decision {
+func (d *direct) Take() []admission.Decision {
 	taken := d.decisions
 	d.decisions = nil
 	return taken
--- a/internal/proof/replay/report.go
+++ b/internal/proof/replay/report.go
@@ -9,6 +9,7 @@
 	"text/tabwriter"
 	"time"
 
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
 )
 
@@ -27,7 +28,7 @@
 	LateFirst   int `json:"late_first"`
 	LateBetween int `json:"late_between"`
 	// Reasons counts refusals.
-	Reasons map[schedule.Reason]int `json:"reasons"`
+	Reasons map[admission.Reason]int `json:"reasons"`
 	// GoodTokens are those of answers that met the target.
 	GoodTokens  int           `json:"good_tokens"`
 	Wasted      int           `json:"wasted_tokens"`
@@ -103,7 +104,7 @@
 		if !ok {
 			i = len(r.Classes)
 			index[j.event.Class] = i
-			r.Classes = append(r.Classes, ClassResult{Class: j.event.Class, Tier: j.policy.Tier, Reasons: make(map[schedule.Reason]int)})
+			r.Classes = append(r.Classes, ClassResult{Class: j.event.Class, Tier: j.policy.Tier, Reasons: make(map[admission.Reason]int)})
 		}
 		row := &r.Classes[i]
 		row.add(j)
--- a/internal/proof/replay/world.go
+++ b/internal/proof/replay/world.go
@@ -7,6 +7,7 @@
 	"slices"
 	"time"
 
+	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
 	"oxbowslip.dev/oxbowslip/internal/proof/emulator"
 	"oxbowslip.dev/oxbowslip/internal/request"
@@ -50,10 +51,10 @@
 	id      string
 	event   *Event
 	policy  settings.Policy
-	request schedule.Request
+	request admission.Request
 	shard   *shardWorld
 	state   state
-	reason  schedule.Reason
+	reason  admission.Reason
 
 	endpoint   *engineWorld
 	arrived    time.Time
--- /dev/null
+++ b/internal/settings/change.go
@@ -0,0 +1,23 @@
+package settings
+
+import (
+	"time"
+
+	"github.com/go-json-experiment/json/jsontext"
+)
+
+// Change is an accepted change of the tree. Its JSON form is stored and shown to
+// operators; a stored change is never modified.
+type Change struct {
+	Revision uint64 `json:"revision"`
+	// ID is chosen by the operator, so that a change whose answer was lost can be found
+	// again.
+	ID string `json:"id"`
+	// Base is the revision that the operator saw.
+	Base uint64 `json:"base"`
+	// Patch is a JSON merge patch (RFC 7396) of the tree.
+	Patch jsontext.Value `json:"patch"`
+	// Who is the name of the operator's key.
+	Who string    `json:"who"`
+	At  time.Time `json:"at"`
+}
