--- a/internal/daemon/schedule/dispatch.go
+++ b/internal/daemon/schedule/dispatch.go
@@ -1,11 +1,11 @@
 package schedule
 
 import (
+	"time"
+
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-import "time"
-
 // maxAside bounds the requests passed over in one dispatch because no endpoint
 // with room suits them.
 const maxAside = 8
@@ -85,7 +85,7 @@
 			return nil
 		}
 		s.Steps++
-		it, onTime := w.pick(now, !s.options.NoLateLane)
+		it, onTime := w.pick(now)
 		if onTime == w.onTime {
 			return it
 		}
--- a/internal/daemon/schedule/endpoint.go
+++ b/internal/daemon/schedule/endpoint.go
@@ -1,11 +1,11 @@
 package schedule
 
 import (
+	"time"
+
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-import "time"
-
 // The constants of the learned limits.
 const (
 	firstLimit   = 4
@@ -57,7 +57,7 @@
 	health health
 }
 
-func newEndpoint(now time.Time, config Endpoint, options Options) *endpoint {
+func newEndpoint(now time.Time, config Endpoint) *endpoint {
 	e := &endpoint{
 		Endpoint:  config,
 		limit:     firstLimit,
@@ -70,9 +70,6 @@
 	if !config.Engine {
 		e.limit = largestLimit
 	}
-	if options.FixedLimit > 0 {
-		e.limit = float64(options.FixedLimit)
-	}
 	return e
 }
 
--- a/internal/daemon/schedule/endpoints.go
+++ b/internal/daemon/schedule/endpoints.go
@@ -48,7 +48,7 @@
 	for _, config := range configs {
 		e, ok := old[config.ID]
 		if !ok {
-			e = newEndpoint(now, config, s.options)
+			e = newEndpoint(now, config)
 		}
 		delete(old, config.ID)
 		e.Endpoint = config
@@ -98,8 +98,6 @@
 		e := cached.holder
 		if i < n {
 			e = s.byLoad.elements[i]
-		} else if s.options.NoPrefix {
-			break
 		}
 		if e == nil || s.avoids(r, e) || !e.open(now, tier, &s.options) || !e.fits(need) {
 			continue
@@ -118,9 +116,6 @@
 
 func (s *endpointSet) cost(now time.Time, r *admission.Request, e *endpoint, cached cachedPart) time.Duration {
 	cost := e.predictFirstToken(now, r, cached)
-	if s.options.NoPrefix {
-		cost += e.readTime(r.PromptTokens - e.uncached(r, cached))
-	}
 	if r.Zone != "" && r.Zone != e.Zone {
 		cost += s.options.ZoneCost
 	}
--- a/internal/daemon/schedule/health.go
+++ b/internal/daemon/schedule/health.go
@@ -76,7 +76,7 @@
 
 // eject takes an endpoint out for a while, twice as long each time in a row.
 func (s *endpointSet) eject(now time.Time, e *endpoint, reason EjectReason) {
-	if s.options.NoEjection || !e.usable() || !s.mayEject(reason) {
+	if !e.usable() || !s.mayEject(reason) {
 		return
 	}
 	h := &e.health
@@ -109,7 +109,7 @@
 	e.health.ejected = false
 	e.health.probing = true
 	e.heardAt = now
-	if e.Engine && s.options.FixedLimit == 0 {
+	if e.Engine {
 		e.limit = firstLimit
 		e.slowStart = true
 	}
@@ -150,9 +150,7 @@
 	}
 	mean := e.window / time.Duration(e.windowSteps)
 	e.between += (mean - e.between) / 2
-	if s.options.FixedLimit == 0 {
-		e.adapt(mean)
-	}
+	e.adapt(mean)
 	e.window, e.windowSteps = 0, 0
 	e.judgedAt = now
 	if median := s.medianBetween(); float64(e.between) > slowFactor*float64(median) {
--- a/internal/daemon/schedule/lengths.go
+++ b/internal/daemon/schedule/lengths.go
@@ -33,7 +33,7 @@
 // predictLength estimates the tokens of an answer that has not begun.
 func (s *Scheduler) predictLength(r *admission.Request) int {
 	estimate := firstLength
-	if l, ok := s.lengths[limitKey{r.Workspace, r.Class}]; ok && !s.options.NoLengths {
+	if l, ok := s.lengths[limitKey{r.Workspace, r.Class}]; ok {
 		estimate = int(l.estimate)
 	}
 	if r.MaxTokens > 0 {
--- a/internal/daemon/schedule/preempt.go
+++ b/internal/daemon/schedule/preempt.go
@@ -1,11 +1,11 @@
 package schedule
 
 import (
+	"time"
+
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-import "time"
-
 // preemptAge bounds how long a victim may have run: what it has done is thrown
 // away.
 const preemptAge = 500 * time.Millisecond
@@ -14,9 +14,6 @@
 // would be late otherwise. A victim must be repeatable, must not have brought
 // its first token, and must have cost less than the request is worth.
 func (s *Scheduler) considerPreemption(now time.Time) {
-	if s.options.NoPreemption {
-		return
-	}
 	it := s.mostUrgent(now)
 	if it == nil || s.endpoints.preempting >= s.tiers[it.request.Tier].count {
 		return
--- a/internal/daemon/schedule/prefix.go
+++ b/internal/daemon/schedule/prefix.go
@@ -2,10 +2,9 @@
 
 import (
 	"oxbowslip.dev/oxbowslip/internal/admission"
+	"oxbowslip.dev/oxbowslip/internal/daemon/prefix"
 )
 
-import "oxbowslip.dev/oxbowslip/internal/daemon/prefix"
-
 // prefixEntries bounds the prefixes remembered for a shard.
 const prefixEntries = 1 << 14
 
--- a/internal/daemon/schedule/queue.go
+++ b/internal/daemon/schedule/queue.go
@@ -81,10 +81,7 @@
 
 // next gives the request to run next: the oldest that can still meet its
 // target, else the oldest. It reports whether the target can be met.
-func (f *flow) next(now time.Time, lateLane bool) (*item, bool) {
-	if !lateLane {
-		return f.head(), true
-	}
+func (f *flow) next(now time.Time) (*item, bool) {
 	if f.onTime == nil || f.onTime.late(now) {
 		f.findOnTime(now)
 	}
@@ -178,14 +175,14 @@
 	service float64
 }
 
-func (t *tierQueue) init(fair bool) {
+func (t *tierQueue) init() {
 	t.workspaces = make(map[string]*workspaceQueue)
 	t.ready.index = func(w *workspaceQueue) *int { return &w.index }
 	t.ready.less = func(a, b *workspaceQueue) bool {
 		switch {
 		case a.onTime != b.onTime:
 			return a.onTime
-		case fair && a.service != b.service:
+		case a.service != b.service:
 			return a.service < b.service
 		case !a.urgent.Equal(b.urgent):
 			return a.urgent.Before(b.urgent)
@@ -223,7 +220,7 @@
 
 func (s *Scheduler) initQueues() {
 	for t := range s.tiers {
-		s.tiers[t].init(!s.options.NoFairness)
+		s.tiers[t].init()
 	}
 	s.expiry.index = func(it *item) *int { return &it.expiryIndex }
 	s.expiry.less = func(a, b *item) bool {
@@ -284,7 +281,7 @@
 func (s *Scheduler) refresh(now time.Time, f *flow) {
 	w := f.workspace
 	w.onTime, w.urgent = false, time.Time{}
-	if best, onTime := w.pick(now, !s.options.NoLateLane); best != nil {
+	if best, onTime := w.pick(now); best != nil {
 		w.onTime, w.urgent = onTime, best.urgency()
 	}
 	s.touch(f)
@@ -292,14 +289,14 @@
 
 // pick chooses the workspace's next request: on time before late, then the one
 // that becomes late first.
-func (w *workspaceQueue) pick(now time.Time, lateLane bool) (*item, bool) {
+func (w *workspaceQueue) pick(now time.Time) (*item, bool) {
 	var best *item
 	bestOnTime := false
 	for _, f := range w.flows {
 		if f.len() == 0 || f.parked {
 			continue
 		}
-		it, onTime := f.next(now, lateLane)
+		it, onTime := f.next(now)
 		if best == nil || before(it, onTime, best, bestOnTime) {
 			best, bestOnTime = it, onTime
 		}
--- a/internal/daemon/schedule/room.go
+++ b/internal/daemon/schedule/room.go
@@ -1,11 +1,11 @@
 package schedule
 
 import (
+	"time"
+
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-import "time"
-
 // admit checks whether there is room for a new request, and makes room for it
 // where the rules allow. A request that was admitted before always has room.
 func (s *Scheduler) admit(now time.Time, it *item) (admission.Reason, bool) {
@@ -96,6 +96,6 @@
 	if !ok {
 		return nil
 	}
-	it, _ := w.pick(now, !s.options.NoLateLane)
+	it, _ := w.pick(now)
 	return it
 }
--- a/internal/daemon/schedule/schedule.go
+++ b/internal/daemon/schedule/schedule.go
@@ -31,8 +31,7 @@
 	Engine bool
 }
 
-// Options switch single mechanisms off, to measure what each is worth, and set
-// the constants of the policy.
+// Options are the settings of one shard's policy. A zero value stands for the built-in one.
 type Options struct {
 	// MaxWaiting bounds the waiting requests of the shard.
 	MaxWaiting int
@@ -42,16 +41,6 @@
 	PrefillAhead time.Duration
 	// ZoneCost is the time that a request to another zone is taken to lose.
 	ZoneCost time.Duration
-
-	NoShares     bool
-	NoPreemption bool
-	NoPrefix     bool
-	NoEjection   bool
-	NoFairness   bool
-	NoLateLane   bool
-	NoLengths    bool
-	// FixedLimit replaces the learned limit of engines; 0 means learned.
-	FixedLimit int
 }
 
 // The built-in options.
--- a/internal/daemon/schedule/shares.go
+++ b/internal/daemon/schedule/shares.go
@@ -1,11 +1,11 @@
 package schedule
 
 import (
+	"time"
+
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-import "time"
-
 // shareBook keeps the guaranteed shares of the classes: deficit round robin
 // over the work granted.
 //
@@ -71,10 +71,10 @@
 // next gives a request that can still meet its target, of the flows with the
 // oldest ones, else the oldest of all: a share should not go to a caller who is
 // about to give up while another can be answered in time.
-func (a *shareAccount) next(now time.Time, lateLane bool) *item {
+func (a *shareAccount) next(now time.Time) *item {
 	var best *item
 	for _, f := range a.flows.elements[:min(shareCandidates, len(a.flows.elements))] {
-		it, onTime := f.next(now, lateLane)
+		it, onTime := f.next(now)
 		if onTime && (best == nil || it.urgency().Before(best.urgency())) {
 			best = it
 		}
@@ -87,15 +87,12 @@
 
 // dueShare gives a request whose class has saved up enough for it.
 func (s *Scheduler) dueShare(now time.Time) *item {
-	if s.options.NoShares {
-		return nil
-	}
 	for _, a := range s.shares.order {
 		s.Steps++
 		if a.waiting == 0 || a.credit <= 0 {
 			continue
 		}
-		it := a.next(now, !s.options.NoLateLane)
+		it := a.next(now)
 		if it != nil && a.credit >= s.work(it) {
 			return it
 		}
