--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -107,6 +107,17 @@
 // Refusals gives the count of a reason.
 func (c *Counters) Refusals(reason request.Reason) uint64 { return c.refusals[reason].Get() }
 
+// RefusalsByReason returns the counts of all reasons that are not 0.
+func (c *Counters) RefusalsByReason() map[string]uint64 {
+	counts := make(map[string]uint64)
+	for _, reason := range request.Reasons {
+		if n := c.Refusals(reason); n > 0 {
+			counts[string(reason)] = n
+		}
+	}
+	return counts
+}
+
 // Retried counts a retry.
 func (c *Counters) Retried(reason request.RetryReason) { c.retries[reason].Inc() }
 
--- a/internal/daemon/api/api.go
+++ b/internal/daemon/api/api.go
@@ -7,8 +7,6 @@
 	"context"
 	"crypto/sha256"
 	"encoding/hex"
-	"errors"
-	"io"
 	"net/http"
 	"sort"
 	"strings"
@@ -21,6 +19,7 @@
 	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/counters"
 	"oxbowslip.dev/oxbowslip/internal/daemon/httpclient"
+	"oxbowslip.dev/oxbowslip/internal/httprelay"
 	"oxbowslip.dev/oxbowslip/internal/owner"
 	"oxbowslip.dev/oxbowslip/internal/record"
 	"oxbowslip.dev/oxbowslip/internal/request"
@@ -64,21 +63,14 @@
 	recorded *record.Ring
 	log      *logrus.Entry
 	clock    func() time.Time
-	timeouts Timeouts
+	timeouts httprelay.Timeouts
 	ready    func() *request.Refusal
 }
 
-// Timeouts bound what a caller may hold up.
-type Timeouts struct {
-	// Read is for sending a body, Write for reading what is ready.
-	Read  time.Duration
-	Write time.Duration
-}
-
 // New makes the callers' server. Ready gives the refusal for a host that can't
 // take requests yet, or nil.
 func New(host, zone string, s *settings.Holder, o *owner.Owner, client *httpclient.Client, c *counters.Counters, claims Claims, recorded *record.Ring,
-	log *logrus.Entry, clock func() time.Time, timeouts Timeouts, ready func() *request.Refusal,
+	log *logrus.Entry, clock func() time.Time, timeouts httprelay.Timeouts, ready func() *request.Refusal,
 ) *Server {
 	return &Server{
 		host: host, zone: zone, settings: s, owner: o, client: client, counters: c, claims: claims, recorded: recorded,
@@ -120,6 +112,11 @@
 	known  []string
 }
 
+// faultOf turns a refusal into a fault.
+func faultOf(refusal *request.Refusal) *fault {
+	return &fault{reason: refusal.Reason, detail: refusal.Detail}
+}
+
 // handle gives each request its ID, checks the key and the class, and turns a
 // fault into an answer.
 func (s *Server) handle(next func(http.ResponseWriter, *http.Request, *caller) *fault) http.HandlerFunc {
@@ -156,7 +153,7 @@
 
 func (s *Server) identify(r *http.Request, c *caller) *fault {
 	if refusal := s.ready(); refusal != nil {
-		return &fault{reason: refusal.Reason, detail: refusal.Detail}
+		return faultOf(refusal)
 	}
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -212,7 +209,7 @@
 	for _, name := range c.modelNames() {
 		list.Data = append(list.Data, modelInfo{ID: name, Object: "model", OwnedBy: "oxbowslip"})
 	}
-	writeJSON(w, http.StatusOK, list)
+	httprelay.WriteJSON(w, http.StatusOK, list)
 	return nil
 }
 
@@ -228,31 +225,6 @@
 	return names
 }
 
-// readBody reads a whole body within the class's bound and a time limit.
-func (s *Server) readBody(w http.ResponseWriter, r *http.Request, c *caller) ([]byte, *fault) {
-	control := http.NewResponseController(w)
-	// Not every writer has deadlines; those of tests don't.
-	_ = control.SetReadDeadline(time.Now().Add(s.timeouts.Read))
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(c.policy.MaxBodyBytes)))
-	if err == nil {
-		_ = control.SetReadDeadline(time.Time{})
-		return data, nil
-	}
-	return nil, bodyFault(err)
-}
-
-func bodyFault(err error) *fault {
-	var tooLarge *http.MaxBytesError
-	var timeout interface{ Timeout() bool }
-	switch {
-	case errors.As(err, &tooLarge):
-		return &fault{reason: request.ReasonBodyTooLarge, detail: "the body is larger than this class allows"}
-	case errors.As(err, &timeout) && timeout.Timeout():
-		return &fault{reason: request.ReasonSlowCaller, detail: "the body took too long to arrive"}
-	}
-	return &fault{reason: request.ReasonBadRequest, detail: "the body could not be read whole"}
-}
-
 // claim takes the caller's idempotency key, if it sent one.
 func (s *Server) claim(r *http.Request, c *caller) *fault {
 	key := r.Header.Get(HeaderIdempotencyKey)
--- a/internal/daemon/api/chat.go
+++ b/internal/daemon/api/chat.go
@@ -14,7 +14,7 @@
 
 	"oxbowslip.dev/oxbowslip/internal/daemon/httpclient"
 	"oxbowslip.dev/oxbowslip/internal/daemon/prefix"
-	"oxbowslip.dev/oxbowslip/internal/hopheader"
+	"oxbowslip.dev/oxbowslip/internal/httprelay"
 	"oxbowslip.dev/oxbowslip/internal/owner"
 	"oxbowslip.dev/oxbowslip/internal/record"
 	"oxbowslip.dev/oxbowslip/internal/request"
@@ -34,9 +34,9 @@
 	if f := c.classify(r.Header.Get(HeaderClass)); f != nil {
 		return f
 	}
-	data, f := s.readBody(w, r, c)
-	if f != nil {
-		return f
+	data, refusal := httprelay.ReadBody(w, r, int64(c.policy.MaxBodyBytes), s.timeouts.Read)
+	if refusal != nil {
+		return faultOf(refusal)
 	}
 	body, err := decodeChat(data)
 	if err != nil {
@@ -63,14 +63,7 @@
 
 	stream *streamRelay
 	// answer is a unary answer that was seen whole.
-	answer *wholeAnswer
-}
-
-// wholeAnswer is an endpoint's answer, held until all of it is there.
-type wholeAnswer struct {
-	status int
-	header http.Header
-	body   []byte
+	answer *httprelay.HeldAnswer
 }
 
 func (x *chatExchange) run(ctx context.Context) {
@@ -119,7 +112,7 @@
 	case request.OutcomeAnswered:
 		whole := s.clock().Sub(c.arrived)
 		if x.answer != nil {
-			writeWhole(x.w, x.answer)
+			x.answer.Send(x.w)
 		}
 		s.counters.Answered(c.class, end.FirstToken, attained(&c.policy, end, whole), end.Tokens)
 	case request.OutcomeBroken:
@@ -181,7 +174,7 @@
 		return owner.Result{Event: request.EventBroken}
 	}
 	a.Tokens(int(gjson.GetBytes(data, "usage.completion_tokens").Int()))
-	x.answer = &wholeAnswer{status: response.StatusCode, header: response.Header, body: data}
+	x.answer = &httprelay.HeldAnswer{Status: response.StatusCode, Header: response.Header, Body: data}
 	return owner.Result{Event: request.EventWhole}
 }
 
@@ -198,26 +191,18 @@
 	if !a.Deliver() {
 		return owner.Result{Event: request.EventBroken}
 	}
-	x.answer = &wholeAnswer{status: status, header: response.Header, body: data}
+	x.answer = &httprelay.HeldAnswer{Status: status, Header: response.Header, Body: data}
 	return owner.Result{Event: request.EventWhole}
 }
 
 // failed turns an error of the client into a result.
 func failed(err error) owner.Result {
-	if httpclient.IsNotSent(err) {
+	if errors.Is(err, request.ErrNotSent) {
 		return owner.Result{Event: request.EventDialFailed, Err: err}
 	}
 	return owner.Result{Event: request.EventBroken, Err: err}
 }
 
-func writeWhole(w http.ResponseWriter, answer *wholeAnswer) {
-	hopheader.Copy(w.Header(), answer.header)
-	w.Header().Set("Content-Length", strconv.Itoa(len(answer.body)))
-	w.WriteHeader(answer.status)
-	// A write that fails means that the caller is gone.
-	_, _ = w.Write(answer.body)
-}
-
 // streamAttempt sends a request for a stream, or the rest of one that broke.
 func (x *chatExchange) streamAttempt(ctx context.Context, a *owner.Attempt) owner.Result {
 	call, err := x.call(a, x.stream.text(), x.stream.tokens)
@@ -250,8 +235,8 @@
 const resumePause = 20 * time.Millisecond
 
 func (x *chatExchange) relay(ctx context.Context, a *owner.Attempt, call httpclient.Call) owner.Result {
-	ctx, watch := watchStall(ctx)
-	defer watch.stop()
+	ctx, watch := httprelay.WatchSilence(ctx, stallTime, owner.ErrStalled)
+	defer watch.Stop()
 	response, err := x.server.client.Do(ctx, call)
 	if err != nil {
 		return failed(err)
--- a/internal/daemon/api/refuse.go
+++ b/internal/daemon/api/refuse.go
@@ -6,8 +6,7 @@
 	"strconv"
 	"time"
 
-	"github.com/go-json-experiment/json"
-
+	"oxbowslip.dev/oxbowslip/internal/httprelay"
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
@@ -90,17 +89,5 @@
 	if status == http.StatusUnauthorized {
 		header.Set("WWW-Authenticate", "Bearer")
 	}
-	writeJSON(w, status, newErrorBody(id, refusal, known))
-}
-
-func writeJSON(w http.ResponseWriter, status int, value any) {
-	data, err := json.Marshal(value)
-	if err != nil {
-		w.WriteHeader(http.StatusInternalServerError)
-		return
-	}
-	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(status)
-	// A write that fails means that the caller is gone.
-	_, _ = w.Write(append(data, '\n'))
+	httprelay.WriteJSON(w, status, newErrorBody(id, refusal, known))
 }
--- a/internal/daemon/api/service.go
+++ b/internal/daemon/api/service.go
@@ -12,7 +12,7 @@
 	"github.com/gorilla/mux"
 
 	"oxbowslip.dev/oxbowslip/internal/daemon/httpclient"
-	"oxbowslip.dev/oxbowslip/internal/hopheader"
+	"oxbowslip.dev/oxbowslip/internal/httprelay"
 	"oxbowslip.dev/oxbowslip/internal/owner"
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
@@ -82,27 +82,17 @@
 	// head is the first part of the body. Whole says that it is all.
 	head   []byte
 	whole  bool
-	answer *wholeAnswer
+	answer *httprelay.HeldAnswer
 }
 
 // readHead reads as much of the body as is held back.
 func (x *serviceExchange) readHead() *fault {
-	bound := int64(x.caller.policy.MaxBodyBytes)
-	if x.r.ContentLength > bound {
-		return &fault{reason: request.ReasonBodyTooLarge, detail: "the body is larger than this class allows"}
-	}
-	control := http.NewResponseController(x.w)
-	_ = control.SetReadDeadline(time.Now().Add(x.server.timeouts.Read))
-	x.r.Body = http.MaxBytesReader(x.w, x.r.Body, bound)
-	head, err := io.ReadAll(io.LimitReader(x.r.Body, heldBytes))
-	if err != nil {
-		return bodyFault(err)
-	}
-	x.head = head
-	x.whole = len(head) < heldBytes
-	if x.whole {
-		_ = control.SetReadDeadline(time.Time{})
+	limit := int64(x.caller.policy.MaxBodyBytes)
+	head, whole, refusal := httprelay.ReadHead(x.w, x.r, limit, heldBytes, x.server.timeouts.Read)
+	if refusal != nil {
+		return faultOf(refusal)
 	}
+	x.head, x.whole = head, whole
 	return nil
 }
 
@@ -128,7 +118,7 @@
 	case request.OutcomeAnswered:
 		whole := s.clock().Sub(c.arrived)
 		if x.answer != nil {
-			writeWhole(x.w, x.answer)
+			x.answer.Send(x.w)
 		}
 		s.counters.Answered(c.class, whole, attained(&c.policy, &end, whole), 0)
 	case request.OutcomeBroken:
@@ -159,7 +149,7 @@
 		return owner.Result{Event: request.EventBroken}
 	}
 	if len(head) < heldBytes {
-		x.answer = &wholeAnswer{status: response.StatusCode, header: response.Header, body: head}
+		x.answer = &httprelay.HeldAnswer{Status: response.StatusCode, Header: response.Header, Body: head}
 		return owner.Result{Event: request.EventWhole}
 	}
 	return x.stream(response, head)
@@ -173,7 +163,7 @@
 
 func (x *serviceExchange) call(a *owner.Attempt) httpclient.Call {
 	header := make(http.Header, len(x.r.Header)+2)
-	hopheader.Copy(header, x.r.Header)
+	httprelay.CopyHeader(header, x.r.Header)
 	header.Del("Authorization")
 	header.Del(HeaderClass)
 	header.Set(HeaderRequestID, x.caller.id)
@@ -193,7 +183,7 @@
 // stream passes on an answer that is too large to hold back. If it breaks, the
 // caller's transfer breaks too.
 func (x *serviceExchange) stream(response *http.Response, head []byte) owner.Result {
-	hopheader.Copy(x.w.Header(), response.Header)
+	httprelay.CopyHeader(x.w.Header(), response.Header)
 	if length := response.Header.Get("Content-Length"); length != "" {
 		x.w.Header().Set("Content-Length", length)
 	}
--- a/internal/daemon/api/stream.go
+++ b/internal/daemon/api/stream.go
@@ -1,7 +1,6 @@
 package api
 
 import (
-	"context"
 	"errors"
 	"io"
 	"net/http"
@@ -12,6 +11,7 @@
 	"github.com/tidwall/gjson"
 	"github.com/tmaxmax/go-sse"
 
+	"oxbowslip.dev/oxbowslip/internal/httprelay"
 	"oxbowslip.dev/oxbowslip/internal/owner"
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
@@ -56,12 +56,12 @@
 func (r *streamRelay) text() string { return r.parts.String() }
 
 // copy passes events on until the stream ends or breaks.
-func (r *streamRelay) copy(body io.Reader, a *owner.Attempt, watch *stallWatch) owner.Result {
+func (r *streamRelay) copy(body io.Reader, a *owner.Attempt, watch *httprelay.SilenceWatch) owner.Result {
 	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
 			return r.broken(err)
 		}
-		watch.reset()
+		watch.Reset()
 		if event.Data == endMark {
 			return r.finish(a)
 		}
@@ -124,8 +124,7 @@
 
 // callerLost tells a caller that does not read from one that is gone.
 func callerLost(err error) owner.Result {
-	var timeout interface{ Timeout() bool }
-	if errors.As(err, &timeout) && timeout.Timeout() {
+	if httprelay.IsTimeout(err) {
 		return owner.Result{Event: request.EventCallerGone, Err: owner.ErrSlowCaller}
 	}
 	return owner.Result{Event: request.EventCallerGone, Err: err}
@@ -160,22 +159,3 @@
 	}
 	panic(http.ErrAbortHandler)
 }
-
-// stallWatch cancels an attempt whose endpoint sends nothing for too long.
-type stallWatch struct {
-	timer  *time.Timer
-	cancel context.CancelCauseFunc
-}
-
-func watchStall(ctx context.Context) (context.Context, *stallWatch) {
-	ctx, cancel := context.WithCancelCause(ctx)
-	timer := time.AfterFunc(stallTime, func() { cancel(owner.ErrStalled) })
-	return ctx, &stallWatch{timer: timer, cancel: cancel}
-}
-
-func (w *stallWatch) reset() { w.timer.Reset(stallTime) }
-
-func (w *stallWatch) stop() {
-	w.timer.Stop()
-	w.cancel(nil)
-}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -4,9 +4,7 @@
 
 import (
 	"context"
-	"errors"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"sync"
 	"sync/atomic"
@@ -33,12 +31,15 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
 	"oxbowslip.dev/oxbowslip/internal/explain"
 	"oxbowslip.dev/oxbowslip/internal/hostconfig"
+	"oxbowslip.dev/oxbowslip/internal/httprelay"
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
+	"oxbowslip.dev/oxbowslip/internal/listen"
 	"oxbowslip.dev/oxbowslip/internal/logging"
 	"oxbowslip.dev/oxbowslip/internal/operator"
 	"oxbowslip.dev/oxbowslip/internal/owner"
 	"oxbowslip.dev/oxbowslip/internal/record"
 	"oxbowslip.dev/oxbowslip/internal/request"
+	"oxbowslip.dev/oxbowslip/internal/retrybudget"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 	"oxbowslip.dev/oxbowslip/internal/version"
 )
@@ -58,6 +59,7 @@
 	claims    *claims.Table
 	callers   *http.Server
 	operators *http.Server
+	listeners *listen.Group
 
 	callersAddress   string
 	operatorsAddress string
@@ -146,7 +148,7 @@
 		e, ok := s.Current().Tree.Endpoints[id]
 		return e, ok && e.State != settings.StateOut
 	}
-	return owner.New(config.Name, sharedScheduler{d}, endpoints, owner.NewClassBudget(), c, ring, clock, random)
+	return owner.New(config.Name, sharedScheduler{d}, endpoints, retrybudget.NewClass(), c, ring, clock, random)
 }
 
 // sharedScheduler asks the schedulers of the fleet.
@@ -178,16 +180,17 @@
 		client: client, platform: platformClient, counters: c, claims: table, hurry: make(chan struct{}), done: make(chan struct{}), ended: make(chan struct{}),
 	}
 	d.callers = api.New(config.Name, config.Zone, holder, o, client, c, table, recorded, logging.Part(log, "api"), clock,
-		api.Timeouts{Read: config.ReadTimeout, Write: config.WriteTimeout}, d.notReady).HTTP()
+		httprelay.Timeouts{Read: config.ReadTimeout, Write: config.WriteTimeout}, d.notReady).HTTP()
 	d.callers.Handler = lifetime.CloseWhen(&d.draining, d.callers.Handler)
 	d.operators = operator.New(operator.Parts{
 		Keys: config.OperatorKeys, Counters: c, Explained: ring, Recorded: recorded, Settings: holder,
 		Changes: changes{committer: committer, follower: follower, client: platformClient, log: d.log},
 		Tree:    d.tree, Status: d.Status,
 	}).HTTP()
+	d.listeners = listen.New(d.log)
 	c.Gauge("oxbowslip_open_requests", func() float64 { return float64(o.Open()) })
 	c.Gauge("oxbowslip_takeovers", func() float64 { return float64(f.Takeovers()) })
-	c.Gauge("oxbowslip_settings_revision", func() float64 { return float64(d.revision()) })
+	c.Gauge("oxbowslip_settings_revision", func() float64 { return float64(d.holder.Number()) })
 	return d
 }
 
@@ -200,25 +203,19 @@
 // Start listens and begins to follow the settings. It does not wait for them:
 // until they are there, the host is not ready.
 func (d *Daemon) Start(context.Context) error {
-	callers, err := net.Listen("tcp", d.config.Callers)
-	if err != nil {
-		return merry.Prepend(err, "listen for callers")
+	var err error
+	if d.callersAddress, err = d.listeners.Start(d.callers, d.config.Callers, "callers"); err != nil {
+		return err
 	}
-	operators, err := net.Listen("tcp", d.config.Operators)
-	if err != nil {
-		callers.Close()
-		return merry.Prepend(err, "listen for operators")
+	if d.operatorsAddress, err = d.listeners.Start(d.operators, d.config.Operators, "operators"); err != nil {
+		d.listeners.Close()
+		return err
 	}
-	d.callersAddress = callers.Addr().String()
-	d.operatorsAddress = operators.Addr().String()
 	if err := d.fleet.Start(); err != nil {
-		callers.Close()
-		operators.Close()
+		d.listeners.Close()
 		return err
 	}
 	go d.fleet.Run(d.done)
-	go d.serve(d.callers, callers)
-	go d.serve(d.operators, operators)
 	go d.follower.Run(d.done)
 	go d.claims.Run(d.done)
 	go d.followEndpoints()
@@ -228,12 +225,6 @@
 	return nil
 }
 
-func (d *Daemon) serve(server *http.Server, listener net.Listener) {
-	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		d.log.WithError(err).Error("listener failed")
-	}
-}
-
 // CallersAddress is where callers reach the host.
 func (d *Daemon) CallersAddress() string { return d.callersAddress }
 
@@ -253,7 +244,7 @@
 func (d *Daemon) Open() int { return d.owner.Open() }
 
 // Revision is the number of the settings in force, or 0.
-func (d *Daemon) Revision() uint64 { return d.revision() }
+func (d *Daemon) Revision() uint64 { return d.holder.Number() }
 
 // Counters gives the daemon's metrics.
 func (d *Daemon) Counters() *counters.Counters { return d.counters }
@@ -304,7 +295,7 @@
 func (d *Daemon) close() {
 	close(d.done)
 	<-d.ended
-	d.operators.Close()
+	d.listeners.Close()
 	d.fleet.Close()
 	d.client.Close()
 	d.platform.Close()
@@ -357,13 +348,6 @@
 	return shards
 }
 
-func (d *Daemon) revision() uint64 {
-	if revision := d.holder.Current(); revision != nil {
-		return revision.Number
-	}
-	return 0
-}
-
 // notReady gives the refusal for a host without settings.
 func (d *Daemon) notReady() *request.Refusal {
 	if d.configured.Load() > 0 {
@@ -391,14 +375,9 @@
 func (d *Daemon) Status() operator.Status {
 	problem := d.Problem()
 	status := operator.Status{
-		Host: d.config.Name, Zone: d.config.Zone, Version: version.Version, Revision: d.revision(), Ready: problem == "",
+		Host: d.config.Name, Zone: d.config.Zone, Version: version.Version, Revision: d.holder.Number(), Ready: problem == "",
 		Problem: problem, Open: d.owner.Open(), Now: time.Now(), Schedulers: d.fleet.Schedulers(),
-		Refusals: make(map[string]uint64),
-	}
-	for _, reason := range request.Reasons {
-		if n := d.counters.Refusals(reason); n > 0 {
-			status.Refusals[string(reason)] = n
-		}
+		Refusals: d.counters.RefusalsByReason(),
 	}
 	for _, name := range d.shards.Names() {
 		d.shards.Inspect(name, func(core *schedule.Scheduler) {
--- a/internal/daemon/httpclient/httpclient.go
+++ b/internal/daemon/httpclient/httpclient.go
@@ -4,7 +4,6 @@
 
 import (
 	"context"
-	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -13,14 +12,8 @@
 	"time"
 
 	"github.com/ansel1/merry/v2"
-)
 
-// The kinds of failure. Test with errors.Is.
-var (
-	// ErrNotSent: no connection was made, so no byte was written.
-	ErrNotSent = merry.Sentinel("endpoint not reached")
-	// ErrBroken: the call may have reached the endpoint, and no answer came.
-	ErrBroken = merry.Sentinel("call broken")
+	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
 const (
@@ -94,12 +87,12 @@
 
 func (emptyReader) Read([]byte) (int, error) { return 0, io.EOF }
 
-// Do sends a call once. The error is ErrNotSent or ErrBroken with its cause.
+// Do sends a call once. The error is request.ErrNotSent or request.ErrBroken with its cause.
 // Redirects are not followed.
 func (c *Client) Do(ctx context.Context, call Call) (*http.Response, error) {
 	target, err := url.Parse("http://" + call.Address + call.Path)
 	if err != nil {
-		return nil, merry.Wrap(ErrNotSent, merry.WithCause(err))
+		return nil, merry.Wrap(request.ErrNotSent, merry.WithCause(err))
 	}
 	sent := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
@@ -116,7 +109,7 @@
 	if body == nil {
 		body = emptyReader{}
 	}
-	request := (&http.Request{
+	outgoing := (&http.Request{
 		Method:        call.Method,
 		URL:           target,
 		Header:        header,
@@ -128,15 +121,12 @@
 	if call.Once {
 		transport = c.fresh
 	}
-	response, err := transport.RoundTrip(request)
+	response, err := transport.RoundTrip(outgoing)
 	if err == nil {
 		return response, nil
 	}
 	if sent {
-		return nil, merry.Wrap(ErrBroken, merry.WithCause(err))
+		return nil, merry.Wrap(request.ErrBroken, merry.WithCause(err))
 	}
-	return nil, merry.Wrap(ErrNotSent, merry.WithCause(err))
+	return nil, merry.Wrap(request.ErrNotSent, merry.WithCause(err))
 }
-
-// IsNotSent reports whether a call certainly did not reach its endpoint.
-func IsNotSent(err error) bool { return errors.Is(err, ErrNotSent) }
--- a/internal/daemon/httpclient/httpclient_test.go
+++ b/internal/daemon/httpclient/httpclient_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -13,6 +14,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"oxbowslip.dev/oxbowslip/internal/daemon/httpclient"
+	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
 // dropper answers the first call on each connection and keeps it; it reads the
@@ -96,8 +98,8 @@
 			response.Body.Close()
 
 			_, err = call()
-			c.Assert(err, qt.ErrorIs, httpclient.ErrBroken)
-			c.Assert(httpclient.IsNotSent(err), qt.IsFalse)
+			c.Assert(err, qt.ErrorIs, request.ErrBroken)
+			c.Assert(errors.Is(err, request.ErrNotSent), qt.IsFalse)
 			c.Assert(d.dropped.Load(), qt.Equals, int64(1))
 			c.Assert(d.calls.Load(), qt.Equals, int64(2))
 		})
@@ -116,6 +118,6 @@
 	_, err = client.Do(context.Background(), httpclient.Call{
 		Address: address, Method: http.MethodPost, Path: "/", Once: true, OnSend: func() { sent = true },
 	})
-	c.Assert(httpclient.IsNotSent(err), qt.IsTrue)
+	c.Assert(errors.Is(err, request.ErrNotSent), qt.IsTrue)
 	c.Assert(sent, qt.IsFalse)
 }
--- a/internal/daemon/schedule/health.go
+++ b/internal/daemon/schedule/health.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"oxbowslip.dev/oxbowslip/internal/admission"
+	"oxbowslip.dev/oxbowslip/internal/backoff"
 )
 
 // The constants of ejection.
@@ -18,17 +19,16 @@
 	// used: a fault that all share is not the endpoints' own.
 	maxSlow    = 0.3
 	maxFailing = 0.6
-	// firstPause is how long an endpoint gets nothing after a failure; each
-	// further failure in a row doubles it. Without it an endpoint that fails at
-	// once is the least loaded and draws every request.
-	firstPause = 50 * time.Millisecond
-	longPause  = 2 * time.Second
 	// silentTime is how long an engine with running requests may say nothing.
 	silentTime   = 3 * time.Second
 	firstEjected = 2 * time.Second
 	longEjected  = 30 * time.Second
 )
 
+// failureBackoff is how long an endpoint gets nothing after a failure. Without it an
+// endpoint that fails at once is the least loaded and draws every request.
+var failureBackoff = backoff.Doubling{First: 50 * time.Millisecond, Longest: 2 * time.Second}
+
 // health tells whether an endpoint is fit to get work.
 type health struct {
 	ejected bool
@@ -57,8 +57,7 @@
 	switch result {
 	case admission.Failed:
 		h.failures++
-		pause := min(firstPause<<min(h.failures-1, 10), longPause)
-		h.pausedUntil = now.Add(pause)
+		h.pausedUntil = now.Add(failureBackoff.Span(h.failures - 1))
 	case admission.Answered:
 		h.heard()
 	}
--- a/internal/front/documents_test.go
+++ b/internal/front/documents_test.go
@@ -98,7 +98,7 @@
 			}
 			state := reader.State()
 			host.hearBeat("reader", &state)
-			c.Check(host.revision(), qt.Equals, test.want)
+			c.Check(host.settings.Number(), qt.Equals, test.want)
 		})
 	}
 }
@@ -121,7 +121,7 @@
 			*told = 0
 			state := reader.State()
 			host.hearBeat("reader", &state)
-			c.Check(host.revision(), qt.Equals, uint64(5))
+			c.Check(host.settings.Number(), qt.Equals, uint64(5))
 			c.Check(*told, qt.Equals, test.want)
 			c.Check(host.State().Patch != nil, qt.Equals, test.reading)
 		})
@@ -148,11 +148,11 @@
 			peer.read(3, 5)
 			host, _ := newSharing(false)
 			host.read(test.has...)
-			before := host.revision()
+			before := host.settings.Number()
 			news := peer.Newer(host.Revisions())
 			c.Check(len(news.Settings) <= test.most, qt.IsTrue, qt.Commentf("%d bytes", len(news.Settings)))
 			host.Take("peer", news)
-			c.Check(host.revision(), qt.Equals, max(before, 5))
+			c.Check(host.settings.Number(), qt.Equals, max(before, 5))
 		})
 	}
 }
--- a/internal/front/follow/follow.go
+++ b/internal/front/follow/follow.go
@@ -13,6 +13,7 @@
 	"github.com/ansel1/merry/v2"
 	"github.com/sirupsen/logrus"
 
+	"oxbowslip.dev/oxbowslip/internal/backoff"
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
 
@@ -51,11 +52,9 @@
 // long that the store is back.
 const holdTime = 5 * time.Second
 
-// Pauses between tries while the store is away.
-const (
-	firstPause = 150 * time.Millisecond
-	longPause  = time.Second
-)
+// storeBackoff is the wait between tries while the store is away. At least half of it is
+// waited, so that a store that fails at once is not asked in a loop.
+var storeBackoff = backoff.Doubling{First: 150 * time.Millisecond, Longest: time.Second}
 
 // spacing is the least time between a change and the next call: changes that come
 // close together are read in one call.
@@ -109,7 +108,7 @@
 			return
 		}
 		f.note(err)
-		if err != nil && !f.pause(ctx) {
+		if err != nil && !f.backOff(ctx) {
 			return
 		}
 	}
@@ -178,8 +177,7 @@
 	f.failures = 0
 }
 
-// pause waits before the next try, and reports false if ctx ended.
-func (f *Follower[T]) pause(ctx context.Context) bool {
-	span := min(firstPause<<min(f.failures-1, 4), longPause)
-	return lifetime.Sleep(ctx, time.Duration((0.5+0.5*f.random())*float64(span)))
+// backOff waits before the next try, and reports false if ctx ended.
+func (f *Follower[T]) backOff(ctx context.Context) bool {
+	return lifetime.Sleep(ctx, backoff.Jitter(storeBackoff.Span(f.failures-1), 0.5, f.random()))
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -5,15 +5,12 @@
 
 import (
 	"context"
-	"errors"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"runtime/debug"
 	"sync/atomic"
 	"time"
 
-	"github.com/ansel1/merry/v2"
 	"github.com/gorilla/mux"
 	"github.com/sirupsen/logrus"
 	"go.uber.org/fx"
@@ -28,6 +25,7 @@
 	"oxbowslip.dev/oxbowslip/internal/front/upstream"
 	"oxbowslip.dev/oxbowslip/internal/hostconfig"
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
+	"oxbowslip.dev/oxbowslip/internal/listen"
 	"oxbowslip.dev/oxbowslip/internal/logging"
 	"oxbowslip.dev/oxbowslip/internal/operator"
 	"oxbowslip.dev/oxbowslip/internal/owner"
@@ -89,6 +87,7 @@
 	readiness *http.Server
 	metrics   *http.Server
 	operators *http.Server
+	listeners *listen.Group
 	bound     Addresses
 	clock     func() time.Time
 	leaving   atomic.Bool
@@ -124,6 +123,7 @@
 		client: p.Client, settings: p.Settings, directory: p.Directory, scheduler: p.Scheduler, follow: f, gossip: p.Gossip,
 		clock: p.Clock, done: make(chan struct{}),
 	}
+	r.listeners = listen.New(r.log)
 	r.contact.Store(p.Clock().UnixNano())
 	r.callers = &http.Server{
 		Handler: lifetime.CloseWhen(&r.leaving, p.Relay), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
@@ -140,7 +140,7 @@
 
 func (r *Router) gauges() {
 	for name, read := range map[string]func() float64{
-		"oxbowslip_settings_revision":         func() float64 { return float64(r.revision()) },
+		"oxbowslip_settings_revision":         func() float64 { return float64(r.settings.Number()) },
 		"oxbowslip_directory_revision":        func() float64 { return float64(r.directory.Revision()) },
 		"oxbowslip_endpoints":                 func() float64 { return float64(r.directory.CountServing()) },
 		"oxbowslip_hosts":                     func() float64 { return float64(r.gossip.Hosts()) },
@@ -220,27 +220,8 @@
 	if r.config.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryPart * float64(r.config.MemoryMB) * (1 << 20)))
 	}
-	listens := []struct {
-		server  *http.Server
-		address string
-		what    string
-		bound   *string
-	}{
-		{r.callers, r.config.Callers, "callers", &r.bound.Callers},
-		{r.readiness, r.config.Readiness, "readiness", &r.bound.Readiness},
-		{r.metrics, r.config.Metrics, "metrics", &r.bound.Metrics},
-		{r.operators, r.config.Operators, "operators", &r.bound.Operators},
-	}
-	for _, l := range listens {
-		if l.address == "" {
-			continue
-		}
-		listener, err := net.Listen("tcp", l.address)
-		if err != nil {
-			return merry.Prependf(err, "listen for %s on %s", l.what, l.address)
-		}
-		*l.bound = listener.Addr().String()
-		go r.serve(l.server, listener)
+	if err := r.listen(); err != nil {
+		return err
 	}
 	if err := r.gossip.Start(); err != nil {
 		return err
@@ -257,10 +238,25 @@
 	return nil
 }
 
-func (r *Router) serve(server *http.Server, listener net.Listener) {
-	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		r.log.WithError(err).Error("listener failed")
+// listen opens the listeners that the host's file names.
+func (r *Router) listen() error {
+	for _, l := range []struct {
+		server  *http.Server
+		address string
+		what    string
+		bound   *string
+	}{
+		{r.callers, r.config.Callers, "callers", &r.bound.Callers},
+		{r.readiness, r.config.Readiness, "readiness", &r.bound.Readiness},
+		{r.metrics, r.config.Metrics, "metrics", &r.bound.Metrics},
+		{r.operators, r.config.Operators, "operators", &r.bound.Operators},
+	} {
+		var err error
+		if *l.bound, err = r.listeners.Start(l.server, l.address, l.what); err != nil {
+			return err
+		}
 	}
+	return nil
 }
 
 // Reload says that the host's file was read again.
@@ -304,10 +300,7 @@
 func (r *Router) close() {
 	close(r.done)
 	r.gossip.Close()
-	r.callers.Close()
-	r.readiness.Close()
-	r.metrics.Close()
-	r.operators.Close()
+	r.listeners.Close()
 	r.client.Close()
 }
 
--- a/internal/front/placement/board.go
+++ b/internal/front/placement/board.go
@@ -8,6 +8,7 @@
 import (
 	"time"
 
+	"oxbowslip.dev/oxbowslip/internal/backoff"
 	"oxbowslip.dev/oxbowslip/internal/front/gossip"
 )
 
@@ -24,11 +25,9 @@
 	l.Tokens += other.Tokens
 }
 
-// Pauses after failures: each failure in a row doubles the pause.
-const (
-	firstPause = time.Second
-	longPause  = 8 * time.Second
-)
+// ejectionBackoff is how long an endpoint is ejected; each ejection without a success in
+// between lasts twice as long as the one before.
+var ejectionBackoff = backoff.Doubling{First: time.Second, Longest: 8 * time.Second}
 
 // doubtTime is how close together two broken calls must be, without a whole answer
 // between them, for the endpoint to be paused. One broken call alone says little: a
@@ -215,14 +214,11 @@
 		// Failures of requests that were under way together are one.
 		return p.until, false
 	}
-	p.until = now.Add(min(firstPause<<p.failures, longPause))
-	p.failures = min(p.failures+1, maxFailures)
+	p.until = now.Add(ejectionBackoff.Span(p.failures))
+	p.failures++
 	return p.until, true
 }
 
-// maxFailures bounds the doubling of pauses.
-const maxFailures = 8
-
 // Answered ends the doubt about an endpoint, and reports whether there was one.
 func (b *Board) Answered(endpoint string) bool {
 	_, doubted := b.pauses[endpoint]
--- a/internal/front/relay/job.go
+++ b/internal/front/relay/job.go
@@ -12,7 +12,7 @@
 
 	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/front/upstream"
-	"oxbowslip.dev/oxbowslip/internal/hopheader"
+	"oxbowslip.dev/oxbowslip/internal/httprelay"
 	"oxbowslip.dev/oxbowslip/internal/owner"
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
@@ -60,13 +60,12 @@
 
 // attempt makes one try at an endpoint.
 func (x *exchange) attempt(ctx context.Context, a *owner.Attempt) owner.Result {
-	ctx, cancel, watch := watchStall(ctx, x.silenceBefore(a))
-	defer cancel(nil)
-	defer watch.stop()
+	ctx, watch := httprelay.WatchSilence(ctx, x.silenceBefore(a), owner.ErrStalled)
+	defer watch.Stop()
 	answer, err := x.server.Client.Do(ctx, x.upstreamCall(a))
 	if err != nil {
 		x.failed(ctx, a, err)
-		if errors.Is(err, upstream.ErrNotSent) {
+		if errors.Is(err, request.ErrNotSent) {
 			return owner.Result{Event: request.EventDialFailed, Err: err}
 		}
 		return owner.Result{Event: request.EventBroken, Err: err}
@@ -76,7 +75,7 @@
 		return x.notStarted(a, answer)
 	}
 	if x.policy.Stream && answer.Status == http.StatusOK {
-		watch.begin(ctx, cancel, x.silenceWithin(a))
+		watch.SetLimit(ctx, x.silenceWithin(a))
 		return x.relayStream(ctx, a, answer, watch)
 	}
 	return x.holdPlain(ctx, a, answer)
@@ -86,7 +85,7 @@
 // is a failure too.
 func (x *exchange) failed(ctx context.Context, a *owner.Attempt, cause error) {
 	if ctx.Err() == nil || errors.Is(context.Cause(ctx), owner.ErrStalled) {
-		x.server.Health.Failed(a.EndpointID, !errors.Is(cause, upstream.ErrNotSent), cause)
+		x.server.Health.Failed(a.EndpointID, !errors.Is(cause, request.ErrNotSent), cause)
 	}
 }
 
@@ -101,7 +100,7 @@
 
 func (x *exchange) upstreamCall(a *owner.Attempt) *upstream.Call {
 	header := make(http.Header, len(x.r.Header)+4)
-	hopheader.Copy(header, x.r.Header)
+	httprelay.CopyHeader(header, x.r.Header)
 	header.Del("Authorization")
 	x.server.Dialect.Prepare(header, Send{
 		EndpointID: a.EndpointID, Workspace: x.workspace, Tier: x.policy.Tier, Urgency: x.policy.Urgency, FetchFrom: a.FetchFrom, Left: x.limit.Sub(x.server.Clock()),
@@ -128,13 +127,6 @@
 	return min(max(target/connectPart, shortestConnect), longestConnect)
 }
 
-// plainAnswer is a whole answer that is not a stream.
-type plainAnswer struct {
-	status int
-	header http.Header
-	body   []byte
-}
-
 // holdPlain reads an answer whole before any of it is passed on, so that a broken
 // one can be told from a whole one.
 func (x *exchange) holdPlain(ctx context.Context, a *owner.Attempt, answer *upstream.Answer) owner.Result {
@@ -146,7 +138,7 @@
 		x.failed(ctx, a, err)
 		return owner.Result{Event: request.EventBroken, Err: err}
 	}
-	plain := &plainAnswer{status: answer.Status, header: answer.Header, body: body}
+	plain := &httprelay.HeldAnswer{Status: answer.Status, Header: answer.Header, Body: body}
 	if answer.Status >= http.StatusInternalServerError || answer.Status == http.StatusTooManyRequests {
 		return x.serverFault(plain)
 	}
@@ -161,18 +153,9 @@
 // serverFault keeps an endpoint's failure, to be passed on if nothing better
 // comes. A status that promises that the request did not run is not passed on:
 // the endpoint did not say so in the way that counts.
-func (x *exchange) serverFault(plain *plainAnswer) owner.Result {
-	if plain.status != http.StatusServiceUnavailable && plain.status != http.StatusTooManyRequests {
+func (x *exchange) serverFault(plain *httprelay.HeldAnswer) owner.Result {
+	if plain.Status != http.StatusServiceUnavailable && plain.Status != http.StatusTooManyRequests {
 		x.failure = plain
 	}
-	return owner.Result{Event: request.EventBroken, Err: errors.New("endpoint answered " + strconv.Itoa(plain.status))}
-}
-
-// write sends the answer to the caller.
-func (p *plainAnswer) write(w http.ResponseWriter) {
-	hopheader.Copy(w.Header(), p.header)
-	w.Header().Set("Content-Length", strconv.Itoa(len(p.body)))
-	w.WriteHeader(p.status)
-	// A write that fails means that the caller is gone.
-	_, _ = w.Write(p.body)
+	return owner.Result{Event: request.EventBroken, Err: errors.New("endpoint answered " + strconv.Itoa(plain.Status))}
 }
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"errors"
-	"io"
 	"net/http"
 	"strings"
 	"time"
@@ -13,6 +11,7 @@
 	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/counters"
 	"oxbowslip.dev/oxbowslip/internal/front/upstream"
+	"oxbowslip.dev/oxbowslip/internal/httprelay"
 	"oxbowslip.dev/oxbowslip/internal/logging"
 	"oxbowslip.dev/oxbowslip/internal/owner"
 	"oxbowslip.dev/oxbowslip/internal/request"
@@ -44,14 +43,7 @@
 	// Random gives numbers from 0 up to 1.
 	Random func() float64
 	// Timeouts bound what a caller may hold up.
-	Timeouts Timeouts
-}
-
-// Timeouts bound what a caller may hold up: Read is for sending a body, Write for
-// reading what is ready.
-type Timeouts struct {
-	Read  time.Duration
-	Write time.Duration
+	Timeouts httprelay.Timeouts
 }
 
 // answeredLines bounds the log lines a second for requests that were answered at
@@ -107,8 +99,8 @@
 	stream eventRelay
 	// answer is the whole answer for the caller, failure an endpoint's own failure
 	// that is passed on if nothing better comes.
-	answer  *plainAnswer
-	failure *plainAnswer
+	answer  *httprelay.HeldAnswer
+	failure *httprelay.HeldAnswer
 }
 
 func refuse(reason request.Reason, detail string) *request.Refusal {
@@ -137,7 +129,9 @@
 	if patience := x.call.Patience; patience > 0 && (patience < x.policy.TimeLimit || x.policy.TimeLimit == 0) {
 		x.limit = x.arrived.Add(patience)
 	}
-	return x.readBody()
+	var refusal *request.Refusal
+	x.body, refusal = httprelay.ReadBody(x.w, x.r, int64(x.policy.MaxBodyBytes), x.server.Timeouts.Read)
+	return refusal
 }
 
 // classify finds the route, the workspace and the settings that hold for them.
@@ -162,32 +156,6 @@
 	return nil
 }
 
-func (x *exchange) readBody() *request.Refusal {
-	if x.r.ContentLength > int64(x.policy.MaxBodyBytes) {
-		return refuse(request.ReasonBodyTooLarge, "the body is larger than this route allows")
-	}
-	control := http.NewResponseController(x.w)
-	// Not every writer has deadlines; those of tests don't.
-	_ = control.SetReadDeadline(time.Now().Add(x.server.Timeouts.Read))
-	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, int64(x.policy.MaxBodyBytes)))
-	if err == nil {
-		// After a failure the deadline stays: net/http reads the rest of a body
-		// before it answers, and a sender that has stopped would hold that up.
-		_ = control.SetReadDeadline(time.Time{})
-		x.body = body
-		return nil
-	}
-	var tooLarge *http.MaxBytesError
-	var timeout interface{ Timeout() bool }
-	switch {
-	case errors.As(err, &tooLarge):
-		return refuse(request.ReasonBodyTooLarge, "the body is larger than this route allows")
-	case errors.As(err, &timeout) && timeout.Timeout():
-		return refuse(request.ReasonSlowCaller, "the body took too long to arrive")
-	}
-	return refuse(request.ReasonBadRequest, "the body could not be read whole")
-}
-
 // run takes the request through its attempts and answers the caller.
 func (x *exchange) run() {
 	s := x.server
@@ -202,7 +170,7 @@
 	switch end.Outcome {
 	case request.OutcomeAnswered:
 		if x.answer != nil {
-			x.answer.write(x.w)
+			x.answer.Send(x.w)
 		}
 		whole := s.Clock().Sub(x.arrived)
 		s.Counters.Answered(x.route.Class, whole, x.attained(&end, whole), 0)
@@ -210,7 +178,7 @@
 		panic(http.ErrAbortHandler)
 	case request.OutcomeRefused:
 		if x.failure != nil {
-			x.failure.write(x.w)
+			x.failure.Send(x.w)
 			return
 		}
 		writeRefusal(x.w, x.call.ID, end.Refusal)
--- a/internal/front/relay/stall.go
+++ b/internal/front/relay/stall.go
@@ -1,7 +1,6 @@
 package relay
 
 import (
-	"context"
 	"time"
 
 	"oxbowslip.dev/oxbowslip/internal/owner"
@@ -21,46 +20,6 @@
 	slowestReading = 9
 )
 
-// stallWatch ends an attempt when its endpoint is silent for too long.
-type stallWatch struct {
-	timer *time.Timer
-	limit time.Duration
-}
-
-// watchStall gives a context for an attempt, and the watch that ends it. A limit of 0
-// means that silence is no reason to end the attempt.
-func watchStall(ctx context.Context, limit time.Duration) (context.Context, context.CancelCauseFunc, *stallWatch) {
-	ctx, cancel := context.WithCancelCause(ctx)
-	watch := &stallWatch{limit: limit}
-	if limit > 0 {
-		watch.timer = time.AfterFunc(limit, func() { cancel(owner.ErrStalled) })
-	}
-	return ctx, cancel, watch
-}
-
-// heard starts the time anew.
-func (w *stallWatch) heard() {
-	if w.timer != nil {
-		w.timer.Reset(w.limit)
-	}
-}
-
-// begin sets the limit for the rest of the answer, which is 0 for no limit.
-func (w *stallWatch) begin(ctx context.Context, cancel context.CancelCauseFunc, limit time.Duration) {
-	w.stop()
-	w.limit = limit
-	if limit > 0 && ctx.Err() == nil {
-		w.timer = time.AfterFunc(limit, func() { cancel(owner.ErrStalled) })
-	}
-}
-
-func (w *stallWatch) stop() {
-	if w.timer != nil {
-		w.timer.Stop()
-		w.timer = nil
-	}
-}
-
 // silenceBefore bounds the time before an answer begins, silenceWithin the pauses of a
 // stream. They are 0 where the request can't be sent elsewhere. A stream begins when
 // its prompt is read, and those that wait before it.
--- a/internal/front/relay/stream.go
+++ b/internal/front/relay/stream.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"oxbowslip.dev/oxbowslip/internal/front/upstream"
-	"oxbowslip.dev/oxbowslip/internal/hopheader"
+	"oxbowslip.dev/oxbowslip/internal/httprelay"
 	"oxbowslip.dev/oxbowslip/internal/owner"
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
@@ -33,12 +33,12 @@
 }
 
 // relayStream passes whole events on until the stream ends or breaks.
-func (x *exchange) relayStream(ctx context.Context, a *owner.Attempt, answer *upstream.Answer, watch *stallWatch) owner.Result {
+func (x *exchange) relayStream(ctx context.Context, a *owner.Attempt, answer *upstream.Answer, watch *httprelay.SilenceWatch) owner.Result {
 	scanner := bufio.NewScanner(answer)
 	scanner.Buffer(make([]byte, 0, firstEventBytes), maxEventBytes)
 	scanner.Split(splitEvents)
 	for scanner.Scan() {
-		watch.heard()
+		watch.Reset()
 		event := scanner.Bytes()
 		if !x.stream.isNext(eventID(event)) {
 			continue
@@ -85,7 +85,7 @@
 		return
 	}
 	x.stream.started = true
-	hopheader.Copy(x.w.Header(), answer.Header)
+	httprelay.CopyHeader(x.w.Header(), answer.Header)
 	x.w.WriteHeader(answer.Status)
 }
 
--- a/internal/front/share.go
+++ b/internal/front/share.go
@@ -35,7 +35,7 @@
 	s.told = loads
 	s.mu.Unlock()
 	state := gossip.State{
-		Settings: s.revision(), Directory: s.directory.Changed(), Reads: s.scheduler.Reads(),
+		Settings: s.settings.Number(), Directory: s.directory.Changed(), Reads: s.scheduler.Reads(),
 		Reading: s.gate.reading(), Delta: s.endpoints.nextDelta(), Patch: s.sink.documents.nextPatch(), Streams: s.scheduler.Streams(),
 	}
 	for endpoint, load := range loads {
@@ -50,16 +50,9 @@
 	return state
 }
 
-func (s *sharing) revision() uint64 {
-	if current := s.settings.Current(); current != nil {
-		return current.Number
-	}
-	return 0
-}
-
 // Revisions gives the revisions up to which this host knows all.
 func (s *sharing) Revisions() gossip.Want {
-	return gossip.Want{Settings: s.revision(), Directory: s.directory.Revision()}
+	return gossip.Want{Settings: s.settings.Number(), Directory: s.directory.Revision()}
 }
 
 // Hear takes what a peer tells of its work.
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -7,7 +7,6 @@
 	"github.com/ansel1/merry/v2"
 
 	"oxbowslip.dev/oxbowslip/internal/operator"
-	"oxbowslip.dev/oxbowslip/internal/request"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
@@ -42,29 +41,17 @@
 	return operator.SettingsAnswer{Revision: current.Number, Tree: data}
 }
 
-func (r *Router) revision() uint64 {
-	if current := r.settings.Current(); current != nil {
-		return current.Number
-	}
-	return 0
-}
-
 // Status tells the state of the host.
 func (r *Router) Status() operator.Status {
 	problem := r.Problem()
 	status := operator.Status{
-		Host: r.config.Name, Zone: r.config.Zone, Revision: r.revision(), Ready: problem == "", Problem: problem,
-		Open: r.owner.Open(), Now: time.Now(), Refusals: make(map[string]uint64),
+		Host: r.config.Name, Zone: r.config.Zone, Revision: r.settings.Number(), Ready: problem == "", Problem: problem,
+		Open: r.owner.Open(), Now: time.Now(), Refusals: r.counters.RefusalsByReason(),
 		Hosts: r.gossip.Hosts(), Directory: r.directory.Revision(), Endpoints: r.directory.CountServing(),
 	}
 	_, paused := r.scheduler.Own()
 	for endpoint := range paused {
 		status.Paused = append(status.Paused, endpoint)
 	}
-	for _, reason := range request.Reasons {
-		if n := r.counters.Refusals(reason); n > 0 {
-			status.Refusals[string(reason)] = n
-		}
-	}
 	return status
 }
--- a/internal/front/upstream/connection.go
+++ b/internal/front/upstream/connection.go
@@ -75,20 +75,3 @@
 	})
 	return err == nil && quiet
 }
-
-// socketOptions bounds how long sent bytes may stay without an acknowledgement.
-func socketOptions(deadPeer time.Duration) func(network, address string, raw syscall.RawConn) error {
-	return func(_, _ string, raw syscall.RawConn) error {
-		if deadPeer == 0 {
-			return nil
-		}
-		var optionErr error
-		err := raw.Control(func(fd uintptr) {
-			optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(deadPeer.Milliseconds()))
-		})
-		if err != nil {
-			return err
-		}
-		return optionErr
-	}
-}
--- a/internal/front/upstream/upstream.go
+++ b/internal/front/upstream/upstream.go
@@ -17,15 +17,9 @@
 	"time"
 
 	"github.com/ansel1/merry/v2"
-)
 
-// The kinds of failure. Test with errors.Is.
-var (
-	// ErrNotSent: no connection was made, so no byte was written.
-	ErrNotSent = merry.Sentinel("endpoint not reached")
-	// ErrBroken: the call may have reached the endpoint, and no whole answer
-	// came.
-	ErrBroken = merry.Sentinel("call broken")
+	"oxbowslip.dev/oxbowslip/internal/deadpeer"
+	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
 const (
@@ -122,15 +116,15 @@
 }
 
 // Do sends a call once and waits for the head of its answer. The error is
-// ErrNotSent or ErrBroken with its cause. When ctx ends, the connection is closed.
+// request.ErrNotSent or request.ErrBroken with its cause. When ctx ends, the connection is closed.
 func (c *Client) Do(ctx context.Context, call *Call) (*Answer, error) {
 	wire, err := encode(call)
 	if err != nil {
-		return nil, merry.Wrap(ErrNotSent, merry.WithCause(err), merry.AppendMessage(err.Error()))
+		return nil, merry.Wrap(request.ErrNotSent, merry.WithCause(err), merry.AppendMessage(err.Error()))
 	}
 	conn, err := c.connect(ctx, call)
 	if err != nil {
-		return nil, merry.Wrap(ErrNotSent, merry.WithCause(err), merry.AppendMessage(err.Error()))
+		return nil, merry.Wrap(request.ErrNotSent, merry.WithCause(err), merry.AppendMessage(err.Error()))
 	}
 	if call.OnSend != nil {
 		call.OnSend()
@@ -141,7 +135,7 @@
 	answer, err := x.read(call)
 	if err != nil {
 		x.abandon()
-		return nil, merry.Wrap(ErrBroken, merry.WithCause(err), merry.AppendMessage(err.Error()))
+		return nil, merry.Wrap(request.ErrBroken, merry.WithCause(err), merry.AppendMessage(err.Error()))
 	}
 	return answer, nil
 }
@@ -293,7 +287,7 @@
 	}
 	dialer := &net.Dialer{
 		Timeout: timeout,
-		Control: socketOptions(c.config.DeadPeer),
+		Control: deadpeer.Control(c.config.DeadPeer),
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: keepAlivePeriod, Interval: keepAlivePeriod, Count: keepAliveProbes,
 		},
--- a/internal/front/upstream/upstream_test.go
+++ b/internal/front/upstream/upstream_test.go
@@ -13,6 +13,8 @@
 	"time"
 
 	qt "github.com/frankban/quicktest"
+
+	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
 const headerID = "X-Call"
@@ -167,10 +169,10 @@
 		text string
 		want error
 	}{
-		"closed without a word":           {"", ErrBroken},
-		"closed inside the head":          {"HTTP/1.1 200 O", ErrBroken},
-		"an answer to nobody":             {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", ErrBroken},
-		"another's answer without an end": {"HTTP/1.1 200 OK\r\nX-Call: 9\r\n\r\nx", ErrBroken},
+		"closed without a word":           {"", request.ErrBroken},
+		"closed inside the head":          {"HTTP/1.1 200 O", request.ErrBroken},
+		"an answer to nobody":             {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", request.ErrBroken},
+		"another's answer without an end": {"HTTP/1.1 200 OK\r\nX-Call: 9\r\n\r\nx", request.ErrBroken},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -195,7 +197,7 @@
 	address := listener.Addr().String()
 	listener.Close()
 	_, err = newClient(time.Now).Do(context.Background(), &Call{Address: address, ID: "1", Method: http.MethodGet, Target: "/", Host: "h"})
-	c.Check(errors.Is(err, ErrNotSent), qt.IsTrue)
+	c.Check(errors.Is(err, request.ErrNotSent), qt.IsTrue)
 	c.Check(err, qt.ErrorMatches, "(?s).*refused.*")
 }
 
@@ -246,6 +248,6 @@
 		cancel()
 	}()
 	_, err := client.Do(ctx, p.call("1", ""))
-	c.Check(errors.Is(err, ErrBroken), qt.IsTrue)
+	c.Check(errors.Is(err, request.ErrBroken), qt.IsTrue)
 	<-closed
 }
--- a/internal/front/wire.go
+++ b/internal/front/wire.go
@@ -17,6 +17,7 @@
 	"oxbowslip.dev/oxbowslip/internal/front/relay"
 	"oxbowslip.dev/oxbowslip/internal/front/upstream"
 	"oxbowslip.dev/oxbowslip/internal/hostconfig"
+	"oxbowslip.dev/oxbowslip/internal/httprelay"
 	"oxbowslip.dev/oxbowslip/internal/logging"
 	"oxbowslip.dev/oxbowslip/internal/owner"
 	"oxbowslip.dev/oxbowslip/internal/record"
@@ -78,9 +79,9 @@
 // loadNews is news of loads, of which only some are worth a beat.
 type loadNews struct{ news }
 
-func newBudget(config hostconfig.Host, g *gossip.Gossip, clock func() time.Time) *retrybudget.Budget {
+func newBudget(config hostconfig.Host, g *gossip.Gossip, clock func() time.Time) *retrybudget.Fleet {
 	limits := retrybudget.Limits{Ratio: config.Retries.Ratio, Slack: config.Retries.Slack, Window: config.Retries.Window}
-	return retrybudget.New(limits, g.Hosts, clock)
+	return retrybudget.NewFleet(limits, g.Hosts, clock)
 }
 
 func newGossip(config hostconfig.Host, scheduler *placement.Scheduler, holder *settings.Holder, d *directory.Directory,
@@ -104,7 +105,7 @@
 	return g
 }
 
-func newOwner(config hostconfig.Host, scheduler *placement.Scheduler, d *directory.Directory, budget *retrybudget.Budget,
+func newOwner(config hostconfig.Host, scheduler *placement.Scheduler, d *directory.Directory, budget *retrybudget.Fleet,
 	c *counters.Counters, ring *explain.Ring, clock func() time.Time, random func() float64,
 ) *owner.Owner {
 	return owner.New(config.Name, scheduler, d.Endpoint, budget, c, ring, clock, random)
@@ -116,6 +117,6 @@
 	return relay.New(relay.Parts{
 		Host: config.Name, Zone: config.Zone, Settings: holder, Owner: o, Client: client, Health: scheduler,
 		Dialect: deployment.Dialect, Counters: c, Log: logging.Part(log, "request"), Clock: clock, Random: random,
-		Timeouts: relay.Timeouts{Read: config.ReadTimeout, Write: config.WriteTimeout},
+		Timeouts: httprelay.Timeouts{Read: config.ReadTimeout, Write: config.WriteTimeout},
 	})
 }
--- a/internal/hopheader/hopheader.go
+++ b/internal/httprelay/header.go
@@ -1,6 +1,4 @@
-// Package hopheader copies the headers of a message that is passed on, without those
-// that hold for one connection only.
-package hopheader
+package httprelay
 
 import (
 	"net/http"
@@ -8,15 +6,16 @@
 	"strings"
 )
 
-// hop are the headers that hold for one connection only (RFC 9110, 7.6.1).
-var hop = []string{
+// hopHeaders hold for one connection only (RFC 9110, section 7.6.1), as does the length of
+// a body that is framed anew.
+var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// Copy copies what is not for one connection only, and what the Connection header
-// does not name.
-func Copy(to, from http.Header) {
+// CopyHeader copies the headers of a message that is passed on, without those that hold
+// for one connection only and those that its Connection header lists.
+func CopyHeader(to, from http.Header) {
 	for name, values := range from {
 		to[name] = append([]string(nil), values...)
 	}
@@ -25,7 +24,7 @@
 			to.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hop {
+	for _, name := range hopHeaders {
 		to.Del(name)
 	}
 }
--- a/internal/hopheader/hopheader_test.go
+++ b/internal/httprelay/header_test.go
@@ -1,4 +1,4 @@
-package hopheader
+package httprelay
 
 import (
 	"net/http"
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestCopy(t *testing.T) {
+func TestCopyHeader(t *testing.T) {
 	tests := map[string]struct {
 		from, want http.Header
 	}{
@@ -22,7 +22,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			to := make(http.Header)
-			Copy(to, test.from)
+			CopyHeader(to, test.from)
 			qt.Check(t, to, qt.DeepEquals, test.want)
 		})
 	}
--- a/internal/operator/changes.go
+++ b/internal/operator/changes.go
@@ -11,6 +11,7 @@
 	"github.com/go-json-experiment/json/jsontext"
 	"github.com/gorilla/mux"
 
+	"oxbowslip.dev/oxbowslip/internal/httprelay"
 	"oxbowslip.dev/oxbowslip/internal/settings"
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
@@ -50,10 +51,10 @@
 func (s *Server) showSettings(w http.ResponseWriter, _ *http.Request) {
 	tree := s.tree()
 	if tree.Revision == 0 {
-		answer(w, http.StatusServiceUnavailable, Problem{Error: "no settings are in force yet"})
+		httprelay.WriteJSON(w, http.StatusServiceUnavailable, Problem{Error: "no settings are in force yet"})
 		return
 	}
-	answer(w, http.StatusOK, tree)
+	httprelay.WriteJSON(w, http.StatusOK, tree)
 }
 
 func (s *Server) showChange(w http.ResponseWriter, r *http.Request) {
@@ -62,11 +63,11 @@
 	c, err := s.changes.Find(r.Context(), revision)
 	switch {
 	case errors.Is(err, ErrNoChange):
-		answer(w, http.StatusNotFound, Problem{Error: "no such change"})
+		httprelay.WriteJSON(w, http.StatusNotFound, Problem{Error: "no such change"})
 	case err != nil:
-		answer(w, http.StatusServiceUnavailable, Problem{Error: "the platform is away"})
+		httprelay.WriteJSON(w, http.StatusServiceUnavailable, Problem{Error: "the platform is away"})
 	default:
-		answer(w, http.StatusOK, c)
+		httprelay.WriteJSON(w, http.StatusOK, c)
 	}
 }
 
@@ -80,13 +81,13 @@
 		err = merry.New("the change needs an ID")
 	}
 	if err != nil {
-		answer(w, http.StatusBadRequest, ChangeAnswer{Error: err.Error(), Accepted: "no"})
+		httprelay.WriteJSON(w, http.StatusBadRequest, ChangeAnswer{Error: err.Error(), Accepted: "no"})
 		return
 	}
 	c := settings.Change{ID: request.ID, Base: request.Base, Patch: request.Patch, Who: who(r)}
 	revision, err := s.changes.Accept(r.Context(), c)
 	status, result := changeAnswer(revision, err)
-	answer(w, status, result)
+	httprelay.WriteJSON(w, status, result)
 }
 
 // changeAnswer returns the status and body that tell an operator what became of a change.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -9,15 +9,14 @@
 	"strings"
 	"time"
 
-	"github.com/go-json-experiment/json"
 	"github.com/gorilla/mux"
 
 	"oxbowslip.dev/oxbowslip/internal/counters"
 	"oxbowslip.dev/oxbowslip/internal/explain"
 	"oxbowslip.dev/oxbowslip/internal/hostconfig"
+	"oxbowslip.dev/oxbowslip/internal/httprelay"
 	"oxbowslip.dev/oxbowslip/internal/record"
 	"oxbowslip.dev/oxbowslip/internal/settings"
-	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
 
 // ShardStatus is the state of one shard.
@@ -140,9 +139,9 @@
 		found := s.find(key)
 		switch {
 		case found == nil:
-			answer(w, http.StatusUnauthorized, Problem{Error: "send an operator's key as Authorization: Bearer KEY"})
+			httprelay.WriteJSON(w, http.StatusUnauthorized, Problem{Error: "send an operator's key as Authorization: Bearer KEY"})
 		case role == hostconfig.RoleChange && found.Role != hostconfig.RoleChange:
-			answer(w, http.StatusForbidden, Problem{Error: "this key may read, not change"})
+			httprelay.WriteJSON(w, http.StatusForbidden, Problem{Error: "this key may read, not change"})
 		default:
 			next(w, r.WithContext(context.WithValue(r.Context(), whoKey{}, found.Name)))
 		}
@@ -171,7 +170,7 @@
 }
 
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
-	answer(w, http.StatusOK, struct {
+	httprelay.WriteJSON(w, http.StatusOK, struct {
 		OK bool `json:"ok"`
 	}{true})
 }
@@ -182,7 +181,7 @@
 	if !status.Ready {
 		code = http.StatusServiceUnavailable
 	}
-	answer(w, code, struct {
+	httprelay.WriteJSON(w, code, struct {
 		Ready   bool   `json:"ready"`
 		Problem string `json:"problem,omitzero"`
 	}{status.Ready, status.Problem})
@@ -194,51 +193,39 @@
 }
 
 func (s *Server) showStatus(w http.ResponseWriter, _ *http.Request) {
-	answer(w, http.StatusOK, s.status())
+	httprelay.WriteJSON(w, http.StatusOK, s.status())
 }
 
 func (s *Server) showRecorded(w http.ResponseWriter, r *http.Request) {
 	after, err := time.Parse(time.RFC3339Nano, r.URL.Query().Get("after"))
 	if err != nil {
-		answer(w, http.StatusBadRequest, Problem{Error: "say after=TIME (RFC 3339)"})
+		httprelay.WriteJSON(w, http.StatusBadRequest, Problem{Error: "say after=TIME (RFC 3339)"})
 		return
 	}
-	answer(w, http.StatusOK, s.recorded.Since(after))
+	httprelay.WriteJSON(w, http.StatusOK, s.recorded.Since(after))
 }
 
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
 	id := mux.Vars(r)["id"]
 	record, ok := s.ring.Get(id)
 	if !ok {
-		answer(w, http.StatusNotFound, Problem{Error: "this host does not remember request " + id})
+		httprelay.WriteJSON(w, http.StatusNotFound, Problem{Error: "this host does not remember request " + id})
 		return
 	}
-	answer(w, http.StatusOK, record)
+	httprelay.WriteJSON(w, http.StatusOK, record)
 }
 
 func (s *Server) effective(w http.ResponseWriter, r *http.Request) {
 	revision := s.settings.Current()
 	if revision == nil {
-		answer(w, http.StatusServiceUnavailable, Problem{Error: "no settings are in force yet"})
+		httprelay.WriteJSON(w, http.StatusServiceUnavailable, Problem{Error: "no settings are in force yet"})
 		return
 	}
 	vars := mux.Vars(r)
 	list, ok := revision.Tree.Explain(vars["workspace"], vars["class"])
 	if !ok {
-		answer(w, http.StatusNotFound, Problem{Error: "no such workspace or class"})
+		httprelay.WriteJSON(w, http.StatusNotFound, Problem{Error: "no such workspace or class"})
 		return
 	}
-	answer(w, http.StatusOK, list)
-}
-
-func answer(w http.ResponseWriter, status int, value any) {
-	data, err := json.Marshal(value, strictjson.DurationTexts, json.Deterministic(true))
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusInternalServerError)
-		return
-	}
-	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(status)
-	// A write that fails means that the operator is gone.
-	_, _ = w.Write(append(data, '\n'))
+	httprelay.WriteJSON(w, http.StatusOK, list)
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -12,6 +12,7 @@
 	"github.com/ansel1/merry/v2"
 
 	"oxbowslip.dev/oxbowslip/internal/admission"
+	"oxbowslip.dev/oxbowslip/internal/backoff"
 	"oxbowslip.dev/oxbowslip/internal/counters"
 	"oxbowslip.dev/oxbowslip/internal/explain"
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
@@ -285,7 +286,7 @@
 	}
 }
 
-// ask gets a grant, after a pause if this is a retry.
+// ask gets a grant, after a back-off if this is a retry.
 func (r *run) ask(ctx context.Context) request.Action {
 	o := r.owner
 	r.release(admission.Failed)
@@ -295,7 +296,7 @@
 			o.budgets.Spend(r.job.budgetGroup())
 		}
 		r.step("retry", string(r.life.Retry()), nil)
-		if !r.pause(ctx) {
+		if !r.backOff(ctx) {
 			return r.gone(ctx)
 		}
 	}
@@ -460,15 +461,12 @@
 	r.steps = append(r.steps, step)
 }
 
-// The pauses before retries: full jitter over a doubling span.
-const (
-	firstPause = 20 * time.Millisecond
-	longPause  = 2 * time.Second
-)
+// retryBackoff is the wait before a retry, with full jitter.
+var retryBackoff = backoff.Doubling{First: 20 * time.Millisecond, Longest: 2 * time.Second}
 
-func (r *run) pause(ctx context.Context) bool {
-	span := min(firstPause<<min(r.life.Tries(), 10), longPause)
-	return lifetime.Sleep(ctx, time.Duration(r.owner.random()*float64(span)))
+// backOff waits before a retry, and reports false if ctx ended.
+func (r *run) backOff(ctx context.Context) bool {
+	return lifetime.Sleep(ctx, backoff.Jitter(retryBackoff.Span(r.life.Tries()), 0, r.owner.random()))
 }
 
 func (r *run) end() End {
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/fleet_test.go
@@ -22,7 +22,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			now := time.Unix(0, 0)
-			b := New(limits, func() int { return test.hosts }, func() time.Time { return now })
+			b := NewFleet(limits, func() int { return test.hosts }, func() time.Time { return now })
 			for range test.firsts {
 				b.FirstTry("s", 0)
 			}
@@ -42,7 +42,7 @@
 
 func TestServicesHaveBudgetsOfTheirOwn(t *testing.T) {
 	c := qt.New(t)
-	b := New(Limits{Slack: 2, Window: time.Second}, func() int { return 1 }, func() time.Time { return time.Unix(0, 0) })
+	b := NewFleet(Limits{Slack: 2, Window: time.Second}, func() int { return 1 }, func() time.Time { return time.Unix(0, 0) })
 	b.Spend("a")
 	c.Check(b.Has("a"), qt.IsFalse)
 	c.Check(b.Has("b"), qt.IsTrue)
--- a/internal/settings/holder.go
+++ b/internal/settings/holder.go
@@ -27,6 +27,14 @@
 	return h.current
 }
 
+// Number returns the number of the revision in force, or 0 before the first.
+func (h *Holder) Number() uint64 {
+	if current := h.Current(); current != nil {
+		return current.Number
+	}
+	return 0
+}
+
 // Offer puts a revision in force if it is newer than the one that is.
 func (h *Holder) Offer(revision *Revision) bool {
 	h.mu.Lock()
