--- a/cmd/oxbowslip-standin/main.go
+++ b/cmd/oxbowslip-standin/main.go
@@ -23,10 +23,8 @@
 )
 
 type engineCommand struct {
-	Listen    string        `arg:"--listen,required" help:"address" placeholder:"ADDR"`
-	Model     string        `arg:"--model,required" help:"the model that it serves"`
-	ReportLag time.Duration `arg:"--report-lag" default:"1s" help:"age of the load reports"`
-	NoFences  bool          `arg:"--no-fences" help:"take orders with an older fence"`
+	Listen string `arg:"--listen,required" help:"address" placeholder:"ADDR"`
+	Model  string `arg:"--model,required" help:"the model that it serves"`
 }
 
 type serviceCommand struct {
@@ -43,7 +41,7 @@
 type arguments struct {
 	Engine   *engineCommand   `arg:"subcommand:engine" help:"a model engine that batches continuously"`
 	Service  *serviceCommand  `arg:"subcommand:service" help:"a plain service that counts executions"`
-	Platform *platformCommand `arg:"subcommand:platform" help:"table, objects, weights and list of hosts"`
+	Platform *platformCommand `arg:"subcommand:platform" help:"table, objects and list of hosts"`
 }
 
 // Description is shown by --help.
@@ -79,13 +77,12 @@
 
 func startEngine(command *engineCommand) error {
 	return standin.NewEngine(standin.EngineConfig{
-		Name: command.Listen, Model: command.Model, ReportLag: command.ReportLag,
-		ChecksFences: !command.NoFences, Continues: true,
+		Name: command.Listen, Model: command.Model, Continues: true,
 	}).Start(command.Listen)
 }
 
 func startPlatform(command *platformCommand) error {
-	p := standin.NewPlatform(standin.PlatformConfig{HostLag: command.HostLag, WeightInterval: time.Second})
+	p := standin.NewPlatform(standin.PlatformConfig{HostLag: command.HostLag})
 	if command.Settings != "" {
 		data, err := os.ReadFile(command.Settings)
 		if err != nil {
--- a/internal/daemon/tableclient/tableclient.go
+++ b/internal/daemon/tableclient/tableclient.go
@@ -93,7 +93,6 @@
 	PathRows         = "/v1/rows"
 	PathTransactions = "/v1/transactions"
 	PathObjects      = "/v1/objects/"
-	PathWeights      = "/v1/weights/"
 	PathHosts        = "/v1/hosts"
 )
 
--- a/internal/proof/demo/cluster.go
+++ b/internal/proof/demo/cluster.go
@@ -160,14 +160,14 @@
 	for model, count := range c.Config.Engines {
 		for i := range count {
 			name := fmt.Sprintf("%s-%d", model, i+1)
-			engine := standin.NewEngine(standin.EngineConfig{Name: name, Model: model, Speed: c.Config.Speed, Continues: true, ChecksFences: true})
+			engine := standin.NewEngine(standin.EngineConfig{Name: name, Model: model, Speed: c.Config.Speed, Continues: true})
 			if err := engine.Start("127.0.0.1:0"); err != nil {
 				return err
 			}
 			c.Engines[name] = engine
 			c.Tree.Endpoints[name] = settings.Endpoint{
 				Address: engine.Address(), Zone: zones[i%len(zones)], Model: model,
-				ChecksFences: true, Continues: true, CacheTokens: c.Config.Speed.CacheTokens,
+				Continues: true, CacheTokens: c.Config.Speed.CacheTokens,
 			}
 		}
 	}
--- a/internal/proof/emulator/cache.go
+++ b/internal/proof/emulator/cache.go
@@ -12,8 +12,6 @@
 type prefixCache struct {
 	entries map[uint64]*list.Element
 	recent  *list.List
-	// evicted collects hashes that were dropped since the last Evicted.
-	evicted []uint64
 }
 
 func newPrefixCache() *prefixCache {
@@ -49,13 +47,5 @@
 	for c.recent.Len()*prefix.TokensPerPart > max(tokens, 0) && c.recent.Len() > 0 {
 		hash := c.recent.Remove(c.recent.Back()).(uint64)
 		delete(c.entries, hash)
-		c.evicted = append(c.evicted, hash)
 	}
 }
-
-// Evicted gives the prefixes dropped since the last call.
-func (e *Engine) Evicted() []uint64 {
-	evicted := e.cache.evicted
-	e.cache.evicted = nil
-	return evicted
-}
--- a/internal/proof/standin/chat.go
+++ b/internal/proof/standin/chat.go
@@ -11,6 +11,7 @@
 	"github.com/gorilla/mux"
 
 	"oxbowslip.dev/oxbowslip/internal/daemon/prefix"
+	"oxbowslip.dev/oxbowslip/internal/httprelay"
 	"oxbowslip.dev/oxbowslip/internal/proof/emulator"
 )
 
@@ -86,25 +87,25 @@
 	}
 	var body chatRequest
 	if err := json.Unmarshal(data, &body); err != nil {
-		writeJSON(w, http.StatusBadRequest, engineError{engineErrorDetail{Message: err.Error()}})
+		httprelay.WriteJSON(w, http.StatusBadRequest, engineError{engineErrorDetail{Message: err.Error()}})
 		return
 	}
 	prompt, done, err := body.split()
 	if err != nil {
-		writeJSON(w, http.StatusBadRequest, engineError{engineErrorDetail{Message: err.Error()}})
+		httprelay.WriteJSON(w, http.StatusBadRequest, engineError{engineErrorDetail{Message: err.Error()}})
 		return
 	}
 	id := r.Header.Get("X-Request-Id")
 	e.mu.Lock()
 	faults := e.faults
-	refused := faults.Refuse || (done > 0 && !e.config.Continues) || e.order.State == "out"
+	refused := faults.Refuse || (done > 0 && !e.config.Continues)
 	if !refused {
 		e.submit(id, &body, prompt, done)
 	}
 	s := e.streams[id]
 	e.mu.Unlock()
 	if refused {
-		writeJSON(w, http.StatusServiceUnavailable, engineError{engineErrorDetail{Message: "not taking requests", Ran: "no"}})
+		httprelay.WriteJSON(w, http.StatusServiceUnavailable, engineError{engineErrorDetail{Message: "not taking requests", Ran: "no"}})
 		return
 	}
 	if faults.DropAfterReading {
@@ -256,7 +257,7 @@
 		Usage: Usage{PromptTokens: promptBytes / prefix.BytesPerToken, CompletionTokens: tokens},
 	}
 	if !faults.CutAnswer {
-		writeJSON(w, http.StatusOK, answer)
+		httprelay.WriteJSON(w, http.StatusOK, answer)
 		return
 	}
 	data, err := json.Marshal(answer)
@@ -277,7 +278,7 @@
 	e.mu.Unlock()
 	after, err := strconv.Atoi(r.Header.Get("Last-Event-ID"))
 	if !ok || err != nil {
-		writeJSON(w, http.StatusNotFound, engineError{engineErrorDetail{Message: "no such stream"}})
+		httprelay.WriteJSON(w, http.StatusNotFound, engineError{engineErrorDetail{Message: "no such stream"}})
 		return
 	}
 	defer e.leave(r, s.id, s)
@@ -285,10 +286,7 @@
 }
 
 func (e *Engine) models(w http.ResponseWriter, _ *http.Request) {
-	e.mu.Lock()
-	model := e.order.Model
-	e.mu.Unlock()
-	writeJSON(w, http.StatusOK, modelList{Object: "list", Data: []modelInfo{{ID: model, Object: "model"}}})
+	httprelay.WriteJSON(w, http.StatusOK, modelList{Object: "list", Data: []modelInfo{{ID: e.config.Model, Object: "model"}}})
 }
 
 type modelList struct {
@@ -300,14 +298,3 @@
 	ID     string `json:"id"`
 	Object string `json:"object"`
 }
-
-func writeJSON(w http.ResponseWriter, status int, value any) {
-	data, err := json.Marshal(value)
-	if err != nil {
-		panic(err) // Plain structs always marshal.
-	}
-	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(status)
-	// A write that fails means that the reader is gone.
-	_, _ = w.Write(data)
-}
--- a/internal/proof/standin/engine.go
+++ b/internal/proof/standin/engine.go
@@ -33,8 +33,6 @@
 	CutAnswer bool `json:"cut_answer,omitzero"`
 	// WrongID answers with another request's ID.
 	WrongID bool `json:"wrong_id,omitzero"`
-	// FreezeReports repeats the load report of the moment it was set.
-	FreezeReports bool `json:"freeze_reports,omitzero"`
 }
 
 // EngineConfig says what an engine stand-in is.
@@ -42,10 +40,6 @@
 	Name  string
 	Model string
 	Speed emulator.Config
-	// ReportLag is the age of the load reports.
-	ReportLag time.Duration
-	// ChecksFences says whether an order with an older fence is refused.
-	ChecksFences bool
 	// KeepStreams is how long an ended stream can be resumed.
 	KeepStreams time.Duration
 	// Continues says whether the engine goes on from a part of an answer.
@@ -53,7 +47,6 @@
 }
 
 const (
-	defaultReportLag   = time.Second
 	defaultKeepStreams = 30 * time.Second
 )
 
@@ -70,8 +63,6 @@
 	streams    map[string]*stream
 	executions map[string]int
 	lastBegun  time.Time
-	reports    reportHistory
-	order      Order
 	wake       chan struct{}
 	done       chan struct{}
 	stopped    chan struct{}
@@ -82,9 +73,6 @@
 	if config.Speed.MaxRunning == 0 {
 		config.Speed = emulator.DefaultConfig
 	}
-	if config.ReportLag == 0 {
-		config.ReportLag = defaultReportLag
-	}
 	if config.KeepStreams == 0 {
 		config.KeepStreams = defaultKeepStreams
 	}
@@ -93,8 +81,6 @@
 		model:      emulator.New(config.Speed),
 		streams:    make(map[string]*stream),
 		executions: make(map[string]int),
-		reports:    reportHistory{lag: config.ReportLag},
-		order:      Order{Model: config.Model, State: "in"},
 		wake:       make(chan struct{}, 1),
 	}
 }
@@ -113,10 +99,6 @@
 	router.HandleFunc("/v1/chat/completions", e.chat).Methods(http.MethodPost)
 	router.HandleFunc("/v1/models", e.models).Methods(http.MethodGet)
 	router.HandleFunc("/v1/streams/{id}", e.resume).Methods(http.MethodGet)
-	router.HandleFunc("/v1/load", e.load).Methods(http.MethodGet)
-	router.HandleFunc("/v1/cache/events", e.cacheEvents).Methods(http.MethodGet)
-	router.HandleFunc("/v1/orders", e.takeOrder).Methods(http.MethodPost)
-	router.HandleFunc("/v1/orders", e.showOrder).Methods(http.MethodGet)
 	router.HandleFunc("/standin/faults", e.setFaults).Methods(http.MethodPost)
 	e.address = listener.Addr().String()
 	e.server = &http.Server{Handler: router, ReadHeaderTimeout: headerTime}
@@ -166,7 +148,6 @@
 	}
 	e.model.SetSlow(slow)
 	e.model.SetStalled(time.Now(), f.Stall)
-	e.reports.frozen = f.FreezeReports
 	e.nudge()
 }
 
@@ -230,7 +211,6 @@
 	for _, event := range e.model.Step(now) {
 		e.deliver(now, event)
 	}
-	e.reports.add(now, e.model.Load())
 	e.forgetStreams(now)
 	next, ok := e.model.Next()
 	if !ok {
--- a/internal/proof/standin/platform.go
+++ b/internal/proof/standin/platform.go
@@ -1,7 +1,6 @@
 package standin
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -15,6 +14,7 @@
 	"github.com/gorilla/mux"
 
 	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
+	"oxbowslip.dev/oxbowslip/internal/httprelay"
 )
 
 // PlatformFaults are the faults that the platform stand-in shows while they
@@ -38,8 +38,6 @@
 type PlatformConfig struct {
 	// HostLag is the age of the list of hosts.
 	HostLag time.Duration
-	// WeightInterval is the least time between two reads of the weight store.
-	WeightInterval time.Duration
 }
 
 // Platform is a stand-in for the platform's service.
@@ -48,14 +46,13 @@
 	server  *http.Server
 	address string
 
-	mu         sync.Mutex
-	rows       map[string]tableclient.Row
-	objects    map[string][]byte
-	hosts      []hostVersion
-	lastWeight time.Time
-	faults     PlatformFaults
-	calls      Calls
-	version    uint64
+	mu      sync.Mutex
+	rows    map[string]tableclient.Row
+	objects map[string][]byte
+	hosts   []hostVersion
+	faults  PlatformFaults
+	calls   Calls
+	version uint64
 }
 
 type hostVersion struct {
@@ -80,7 +77,6 @@
 	router.HandleFunc(tableclient.PathTransactions, p.commit).Methods(http.MethodPost)
 	router.HandleFunc(tableclient.PathObjects+"{name}", p.getObject).Methods(http.MethodGet)
 	router.HandleFunc(tableclient.PathObjects+"{name}", p.putObject).Methods(http.MethodPut)
-	router.HandleFunc(tableclient.PathWeights+"{name}", p.weights).Methods(http.MethodGet)
 	router.HandleFunc(tableclient.PathHosts, p.listHosts).Methods(http.MethodGet)
 	router.HandleFunc("/standin/faults", p.setFaults).Methods(http.MethodPost)
 	p.address = listener.Addr().String()
@@ -173,10 +169,10 @@
 	row, ok := p.rows[unescape(mux.Vars(r)["key"])]
 	p.mu.Unlock()
 	if !ok {
-		writeJSON(w, http.StatusNotFound, tableclient.Row{})
+		httprelay.WriteJSON(w, http.StatusNotFound, tableclient.Row{})
 		return
 	}
-	writeJSON(w, http.StatusOK, row)
+	httprelay.WriteJSON(w, http.StatusOK, row)
 }
 
 func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
@@ -190,7 +186,7 @@
 	}
 	p.mu.Unlock()
 	sort.Slice(list.Rows, func(i, j int) bool { return list.Rows[i].Key < list.Rows[j].Key })
-	writeJSON(w, http.StatusOK, list)
+	httprelay.WriteJSON(w, http.StatusOK, list)
 }
 
 func (p *Platform) commit(w http.ResponseWriter, r *http.Request) {
@@ -200,7 +196,7 @@
 		err = json.Unmarshal(data, &t)
 	}
 	if err != nil {
-		writeJSON(w, http.StatusBadRequest, engineError{engineErrorDetail{Message: err.Error()}})
+		httprelay.WriteJSON(w, http.StatusBadRequest, engineError{engineErrorDetail{Message: err.Error()}})
 		return
 	}
 	p.mu.Lock()
@@ -210,7 +206,7 @@
 	if !ok {
 		status = http.StatusConflict
 	}
-	writeJSON(w, status, tableclient.Conflict{Rows: rows})
+	httprelay.WriteJSON(w, status, tableclient.Conflict{Rows: rows})
 }
 
 // apply does a transaction if all its conditions hold; else it gives the rows
@@ -262,20 +258,6 @@
 	p.Put(unescape(mux.Vars(r)["name"]), data)
 }
 
-// errTooSoon is the weight store's answer to reads over its rate.
-var errTooSoon = errors.New("the weight store's rate is used up")
-
-func (p *Platform) weights(w http.ResponseWriter, _ *http.Request) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if time.Since(p.lastWeight) < p.config.WeightInterval {
-		http.Error(w, errTooSoon.Error(), http.StatusTooManyRequests)
-		return
-	}
-	p.lastWeight = time.Now()
-	w.WriteHeader(http.StatusOK)
-}
-
 func (p *Platform) listHosts(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -285,7 +267,7 @@
 			list.Hosts = version.hosts
 		}
 	}
-	writeJSON(w, http.StatusOK, list)
+	httprelay.WriteJSON(w, http.StatusOK, list)
 }
 
 // platformFaultsBody is the JSON form of the faults, with the delay as text.
@@ -306,9 +288,9 @@
 		slow, err = time.ParseDuration(body.Slow)
 	}
 	if err != nil {
-		writeJSON(w, http.StatusBadRequest, engineError{engineErrorDetail{Message: err.Error()}})
+		httprelay.WriteJSON(w, http.StatusBadRequest, engineError{engineErrorDetail{Message: err.Error()}})
 		return
 	}
 	p.SetFaults(PlatformFaults{Down: body.Down, Slow: slow, LoseAnswers: body.LoseAnswers})
-	writeJSON(w, http.StatusOK, body)
+	httprelay.WriteJSON(w, http.StatusOK, body)
 }
