--- a/cmd/oxbowslip/logs_test.go
+++ b/cmd/oxbowslip/logs_test.go
@@ -15,8 +15,8 @@
 	behind.Revision = 5
 	lonely := well
 	lonely.Hosts = 1
-	paused := well
-	paused.Paused = []string{"e1"}
+	ejected := well
+	ejected.Ejected = []string{"e1"}
 	tests := map[string]struct {
 		second operator.Status
 		err    error
@@ -25,7 +25,7 @@
 		"all well":         {well, nil, 0},
 		"behind":           {behind, nil, 1},
 		"hears nobody":     {lonely, nil, 1},
-		"a paused one":     {paused, nil, 1},
+		"a ejected one":     {ejected, nil, 1},
 		"no answer":        {operator.Status{}, errors.New("refused"), 1},
 		"not ready at all": {operator.Status{Problem: "no settings yet", Hosts: 2}, nil, 3},
 	}
