--- a/Makefile
+++ b/Makefile
@@ -47,7 +47,7 @@
 capacity:
 	go test ./internal/daemon/schedule ./internal/daemon/change ./internal/daemon/membership -run none -bench . -benchtime 1s
 	go test ./internal/daemon/peer -run WireBytes -v
-	go test ./internal/front/gossip -run BeatBytes -v
+	go test ./internal/front/gossip -run HeartbeatBytes -v
 	go test ./internal/daemon -run RelayAllocations -v
 
 ci: ; bash .ci/run
--- a/cmd/oxbowslip/logs.go
+++ b/cmd/oxbowslip/logs.go
@@ -12,7 +12,7 @@
 	"oxbowslip.dev/oxbowslip/internal/operator"
 )
 
-// logs tells what the logs of many hosts say of a request. Without files, they are
+// logs prints what the logs of many hosts say about a request. Without files, they are
 // read from standard input.
 func (t *tool) logs(id string, files []string) error {
 	reader, closeAll, err := openAll(files)
--- a/cmd/oxbowslip/logs_test.go
+++ b/cmd/oxbowslip/logs_test.go
@@ -25,7 +25,7 @@
 		"all well":         {well, nil, 0},
 		"behind":           {behind, nil, 1},
 		"hears nobody":     {lonely, nil, 1},
-		"a ejected one":     {ejected, nil, 1},
+		"an ejected one":   {ejected, nil, 1},
 		"no answer":        {operator.Status{}, errors.New("refused"), 1},
 		"not ready at all": {operator.Status{Problem: "no settings yet", Hosts: 2}, nil, 3},
 	}
--- a/cmd/oxbowslip/watch.go
+++ b/cmd/oxbowslip/watch.go
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// mergePatch gives the merge patch (RFC 7396) from one document to another.
+// mergePatch returns the merge patch (RFC 7396) from one document to another.
 func mergePatch(from, to []byte) (jsontext.Value, error) {
 	patch, err := jsonpatch.CreateMergePatch(from, to)
 	if err != nil {
--- a/cmd/oxbowslipd/main.go
+++ b/cmd/oxbowslipd/main.go
@@ -68,7 +68,7 @@
 	<-signals
 	go func() {
 		<-signals
-		d.Hurry()
+		d.CutShort()
 	}()
 	if err := app.Stop(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, "oxbowslipd:", err)
--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Kind tells what a decision does. Its values are sent between hosts.
+// Kind is what a decision does. Its values are sent between hosts.
 type Kind uint8
 
 // The kinds of decision.
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -13,7 +13,7 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// Waste says why generated tokens were of no use. The set is closed.
+// Waste is why generated tokens were of no use. The set is closed.
 type Waste string
 
 // The causes of wasted tokens.
@@ -28,7 +28,7 @@
 // Wastes lists every cause.
 var Wastes = []Waste{WasteCallerGone, WasteBroken, WastePreempted, WasteStopped, WasteTimeLimit}
 
-// PeerTraffic says what a host sends to its peers. The set is closed.
+// PeerTraffic is what a host sends to its peers. The set is closed.
 type PeerTraffic string
 
 // What hosts send to each other. The values are labels of a metric and stay as they were
@@ -62,7 +62,7 @@
 	SettingsRejected *metrics.Counter
 }
 
-// New makes all counters at 0.
+// New returns all counters at 0.
 func New() *Counters {
 	set := metrics.NewSet()
 	c := &Counters{
@@ -105,7 +105,7 @@
 	counter.Inc()
 }
 
-// Refusals gives the count of a reason.
+// Refusals returns the count of a reason.
 func (c *Counters) Refusals(reason request.Reason) uint64 { return c.refusals[reason].Get() }
 
 // RefusalsByReason returns the counts of all reasons that are not 0.
@@ -122,13 +122,13 @@
 // Retried counts a retry.
 func (c *Counters) Retried(reason request.RetryReason) { c.retries[reason].Inc() }
 
-// Retries gives the count of a retry reason.
+// Retries returns the count of a retry reason.
 func (c *Counters) Retries(reason request.RetryReason) uint64 { return c.retries[reason].Get() }
 
 // Wasted counts tokens that were generated in vain.
 func (c *Counters) Wasted(cause Waste, tokens int) { c.wasted[cause].Add(tokens) }
 
-// WastedTokens gives the wasted tokens of a cause.
+// WastedTokens returns the wasted tokens of a cause.
 func (c *Counters) WastedTokens(cause Waste) uint64 { return c.wasted[cause].Get() }
 
 // Answered counts an answer of a class. Class names are bounded by the root of
--- a/internal/daemon/api/api.go
+++ b/internal/daemon/api/api.go
@@ -41,13 +41,13 @@
 	maxIDLength    = 128
 )
 
-// Claims takes an idempotency key for one request, so that no other host runs
+// Claims reserves an idempotency key for one request, so that no other host runs
 // the same.
 type Claims interface {
 	// Claim reports whether the key is this request's. An error means that
 	// nothing is known; the request must not run then.
 	Claim(ctx context.Context, workspace, key, requestID string) (bool, error)
-	// Release gives a key back whose request did not run.
+	// Release frees the key of a request whose request did not run.
 	Release(workspace, key, requestID string)
 }
 
@@ -67,7 +67,7 @@
 	ready    func() *request.Refusal
 }
 
-// New makes the callers' server. Ready gives the refusal for a host that can't
+// New returns the callers' server. Ready gives the refusal for a host that can't
 // take requests yet, or nil.
 func New(host, zone string, s *settings.Holder, o *owner.Owner, client *httpclient.Client, c *counters.Counters, claims Claims, recorded *record.Ring,
 	log *logrus.Entry, clock func() time.Time, timeouts httprelay.Timeouts, ready func() *request.Refusal,
@@ -78,7 +78,7 @@
 	}
 }
 
-// HTTP gives the HTTP server, with the limits on what a caller may send.
+// HTTP returns the HTTP server, with the limits on what a caller may send.
 func (s *Server) HTTP() *http.Server {
 	router := mux.NewRouter().UseEncodedPath().SkipClean(true)
 	router.HandleFunc("/v1/chat/completions", s.handle(s.chat)).Methods(http.MethodPost)
@@ -117,7 +117,7 @@
 	return &fault{reason: refusal.Reason, detail: refusal.Detail}
 }
 
-// handle gives each request its ID, checks the key and the class, and turns a
+// handle assigns each request its ID, checks the key and the class, and turns a
 // fault into an answer.
 func (s *Server) handle(next func(http.ResponseWriter, *http.Request, *caller) *fault) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -135,7 +135,7 @@
 	}
 }
 
-// requestID takes the caller's ID if it is fit for logs and headers, and makes
+// requestID returns the caller's ID if it is fit for logs and headers, and makes
 // one otherwise. The router adds its own part, so that two callers with the
 // same ID are not mixed up.
 func requestID(r *http.Request) string {
@@ -225,7 +225,7 @@
 	return names
 }
 
-// claim takes the caller's idempotency key, if it sent one.
+// claim reserves the caller's idempotency key, if it sent one.
 func (s *Server) claim(r *http.Request, c *caller) *fault {
 	key := r.Header.Get(HeaderIdempotencyKey)
 	if key == "" {
--- a/internal/daemon/api/body.go
+++ b/internal/daemon/api/body.go
@@ -51,7 +51,7 @@
 	return body, nil
 }
 
-// maxTokens gives the caller's bound on the answer, or the class's if that is
+// maxTokens returns the caller's bound on the answer, or the class's if that is
 // less.
 func (b *chatBody) maxTokens(bound int) int {
 	for _, n := range []*int{b.MaxTokens, b.MaxCompletionTokens} {
--- a/internal/daemon/api/chat.go
+++ b/internal/daemon/api/chat.go
@@ -213,7 +213,7 @@
 	return x.relay(ctx, a, call)
 }
 
-// streamResume takes up a broken stream at its engine, after the last event
+// streamResume continues a broken stream at its engine, after the last event
 // that came.
 func (x *chatExchange) streamResume(ctx context.Context, a *owner.Attempt) owner.Result {
 	pause := time.NewTimer(resumePause)
@@ -231,7 +231,7 @@
 	})
 }
 
-// resumePause gives a connection that broke time to come back.
+// resumePause is the time for a connection that broke to come back.
 const resumePause = 20 * time.Millisecond
 
 func (x *chatExchange) relay(ctx context.Context, a *owner.Attempt, call httpclient.Call) owner.Result {
--- a/internal/daemon/api/refuse.go
+++ b/internal/daemon/api/refuse.go
@@ -36,7 +36,7 @@
 	typeUnavailable = "server_error"
 )
 
-// statusOf gives the HTTP status and the error type of a refusal.
+// statusOf returns the HTTP status and the error type of a refusal.
 func statusOf(reason request.Reason) (int, string) {
 	switch reason {
 	case request.ReasonUnknownKey:
--- a/internal/daemon/api/stream.go
+++ b/internal/daemon/api/stream.go
@@ -33,7 +33,7 @@
 	caller  *caller
 	chunkID string
 
-	// started says that the header went to the caller.
+	// started is set if the header went to the caller.
 	started bool
 	tokens  int
 	// lastID is the engine's ID of the last event that was passed on.
@@ -122,7 +122,7 @@
 	return owner.Result{Event: request.EventWhole}
 }
 
-// callerLost tells a caller that does not read from one that is gone.
+// callerLost distinguishes a caller that does not read from one that is gone.
 func callerLost(err error) owner.Result {
 	if httprelay.IsTimeout(err) {
 		return owner.Result{Event: request.EventCallerGone, Err: owner.ErrSlowCaller}
@@ -151,7 +151,7 @@
 	return r.control.Flush()
 }
 
-// breakOff tells the caller that the answer is not whole: an error event, and
+// breakOff lets the caller see that the answer is not whole: an error event, and
 // a transfer that ends without its proper end.
 func (r *streamRelay) breakOff(refusal *request.Refusal) {
 	if data, err := json.Marshal(newErrorBody(r.caller.id, refusal, nil)); err == nil {
--- a/internal/daemon/change/change.go
+++ b/internal/daemon/change/change.go
@@ -16,7 +16,7 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// ErrBadPatch says that a patch is no JSON object.
+// ErrBadPatch means that a patch is no JSON object.
 var ErrBadPatch = merry.Sentinel("the patch is no JSON merge patch")
 
 // Document is a revision of the tree in its canonical form. All hosts that
@@ -26,7 +26,7 @@
 	Data     []byte
 }
 
-// Apply gives the next revision. It does not check whether the tree is valid.
+// Apply returns the next revision. It does not check whether the tree is valid.
 func (d Document) Apply(c *settings.Change) (Document, error) {
 	data, err := jsonpatch.MergePatch(d.Data, c.Patch)
 	if err != nil {
--- a/internal/daemon/claims/claims.go
+++ b/internal/daemon/claims/claims.go
@@ -29,7 +29,7 @@
 	maxAttempts = 3
 )
 
-// ErrUnavailable says that it is not known whether a key is free.
+// ErrUnavailable means that it is not known whether a key is free.
 var ErrUnavailable = merry.Sentinel("idempotency key can't be claimed")
 
 // day is the length of a key's bucket. A key is remembered for one to three
@@ -57,7 +57,7 @@
 	err error
 }
 
-// Table takes claims for one host.
+// Table claims keys for one host.
 type Table struct {
 	host   string
 	client *tableclient.Client
@@ -84,7 +84,7 @@
 // giveBackRounds is how often an orphan is looked for.
 const giveBackRounds = 3
 
-// New makes a table. Run must be running for claims to be taken.
+// New returns a table. Run must be running for claims to be taken.
 func New(host string, client *tableclient.Client, log *logrus.Entry, clock func() time.Time) *Table {
 	return &Table{
 		host: host, client: client, log: log, clock: clock, queue: make(chan *claim, maxWaiting),
@@ -92,7 +92,7 @@
 	}
 }
 
-// Claim takes a workspace's key for a request. It reports false if another
+// Claim reserves a workspace's key for a request. It reports false if another
 // request has it. The error is ErrUnavailable or that of ctx; the request must
 // not run then.
 func (t *Table) Claim(ctx context.Context, workspace, key, attempt string) (bool, error) {
@@ -115,7 +115,7 @@
 	return url.PathEscape(workspace) + "/" + url.PathEscape(key)
 }
 
-// Release gives a key back whose request was refused and did not run, so that
+// Release frees the key of a request whose request was refused and did not run, so that
 // its caller can come back with the same key.
 func (t *Table) Release(workspace, key, attempt string) {
 	t.keep(name(workspace, key), orphan{attempt: attempt})
@@ -125,7 +125,7 @@
 	}
 }
 
-// Run takes claims until done is closed.
+// Run commits claims until done is closed.
 func (t *Table) Run(done <-chan struct{}) {
 	ctx, cancel := lifetime.Context(done)
 	defer cancel()
@@ -262,7 +262,7 @@
 	return prefix + at.UTC().Format(dayFormat) + "/" + name
 }
 
-// nameOf gives a row's key without its bucket.
+// nameOf returns a row's key without its bucket.
 func nameOf(key string) string {
 	start := len(prefix) + len(dayFormat) + 1
 	if len(key) < start {
--- a/internal/daemon/commit/commit.go
+++ b/internal/daemon/commit/commit.go
@@ -19,11 +19,11 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// ErrUnknown says that it is not known whether a change was accepted. Sending it
+// ErrUnknown means that it is not known whether a change was accepted. Sending it
 // again with the same ID is safe.
 var ErrUnknown = merry.Sentinel("it is not known whether the change was accepted; send it again with the same ID")
 
-// ErrAway says that the platform can't be reached and the change was not
+// ErrAway means that the platform can't be reached and the change was not
 // accepted.
 var ErrAway = merry.Sentinel("the platform is away; the change was not accepted")
 
@@ -34,7 +34,7 @@
 	Paths []string
 }
 
-// Error names the other change.
+// Error describes the conflict.
 func (c *Conflict) Error() string {
 	return "conflicts with a change that was accepted since"
 }
@@ -87,7 +87,7 @@
 	return 0, merry.Wrap(ErrAway, merry.AppendMessage("too many operators at once"))
 }
 
-// errLost says that the answer to the transaction was lost.
+// errLost reports that the answer to the transaction was lost.
 var errLost = merry.Sentinel("answer lost")
 
 func away(err error) error {
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// find gives the revision of a change that was accepted, or 0.
+// find returns the revision of a change that was accepted, or 0.
 func (a *Committer) find(ctx context.Context, id string) (uint64, error) {
 	row, err := a.client.Read(ctx, idKey(id))
 	if errors.Is(err, tableclient.ErrNotFound) {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -64,8 +64,8 @@
 	callersAddress   string
 	operatorsAddress string
 	draining         atomic.Bool
-	hurry            chan struct{}
-	hurryOnce        sync.Once
+	cutShort         chan struct{}
+	cutShortOnce     sync.Once
 	cut              atomic.Int64
 	// configured is the revision that the schedulers know.
 	configured atomic.Uint64
@@ -73,7 +73,7 @@
 	ended      chan struct{}
 }
 
-// Options gives the parts of a daemon to fx.
+// Options returns the parts of a daemon to fx.
 func Options(config hostconfig.Host, log *logrus.Logger) fx.Option {
 	return fx.Options(
 		fx.Supply(config, log),
@@ -172,7 +172,7 @@
 	}
 }
 
-// New makes a daemon that has not started.
+// New returns a daemon that has not started.
 func New(config hostconfig.Host, log *logrus.Logger, holder *settings.Holder, follower *poller.Follower, o *owner.Owner,
 	f *fleet.Fleet, client *httpclient.Client, platformClient *tableclient.Client, c *counters.Counters, ring *explain.Ring,
 	table *claims.Table, committer *commit.Committer, recorded *record.Ring,
@@ -180,7 +180,7 @@
 ) *Daemon {
 	d := &Daemon{
 		config: config, log: logging.Part(log, "daemon"), holder: holder, follower: follower, owner: o, fleet: f, shards: f.Shards(),
-		client: client, platform: platformClient, counters: c, claims: table, hurry: make(chan struct{}), done: make(chan struct{}), ended: make(chan struct{}),
+		client: client, platform: platformClient, counters: c, claims: table, cutShort: make(chan struct{}), done: make(chan struct{}), ended: make(chan struct{}),
 	}
 	d.callers = api.New(config.Name, config.Zone, holder, o, client, c, table, recorded, logging.Part(log, "api"), clock,
 		httprelay.Timeouts{Read: config.ReadTimeout, Write: config.WriteTimeout}, d.notReady).HTTP()
@@ -237,7 +237,7 @@
 // Takeovers counts the shards that came to this host from another.
 func (d *Daemon) Takeovers() int { return d.fleet.Takeovers() }
 
-// Schedulers gives the host that schedules each shard, as this host sees it.
+// Schedulers returns the host that schedules each shard, as this host sees it.
 func (d *Daemon) Schedulers() map[string]string { return d.fleet.Schedulers() }
 
 // OperatorsAddress is where operators reach the host.
@@ -249,7 +249,7 @@
 // Revision is the number of the settings in force, or 0.
 func (d *Daemon) Revision() uint64 { return d.holder.Number() }
 
-// Counters gives the daemon's metrics.
+// Counters returns the daemon's metrics.
 func (d *Daemon) Counters() *counters.Counters { return d.counters }
 
 // Ready reports whether the host takes requests and says so to the balancer.
@@ -263,7 +263,7 @@
 	defer cancel()
 	go func() {
 		select {
-		case <-d.hurry:
+		case <-d.cutShort:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -282,9 +282,9 @@
 	return nil
 }
 
-// Hurry ends the wait of a planned stop: what is still in flight is told that
+// CutShort ends the wait of a planned stop: what is still in flight is told that
 // the host stops.
-func (d *Daemon) Hurry() { d.hurryOnce.Do(func() { close(d.hurry) }) }
+func (d *Daemon) CutShort() { d.cutShortOnce.Do(func() { close(d.cutShort) }) }
 
 // Cut counts the requests that a stop did not let finish.
 func (d *Daemon) Cut() int { return int(d.cut.Load()) }
@@ -304,7 +304,7 @@
 	d.platform.Close()
 }
 
-// followEndpoints tells the schedulers which endpoints are in.
+// followEndpoints keeps the schedulers informed which endpoints are in.
 func (d *Daemon) followEndpoints() {
 	defer close(d.ended)
 	for {
@@ -351,7 +351,7 @@
 	return shards
 }
 
-// notReady gives the refusal for a host without settings.
+// notReady returns the refusal for a host without settings.
 func (d *Daemon) notReady() *request.Refusal {
 	if d.configured.Load() > 0 {
 		return nil
@@ -359,7 +359,7 @@
 	return &request.Refusal{Reason: request.ReasonNotReady, Ran: request.RanNo, Detail: d.Problem()}
 }
 
-// Problem tells why the host is not ready, or is empty.
+// Problem returns why the host is not ready, or is empty.
 func (d *Daemon) Problem() string {
 	switch {
 	case d.draining.Load():
@@ -374,7 +374,7 @@
 	return ""
 }
 
-// Status tells the state of the host.
+// Status returns the state of the host for operators.
 func (d *Daemon) Status() operator.Status {
 	problem := d.Problem()
 	status := operator.Status{
--- a/internal/daemon/dispatch/dispatch.go
+++ b/internal/daemon/dispatch/dispatch.go
@@ -13,7 +13,7 @@
 
 // Router is the way to the schedulers.
 type Router interface {
-	// Scheduler gives the host that schedules a shard now.
+	// Scheduler returns the host that schedules a shard now.
 	Scheduler(shard string) string
 	// Send hands a message to a host's scheduler. It must not block, and may
 	// lose the message if the host can't be reached.
@@ -28,7 +28,7 @@
 	tickets map[string]*Ticket
 }
 
-// New makes a dispatcher without requests. Connect it before use.
+// New returns a dispatcher without requests. Connect it before use.
 func New() *Dispatcher {
 	return &Dispatcher{tickets: make(map[string]*Ticket)}
 }
@@ -50,7 +50,7 @@
 	scheduler string
 	// endpoint is set once the request is granted.
 	endpoint string
-	// repeated says that the request has waited through a call of Repeat.
+	// repeated is set if the request has waited through a call of Repeat.
 	repeated bool
 	tokens   int
 }
@@ -114,7 +114,7 @@
 	}
 }
 
-// Move takes the requests of a shard to its new scheduler.
+// Move hands over the requests of a shard to its new scheduler.
 func (d *Dispatcher) Move(shardName string) {
 	to := d.router.Scheduler(shardName)
 	for _, t := range d.pick(func(t *Ticket) bool { return t.shard == shardName && t.scheduler != to }) {
@@ -127,7 +127,7 @@
 	}
 }
 
-// hand gives a ticket that is still open to another scheduler, and tells which
+// hand passes a ticket that is still open to another scheduler, and tells which
 // had it.
 func (d *Dispatcher) hand(t *Ticket, to string) (from string, open bool) {
 	d.mu.Lock()
@@ -137,7 +137,7 @@
 	return from, d.tickets[t.request.ID] == t
 }
 
-// Announce tells a scheduler of all requests that are its own, after its link
+// Announce submits to a scheduler all requests that are its own, after its link
 // was opened. What it knows already it ignores.
 func (d *Dispatcher) Announce(host string) {
 	for _, t := range d.pick(func(t *Ticket) bool { return t.scheduler == host }) {
@@ -145,7 +145,7 @@
 	}
 }
 
-// announce tells a scheduler of one request. The request may end meanwhile, and
+// announce submits one request to a scheduler. The request may end meanwhile, and
 // word of that may come before the announcement, so it is withdrawn then: an
 // announcement that comes last would hold a place for ever.
 func (d *Dispatcher) announce(t *Ticket, host string) {
@@ -217,13 +217,13 @@
 // Preempted is closed when the scheduler takes the endpoint back.
 func (t *Ticket) Preempted() <-chan struct{} { return t.preempted }
 
-// Started says that the grant is used.
+// Started reports that the grant is used.
 func (t *Ticket) Started() { t.tell(shard.Message{Kind: shard.Started}) }
 
-// FirstToken says that the first token came.
+// FirstToken reports that the first token came.
 func (t *Ticket) FirstToken() { t.tell(shard.Message{Kind: shard.FirstToken, Tokens: 1}) }
 
-// Progress says how many tokens came so far.
+// Progress is how many tokens came so far.
 func (t *Ticket) Progress(tokens int) {
 	t.tell(shard.Message{Kind: shard.Progress, Tokens: tokens})
 }
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -405,11 +405,11 @@
 // TestDrain stops a host as planned while a stream is under way.
 func TestDrain(t *testing.T) {
 	tests := map[string]struct {
-		hurry bool
-		cut   int
+		cutShort bool
+		cut      int
 	}{
 		"the answer ends":     {},
-		"the wait is cut off": {hurry: true, cut: 1},
+		"the wait is cut off": {cutShort: true, cut: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -422,14 +422,14 @@
 			for engine.Generated() == 0 {
 				time.Sleep(time.Millisecond)
 			}
-			if test.hurry {
+			if test.cutShort {
 				engine.SetFaults(standin.EngineFaults{Stall: true})
-				cluster.Hosts()[0].Daemon.Hurry()
+				cluster.Hosts()[0].Daemon.CutShort()
 			}
 			c.Assert(stop(c, cluster), qt.Equals, test.cut)
 			got := <-answers
-			c.Assert(got.done, qt.Equals, !test.hurry)
-			if test.hurry {
+			c.Assert(got.done, qt.Equals, !test.cutShort)
+			if test.cutShort {
 				c.Assert(got.reason, qt.Equals, request.ReasonStopped)
 				c.Assert(got.ran, qt.Equals, request.RanUnknown)
 				return
--- a/internal/daemon/fleet/fleet.go
+++ b/internal/daemon/fleet/fleet.go
@@ -33,7 +33,7 @@
 // repeatInterval is the mean time between two repeats of what waits.
 const repeatInterval = time.Second
 
-// Config says who a host is among its peers.
+// Config is who a host is among its peers.
 type Config struct {
 	Self membership.Host
 	// Listen is where peers connect; empty means that the host is alone.
@@ -71,7 +71,7 @@
 	closed    bool
 }
 
-// New makes a host's part of the fleet. Options are those of its schedulers.
+// New returns a host's part of the fleet. Options are those of its schedulers.
 func New(config Config, d *dispatch.Dispatcher, client *tableclient.Client, log *logrus.Entry, options schedule.Options,
 	settings func() change.Document, newer func(revision uint64), clock func() time.Time, random func() float64,
 ) *Fleet {
@@ -90,7 +90,7 @@
 const maxAsked = 3
 
 // Settings asks a few peers, picked at random, for settings newer than a
-// revision. It gives the newest, and whether any peer answered.
+// revision. It returns the newest, and whether any peer answered.
 func (f *Fleet) Settings(ctx context.Context, newer uint64) (change.Document, bool) {
 	var newest change.Document
 	answered := false
@@ -123,7 +123,7 @@
 	return addresses[:min(maxAsked, len(addresses))]
 }
 
-// Shards gives the schedulers of this host.
+// Shards returns the schedulers of this host.
 func (f *Fleet) Shards() *shard.Host { return f.shards }
 
 // Start listens for peers.
@@ -173,7 +173,7 @@
 	f.reassign()
 }
 
-// Expect names the shards of the settings. Those that fall to this host are
+// Expect replaces the shards of the settings. Those that fall to this host are
 // taken up before their first request, which then need not wait for the hold.
 func (f *Fleet) Expect(shards []string) {
 	f.mu.Lock()
@@ -226,7 +226,7 @@
 	return f.takeovers
 }
 
-// Schedulers gives the host that each known shard's requests go to.
+// Schedulers returns the host that each known shard's requests go to.
 func (f *Fleet) Schedulers() map[string]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -237,7 +237,7 @@
 	return schedulers
 }
 
-// Scheduler gives the host that a shard's requests go to.
+// Scheduler returns the host that a shard's requests go to.
 func (f *Fleet) Scheduler(shardName string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -354,7 +354,7 @@
 	}
 }
 
-// idleLinks takes out the links to hosts that are gone from the list and
+// idleLinks removes the links to hosts that are gone from the list and
 // schedule nothing for this host. The lock is held.
 func (f *Fleet) idleLinks() []*peer.Link {
 	needed := make(map[string]bool)
--- a/internal/daemon/httpclient/httpclient.go
+++ b/internal/daemon/httpclient/httpclient.go
@@ -50,7 +50,7 @@
 	fresh *http.Transport
 }
 
-// New makes a client without connections.
+// New returns a client without connections.
 func New() *Client {
 	return &Client{kept: newTransport(false), fresh: newTransport(true)}
 }
--- a/internal/daemon/membership/membership.go
+++ b/internal/daemon/membership/membership.go
@@ -15,7 +15,7 @@
 	// Address is where its peers reach it.
 	Address string
 	Zone    string
-	// Leaving says that the host takes no more work.
+	// Leaving is set if the host takes no more work.
 	Leaving bool
 }
 
@@ -29,14 +29,14 @@
 	candidates []Host
 }
 
-// New makes the view of a host that has not read the platform's list.
+// New returns the view of a host that has not read the platform's list.
 func New(self Host) *View {
 	return &View{
 		self: self, listed: make(map[string]Host), suspects: make(map[string]bool), leaving: make(map[string]bool),
 	}
 }
 
-// SetList takes the platform's list. What was seen of hosts that are gone from
+// SetList replaces the platform's list. What was seen of hosts that are gone from
 // it is forgotten.
 func (v *View) SetList(hosts []Host) {
 	v.candidates = nil
@@ -73,7 +73,7 @@
 	v.candidates = nil
 }
 
-// Scheduler gives the host that schedules a shard: the usable host with the
+// Scheduler returns the host that schedules a shard: the usable host with the
 // highest rendezvous hash. With no other usable, it is this host itself.
 func (v *View) Scheduler(shard string) Host {
 	best, bestWeight := v.self, uint64(0)
--- a/internal/daemon/peer/golden_test.go
+++ b/internal/daemon/peer/golden_test.go
@@ -34,7 +34,7 @@
 			Waited: 1, Ahead: 2, WaitingBelow: 3, PredictedFirstToken: 4, InFlight: 5, Limit: 6.5, CachedTokens: 7, AnswerTokens: 8,
 		},
 	}
-	kinds := []kind{kindHello, kindChallenge, kindProof, kindBeat, kindMessages, kindDecisions, kindLeaving, kindWant, kindSettings}
+	kinds := []kind{kindHello, kindChallenge, kindProof, kindHeartbeat, kindMessages, kindDecisions, kindLeaving, kindSettingsRequest, kindSettings}
 	list := map[string]*frame{
 		"opening": {Kind: kindHello, Host: "host", Nonce: []byte("nonce"), Proof: []byte("proof")},
 		"messages": {Kind: kindMessages, Messages: []messageForm{
--- a/internal/daemon/peer/link.go
+++ b/internal/daemon/peer/link.go
@@ -12,19 +12,21 @@
 	"storj.io/drpc/drpcconn"
 
 	"oxbowslip.dev/oxbowslip/internal/admission"
+	"oxbowslip.dev/oxbowslip/internal/backoff"
 	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
 
-// The times of a link.
+// The times and bounds of a link. None was measured.
 const (
-	beatInterval = 250 * time.Millisecond
-	// silence is how long a peer may say nothing before its link is given up.
-	silence     = time.Second
+	heartbeatInterval = 250 * time.Millisecond
+	// silenceLimit is how long a peer may send nothing before its link is given up: four
+	// heartbeats.
+	silenceLimit = time.Second
+	// dialTimeout bounds connecting to a peer.
 	dialTimeout = time.Second
-	// firstPause and longPause bound the pause between two tries to connect.
-	firstPause = 100 * time.Millisecond
-	longPause  = 2 * time.Second
+	// steadyTime is how long a link must have been open for the back-off to start again.
+	steadyTime = 2 * time.Second
 	// queueLength bounds the messages that wait for a link. A link that is
 	// further behind is given up; its owner announces everything anew then.
 	queueLength = 16384
@@ -32,6 +34,9 @@
 	maxBatch = 256
 )
 
+// linkBackoff is the wait between two tries to connect. Not measured.
+var linkBackoff = backoff.Doubling{First: 100 * time.Millisecond, Longest: 2 * time.Second}
+
 // Events are what a link tells the host that it belongs to. The functions must
 // not block.
 type Events struct {
@@ -40,7 +45,7 @@
 	Down func(host string)
 	// Leaving is called when the peer says that it schedules no more.
 	Leaving func(host string)
-	// Revision gives this host's revision of the settings, Newer hands over the
+	// Revision returns this host's revision of the settings, Newer hands over the
 	// peer's.
 	Revision func() uint64
 	Newer    func(revision uint64)
@@ -102,8 +107,7 @@
 	defer close(l.ended)
 	ctx, cancel := lifetime.Context(l.done)
 	defer cancel()
-	pause := firstPause
-	for ctx.Err() == nil {
+	for failures := 0; ctx.Err() == nil; failures++ {
 		begun := time.Now()
 		// The error is the reason for trying again; Down tells of it.
 		_ = l.connect(ctx)
@@ -112,14 +116,10 @@
 			return
 		}
 		l.events.Down(l.host)
-		if time.Since(begun) > longPause {
-			pause = firstPause
-		}
-		select {
-		case <-time.After(pause):
-		case <-ctx.Done():
+		if time.Since(begun) > steadyTime {
+			failures = 0
 		}
-		pause = min(2*pause, longPause)
+		lifetime.Sleep(ctx, linkBackoff.Span(failures))
 	}
 }
 
@@ -176,12 +176,12 @@
 	return merry.Wrap(stream.MsgSend(&frame{Kind: kindProof, Proof: proof(key, roleOwner, challenge.Nonce)}, encoding{}))
 }
 
-// write sends queued messages in batches, and beats in between.
+// write sends queued messages in batches; heartbeats go in between.
 func (l *Link) write(stream drpc.Stream, raw net.Conn, queue chan messageForm) {
-	ticker := time.NewTicker(beatInterval)
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
-		f := frame{Kind: kindBeat, Revision: l.events.Revision()}
+		f := frame{Kind: kindHeartbeat, Revision: l.events.Revision()}
 		select {
 		case form, ok := <-queue:
 			if !ok {
@@ -199,7 +199,7 @@
 	}
 }
 
-// batch takes what is queued, up to the bound of a frame.
+// batch collects what is queued, up to the bound of a frame.
 func batch[T any](first T, queue <-chan T) []T {
 	list := []T{first}
 	for len(list) < maxBatch {
@@ -231,7 +231,7 @@
 			}
 		case kindLeaving:
 			l.events.Leaving(l.host)
-		case kindBeat:
+		case kindHeartbeat:
 			l.events.Newer(f.Revision)
 		}
 	}
@@ -243,9 +243,9 @@
 }
 
 func newWatchdog(conn net.Conn) *watchdog {
-	return &watchdog{timer: time.AfterFunc(silence, func() { conn.Close() })}
+	return &watchdog{timer: time.AfterFunc(silenceLimit, func() { conn.Close() })}
 }
 
-func (w *watchdog) heard() { w.timer.Reset(silence) }
+func (w *watchdog) heard() { w.timer.Reset(silenceLimit) }
 
 func (w *watchdog) stop() { w.timer.Stop() }
--- a/internal/daemon/peer/server.go
+++ b/internal/daemon/peer/server.go
@@ -28,7 +28,7 @@
 	// apply hands an owner's message to a scheduler, drop an owner's end.
 	apply func(shard string, m *shard.Message)
 	drop  func(owner string)
-	// settings gives the settings in force.
+	// settings returns the settings in force.
 	settings func() change.Document
 	// newer hands over an owner's revision of the settings.
 	newer func(revision uint64)
@@ -49,7 +49,7 @@
 	ended chan struct{}
 }
 
-// NewServer makes a server that does not listen yet.
+// NewServer returns a server that does not listen yet.
 func NewServer(self, key string, clock func() time.Time, apply func(shard string, m *shard.Message), drop func(owner string),
 	settings func() change.Document, newer func(revision uint64),
 ) *Server {
@@ -76,7 +76,7 @@
 	<-s.ended
 }
 
-// Leave tells all owners that this host schedules no more.
+// Leave informs all owners that this host schedules no more.
 func (s *Server) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,11 +209,11 @@
 }
 
 func (s *Server) write(stream drpc.Stream, session *session) {
-	ticker := time.NewTicker(beatInterval)
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	leave := session.leave
 	for {
-		f := frame{Kind: kindBeat, Revision: s.settings().Revision}
+		f := frame{Kind: kindHeartbeat, Revision: s.settings().Revision}
 		select {
 		case form, ok := <-session.queue:
 			if !ok {
@@ -242,7 +242,7 @@
 		if err := stream.MsgRecv(&f, encoding{}); err != nil {
 			return merry.Wrap(err)
 		}
-		if f.Kind == kindBeat {
+		if f.Kind == kindHeartbeat {
 			s.newer(f.Revision)
 		}
 		now := s.clock()
--- a/internal/daemon/peer/settings.go
+++ b/internal/daemon/peer/settings.go
@@ -11,7 +11,7 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/change"
 )
 
-// FetchSettings asks a peer for its settings. It gives a document of revision 0
+// FetchSettings asks a peer for its settings. It returns a document of revision 0
 // if the peer has none newer than the given revision.
 func FetchSettings(ctx context.Context, self, address, key string, newer uint64) (change.Document, error) {
 	var none change.Document
@@ -32,7 +32,7 @@
 	if err := greet(stream, self, key); err != nil {
 		return none, err
 	}
-	if err := stream.MsgSend(&frame{Kind: kindWant, Revision: newer}, encoding{}); err != nil {
+	if err := stream.MsgSend(&frame{Kind: kindSettingsRequest, Revision: newer}, encoding{}); err != nil {
 		return none, merry.Wrap(err)
 	}
 	var answer frame
--- a/internal/daemon/peer/wire.go
+++ b/internal/daemon/peer/wire.go
@@ -1,7 +1,10 @@
-// Package peer carries the messages between the hosts of a fleet: from the
-// owners of requests to the schedulers of shards, and their decisions back. It
-// uses one drpc stream for each pair of hosts and direction of work, encoded as
-// CBOR. Peers prove to each other that they know a shared key.
+// Package peer carries messages between the hosts of oxbowslipd: from the owners of requests to
+// the schedulers of shards, and their decisions back. oxbowslip-front has no schedulers; its
+// hosts report loads to each other instead (package gossip).
+//
+// It owns one drpc stream for each pair of hosts and direction of work, encoded as CBOR. Peers
+// prove to each other that they know a shared key. Messages may be lost with a link; the owner
+// announces everything again on the next (package dispatch).
 package peer
 
 import (
@@ -18,17 +21,16 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 )
 
-// ErrWrongKey says that a peer does not know the shared key.
+// ErrWrongKey means that a peer does not know the shared key.
 var ErrWrongKey = merry.Sentinel("peer does not know the shared key")
 
-// The names of the calls: a link for scheduling, and one answer with the
-// settings in force.
+// The calls: a link for scheduling, and one answer with the settings in force.
 const (
 	rpcLink     = "/oxbowslip.Peer/Link"
 	rpcSettings = "/oxbowslip.Peer/Settings"
 )
 
-// kind says what a frame carries.
+// kind is what a frame carries.
 type kind uint8
 
 const (
@@ -38,14 +40,14 @@
 	kindChallenge
 	// kindProof ends the opening: the owner's proof.
 	kindProof
-	// kindBeat shows that the sender is alive.
-	kindBeat
+	// kindHeartbeat shows that the sender is alive, and its revision of the settings.
+	kindHeartbeat
 	kindMessages
 	kindDecisions
-	// kindLeaving says that the sender schedules no more.
+	// kindLeaving: the sender schedules no more.
 	kindLeaving
-	// kindWant asks for settings newer than Revision, kindSettings answers.
-	kindWant
+	// kindSettingsRequest asks for settings newer than Revision, kindSettings answers.
+	kindSettingsRequest
 	kindSettings
 )
 
--- a/internal/daemon/peer/wire_test.go
+++ b/internal/daemon/peer/wire_test.go
@@ -77,7 +77,7 @@
 func TestWireBytes(t *testing.T) {
 	c := qt.New(t)
 	owner, scheduler := requestBytes(310)
-	c.Logf("a beat: %d bytes", bytesOf(&frame{Kind: kindBeat}))
+	c.Logf("a heartbeat: %d bytes", bytesOf(&frame{Kind: kindHeartbeat}))
 	c.Logf("a request of 310 tokens: %d bytes to the scheduler, %d bytes back", owner, scheduler)
 	c.Assert(owner < 2600, qt.IsTrue, qt.Commentf("%d bytes", owner))
 	c.Assert(scheduler < 400, qt.IsTrue, qt.Commentf("%d bytes", scheduler))
--- a/internal/daemon/poller/poller.go
+++ b/internal/daemon/poller/poller.go
@@ -36,12 +36,12 @@
 	SnapshotName string `json:"snapshot_name"`
 }
 
-// ChangeKey names the row of an accepted change.
+// ChangeKey returns the key of the row of an accepted change.
 func ChangeKey(revision uint64) string {
 	return fmt.Sprintf("settings/change/%020d", revision)
 }
 
-// SnapshotName names the object that holds a whole revision.
+// SnapshotName returns the name of the object that holds a whole revision.
 func SnapshotName(revision uint64, changeID string) string {
 	return "settings-" + strconv.FormatUint(revision, 10) + "-" + changeID
 }
@@ -81,7 +81,7 @@
 // settings.
 const grace = 30 * time.Second
 
-// New makes a follower that has read nothing.
+// New returns a follower that has read nothing.
 func New(client *tableclient.Client, holder *settings.Holder, c *counters.Counters, log *logrus.Entry,
 	poll time.Duration, random func() float64, peers Peers, clock func() time.Time,
 ) *Follower {
@@ -100,14 +100,14 @@
 	return f.clock().Sub(f.currentAt) > grace
 }
 
-// Problem tells why the last read brought nothing, or nil.
+// Problem returns why the last read brought nothing, or nil.
 func (f *Follower) Problem() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.problem
 }
 
-// Document gives the revision that the host has read.
+// Document returns the revision that the host has read.
 func (f *Follower) Document() change.Document {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,7 +124,7 @@
 // spread their reads.
 const nudgeSpread = 200 * time.Millisecond
 
-// Nudge says that a peer has a revision. If it is newer, the platform is asked
+// Nudge reports that a peer has a revision. If it is newer, the platform is asked
 // soon.
 func (f *Follower) Nudge(revision uint64) {
 	current := f.holder.Current()
@@ -159,7 +159,7 @@
 	}
 }
 
-// askPeers takes newer settings from a peer: one that started earlier, or that
+// askPeers adopts newer settings of a peer: one that started earlier, or that
 // still reaches the platform.
 func (f *Follower) askPeers(ctx context.Context) {
 	document, answered := f.peers(ctx, f.document.Revision)
--- a/internal/daemon/prefix/prefix.go
+++ b/internal/daemon/prefix/prefix.go
@@ -24,7 +24,7 @@
 	return (len(text) + BytesPerToken - 1) / BytesPerToken
 }
 
-// Hashes gives the hash of each leading part of a text, the shortest first.
+// Hashes returns the hash of each leading part of a text, the shortest first.
 // The salt is part of every hash, so that texts of different workspaces never
 // match.
 func Hashes(salt string, text []byte) []uint64 {
--- a/internal/daemon/schedule/dispatch.go
+++ b/internal/daemon/schedule/dispatch.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// grant gives a waiting request, whose length is predicted, a place at an
+// grant assigns a waiting request, whose length is predicted, a slot at an
 // endpoint.
 func (s *Scheduler) grant(now time.Time, it *item, e *endpoint, reason admission.Reason) {
 	r := &it.request
--- a/internal/daemon/schedule/endpoint.go
+++ b/internal/daemon/schedule/endpoint.go
@@ -146,7 +146,7 @@
 	return time.Duration(float64(tokens) / e.chunk * float64(e.between))
 }
 
-// take books a granted request.
+// take counts a granted request.
 func (e *endpoint) take(now time.Time, it *item) {
 	it.endpoint = e
 	it.endpointIndex = len(e.running)
@@ -155,7 +155,7 @@
 	e.prefillUntil = latest(e.prefillUntil, now).Add(e.readTime(it.uncached))
 }
 
-// drop takes a request out of the books.
+// drop removes a request.
 func (e *endpoint) drop(it *item) {
 	last := len(e.running) - 1
 	e.running[it.endpointIndex] = e.running[last]
--- a/internal/daemon/schedule/endpoints.go
+++ b/internal/daemon/schedule/endpoints.go
@@ -71,7 +71,7 @@
 	s.byLoad.put(e)
 }
 
-// lowestTier gives the lowest tier that any of the least loaded endpoints can
+// lowestTier returns the lowest tier that any of the least loaded endpoints can
 // take now, or -1 if none can take any.
 func (s *endpointSet) lowestTier(now time.Time) int {
 	lowest := -1
@@ -83,7 +83,7 @@
 	return lowest
 }
 
-// choose gives the endpoint with the least predicted time to the first token,
+// choose returns the endpoint with the least predicted time to the first token,
 // of the least loaded ones and the one that is likely to have the prompt's
 // prefix in its cache. It may use the places of a tier, which is not always the
 // request's own.
@@ -122,7 +122,7 @@
 	return cost + time.Duration(e.load()*float64(loadCost))
 }
 
-// leastLoaded gives the usable endpoint with the least load, whether it has
+// leastLoaded returns the usable endpoint with the least load, whether it has
 // room or not.
 func (s *endpointSet) leastLoaded(r *admission.Request) *endpoint {
 	for _, e := range s.byLoad.elements {
--- a/internal/daemon/schedule/health.go
+++ b/internal/daemon/schedule/health.go
@@ -29,10 +29,10 @@
 // endpoint that fails at once is the least loaded and draws every request.
 var failureBackoff = backoff.Doubling{First: 50 * time.Millisecond, Longest: 2 * time.Second}
 
-// health tells whether an endpoint is fit to get work.
+// health is whether an endpoint is fit to get work.
 type health struct {
 	ejected bool
-	// probing says that the endpoint is back with one request at a time.
+	// probing is set if the endpoint is back with one request at a time.
 	probing  bool
 	until    time.Time
 	period   time.Duration
@@ -42,7 +42,7 @@
 	pausedUntil time.Time
 }
 
-// EjectReason says why an endpoint gets no work for a while.
+// EjectReason is why an endpoint gets no work for a while.
 type EjectReason string
 
 // The reasons for an ejection.
@@ -63,7 +63,7 @@
 	}
 }
 
-// heard says that the endpoint works: it brought tokens or an answer.
+// heard reports that the endpoint works: it brought tokens or an answer.
 func (h *health) heard() {
 	h.failures = 0
 	h.pausedUntil = time.Time{}
@@ -73,7 +73,7 @@
 	}
 }
 
-// eject takes an endpoint out for a while, twice as long each time in a row.
+// eject ejects an endpoint for a while, twice as long each time in a row.
 func (s *endpointSet) eject(now time.Time, e *endpoint, reason EjectReason) {
 	if !e.usable() || !s.mayEject(reason) {
 		return
@@ -103,7 +103,7 @@
 	return float64(ejected) <= max(1, part*float64(len(s.order))) && len(s.order) > 1
 }
 
-// readmit takes an endpoint back for a probe, with a limit that starts low.
+// readmit readmits an endpoint for a probe, with a limit that starts low.
 func (s *endpointSet) readmit(now time.Time, e *endpoint) {
 	e.health.ejected = false
 	e.health.probing = true
@@ -185,7 +185,7 @@
 	Probing bool        `json:"probing,omitzero"`
 }
 
-// Endpoints tells what was learned of each endpoint, in the order of the
+// Endpoints returns what was learned of each endpoint, in the order of the
 // settings.
 func (s *Scheduler) Endpoints() []EndpointState {
 	states := make([]EndpointState, 0, len(s.endpoints.order))
--- a/internal/daemon/schedule/heap.go
+++ b/internal/daemon/schedule/heap.go
@@ -29,7 +29,7 @@
 	*h.index(element) = len(h.elements)
 }
 
-// Pop takes the last element; use remove.
+// Pop removes the last element; use remove.
 func (h *indexedHeap[T]) Pop() any {
 	last := len(h.elements) - 1
 	element := h.elements[last]
@@ -49,14 +49,14 @@
 	heap.Push(h, element)
 }
 
-// remove takes an element out if it is inside.
+// remove removes an element if it is inside.
 func (h *indexedHeap[T]) remove(element T) {
 	if i := *h.index(element); i > 0 {
 		heap.Remove(h, i-1)
 	}
 }
 
-// first gives the least element.
+// first returns the least element.
 func (h *indexedHeap[T]) first() (T, bool) {
 	if len(h.elements) == 0 {
 		var zero T
--- a/internal/daemon/schedule/limits.go
+++ b/internal/daemon/schedule/limits.go
@@ -7,7 +7,7 @@
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-// limitKey names the limits of a workspace for a class.
+// limitKey identifies the limits of a workspace for a class.
 type limitKey struct {
 	workspace string
 	class     string
@@ -45,7 +45,7 @@
 	return r.TokensPerMinute > 0 && l.tokens <= 0
 }
 
-// use takes a place and the predicted tokens.
+// use counts a slot and the predicted tokens.
 func (l *limit) use(tokens int) {
 	l.inFlight++
 	if l.perMinute > 0 {
@@ -63,7 +63,7 @@
 	l.refilledAt = now
 }
 
-// releaseLimit gives back a place, and the tokens that were predicted but not
+// releaseLimit returns back a place, and the tokens that were predicted but not
 // generated.
 func (s *Scheduler) releaseLimit(now time.Time, it *item) {
 	l := s.limitOf(&it.request)
@@ -81,7 +81,7 @@
 	s.held = slices.DeleteFunc(s.held, func(l *limit) bool { return len(l.parked) == 0 })
 }
 
-// park takes a flow out of its tier until its limit allows more.
+// park removes a flow from its tier until its limit allows more.
 func (s *Scheduler) park(f *flow, l *limit) {
 	if f.parked {
 		return
--- a/internal/daemon/schedule/pace.go
+++ b/internal/daemon/schedule/pace.go
@@ -38,7 +38,7 @@
 	return time.Duration(n) * p.interval
 }
 
-// retryAfter tells a refused caller when its tier is likely to have room.
+// retryAfter returns when a refused caller should come back: when its tier is likely to have room.
 func (s *Scheduler) retryAfter(tier int) time.Duration {
 	wait := s.pace.wait(s.waitingAtOrAbove(tier))
 	return min(max(wait, minRetryAfter), maxRetryAfter)
--- a/internal/daemon/schedule/preempt.go
+++ b/internal/daemon/schedule/preempt.go
@@ -10,7 +10,7 @@
 // away.
 const preemptAge = 500 * time.Millisecond
 
-// considerPreemption takes a place back from a lower tier for a request that
+// considerPreemption takes back a slot from a lower tier for a request that
 // would be late otherwise. A victim must be repeatable, must not have brought
 // its first token, and must have cost less than the request is worth.
 func (s *Scheduler) considerPreemption(now time.Time) {
@@ -35,7 +35,7 @@
 	})
 }
 
-// mostUrgent gives the next request of the highest waiting tier if it would be
+// mostUrgent returns the next request of the highest waiting tier if it would be
 // late before a place is likely to become free.
 func (s *Scheduler) mostUrgent(now time.Time) *item {
 	for tier := range Tiers - 1 {
--- a/internal/daemon/schedule/queue.go
+++ b/internal/daemon/schedule/queue.go
@@ -33,7 +33,7 @@
 	sentAt        time.Time
 	firstToken    bool
 	preempting    bool
-	// shared says that the class's guaranteed share took the place.
+	// shared is set if the class's guaranteed share took the place.
 	shared bool
 	tokens int
 	// The last measurement of progress.
@@ -41,7 +41,7 @@
 	measuredTokens int
 }
 
-// flowKey names a flow: the requests of one workspace and class in one tier.
+// flowKey identifies a flow: the requests of one workspace and class in one tier.
 type flowKey struct {
 	tier      int
 	workspace string
@@ -73,13 +73,13 @@
 
 func (f *flow) len() int { return f.items.Len() }
 
-// head gives the oldest request of the flow.
+// head returns the oldest request of the flow.
 func (f *flow) head() *item {
 	it, _ := f.items.Min()
 	return it
 }
 
-// next gives the request to run next: the oldest that can still meet its
+// next returns the request to run next: the oldest that can still meet its
 // target, else the oldest. It reports whether the target can be met.
 func (f *flow) next(now time.Time) (*item, bool) {
 	if f.onTime == nil || f.onTime.late(now) {
@@ -191,7 +191,7 @@
 	}
 }
 
-// workspace gives the queue of a workspace, made on first use.
+// workspace returns the queue of a workspace, made on first use.
 func (t *tierQueue) workspace(name string) *workspaceQueue {
 	w, ok := t.workspaces[name]
 	if !ok {
@@ -257,7 +257,7 @@
 	s.refresh(now, f)
 }
 
-// removeWaiting takes a request out of its flow.
+// removeWaiting removes a request from its flow.
 func (s *Scheduler) removeWaiting(it *item) {
 	f := it.flow
 	f.take(it)
@@ -322,7 +322,7 @@
 	return it.lateAt
 }
 
-// lateAt tells when a request's targets can't be met any more, if it has not
+// lateAt returns when a request's targets can't be met any more, if it has not
 // been granted: the target less the least time that an engine needs.
 func (s *Scheduler) lateAt(r *admission.Request) time.Time {
 	if r.Retry {
--- a/internal/daemon/schedule/room.go
+++ b/internal/daemon/schedule/room.go
@@ -67,7 +67,7 @@
 	return float64(count) / r.Weight
 }
 
-// largest gives the workspace with the most waiting requests by its weight.
+// largest returns the workspace with the most waiting requests by its weight.
 func (t *tierQueue) largest() *workspaceQueue {
 	var largest *workspaceQueue
 	for _, w := range t.order {
--- a/internal/daemon/schedule/schedule.go
+++ b/internal/daemon/schedule/schedule.go
@@ -26,7 +26,7 @@
 	MaxInFlight int
 	// CacheTokens is the engine's cache memory in tokens; 0 means unknown.
 	CacheTokens int
-	// Engine says that the endpoint generates tokens; the limit of a plain
+	// Engine is set if the endpoint generates tokens; the limit of a plain
 	// service is not learned.
 	Engine bool
 }
@@ -85,7 +85,7 @@
 	sequence  uint64
 	aside     []*item
 	held      []*limit
-	// configured says that the endpoints were set once. Until then requests
+	// configured is set if the endpoints were set once. Until then requests
 	// wait: their owners may have newer settings than this host.
 	configured bool
 	heldUntil  time.Time
@@ -93,7 +93,7 @@
 	Steps uint64
 }
 
-// New makes the scheduler of one shard.
+// New returns the scheduler of one shard.
 func New(options Options) *Scheduler {
 	s := &Scheduler{
 		options:  options.withDefaults(),
@@ -109,7 +109,7 @@
 	return s
 }
 
-// Take gives the decisions since the last Take. The slice is valid until the
+// Take returns the decisions since the last Take. The slice is valid until the
 // next call of any method.
 func (s *Scheduler) Take() []admission.Decision {
 	taken := s.decisions
@@ -141,7 +141,7 @@
 	s.options = s.options.withDefaults()
 }
 
-// Submit takes a new request, or one that comes back for a retry.
+// Submit adds a new request, or one that comes back for a retry.
 func (s *Scheduler) Submit(now time.Time, request admission.Request) {
 	if _, ok := s.items[request.ID]; ok {
 		return
@@ -156,7 +156,7 @@
 	s.dispatch(now)
 }
 
-// Adopt takes a request that another scheduler granted and that goes on at an
+// Adopt adds a request that another scheduler granted and that goes on at an
 // endpoint. It takes a place there even if none is free.
 func (s *Scheduler) Adopt(now time.Time, request admission.Request, endpointID string, tokens int) {
 	if _, ok := s.items[request.ID]; ok {
@@ -199,7 +199,7 @@
 	}
 }
 
-// Withdraw takes back a request that waits or runs: its caller is gone.
+// Withdraw removes a request that waits or runs: its caller is gone.
 func (s *Scheduler) Withdraw(now time.Time, id string) {
 	it, ok := s.items[id]
 	if !ok {
@@ -213,7 +213,7 @@
 	delete(s.items, id)
 }
 
-// Started says that the owner has used a grant.
+// Started reports that the owner has used a grant.
 func (s *Scheduler) Started(now time.Time, id string) {
 	it, ok := s.items[id]
 	if !ok || it.endpoint == nil || it.started {
@@ -224,7 +224,7 @@
 	s.expiry.remove(it)
 }
 
-// FirstToken says that the first token of a request has come.
+// FirstToken reports that the first token of a request has come.
 func (s *Scheduler) FirstToken(now time.Time, id string) {
 	it, ok := s.items[id]
 	if !ok || it.endpoint == nil || it.firstToken {
@@ -238,7 +238,7 @@
 	s.dispatch(now)
 }
 
-// Progress says how many tokens of the answer have come so far.
+// Progress is how many tokens of the answer have come so far.
 func (s *Scheduler) Progress(now time.Time, id string, tokens int) {
 	it, ok := s.items[id]
 	if !ok || it.endpoint == nil || !it.firstToken || tokens <= it.measuredTokens {
@@ -251,7 +251,7 @@
 	s.dispatch(now)
 }
 
-// Finished says that a granted request has ended at its endpoint, and with how
+// Finished reports that a granted request has ended at its endpoint, and with how
 // many tokens.
 func (s *Scheduler) Finished(now time.Time, id string, result admission.Result, tokens int) {
 	it, ok := s.items[id]
@@ -265,7 +265,7 @@
 }
 
 // Tick lets time pass: grants become void, requests become late, limits refill.
-// Next tells when it is due.
+// Next returns when it is due.
 func (s *Scheduler) Tick(now time.Time) {
 	for s.expiry.Len() > 0 && !s.expiry.elements[0].due.After(now) {
 		s.expire(now, s.expiry.elements[0])
@@ -278,7 +278,7 @@
 // tickInterval is how often Tick runs at least while anything waits.
 const tickInterval = 100 * time.Millisecond
 
-// Next tells when Tick is due next. It is never in the past.
+// Next returns when Tick is due next. It is never in the past.
 func (s *Scheduler) Next(now time.Time) time.Time {
 	next := now.Add(tickInterval)
 	if s.waiting == 0 {
--- a/internal/daemon/schedule/shares.go
+++ b/internal/daemon/schedule/shares.go
@@ -56,7 +56,7 @@
 	a.flows.put(f)
 }
 
-// head gives the class's oldest request that no limit holds.
+// head returns the class's oldest request that no limit holds.
 func (a *shareAccount) head() *item {
 	f, ok := a.flows.first()
 	if !ok {
@@ -68,7 +68,7 @@
 // shareCandidates is how many flows are looked at for a request on time.
 const shareCandidates = 16
 
-// next gives a request that can still meet its target, of the flows with the
+// next returns a request that can still meet its target, of the flows with the
 // oldest ones, else the oldest of all: a share should not go to a caller who is
 // about to give up while another can be answered in time.
 func (a *shareAccount) next(now time.Time) *item {
@@ -85,7 +85,7 @@
 	return a.head()
 }
 
-// dueShare gives a request whose class has saved up enough for it.
+// dueShare returns a request whose class has saved up enough for it.
 func (s *Scheduler) dueShare(now time.Time) *item {
 	for _, a := range s.shares.order {
 		s.Steps++
@@ -110,7 +110,7 @@
 // as one token of the answer.
 const promptTokensPerAnswerToken = 16
 
-// accountShare books the work of a grant to its class and saves up for the others.
+// accountShare charges the work of a grant to its class and saves up for the others.
 func (s *Scheduler) accountShare(now time.Time, it *item, reason admission.Reason) {
 	work := s.work(it)
 	for _, a := range s.shares.order {
--- a/internal/daemon/shard/shard.go
+++ b/internal/daemon/shard/shard.go
@@ -50,7 +50,7 @@
 // block.
 type Deliver func(shard string, decision admission.Decision)
 
-// Clock tells the time.
+// Clock returns the time.
 type Clock func() time.Time
 
 // Host holds the schedulers of this host.
@@ -75,7 +75,7 @@
 	due   time.Time
 }
 
-// New makes a host without shards.
+// New returns a host without shards.
 func New(clock Clock, options schedule.Options, deliver Deliver) *Host {
 	return &Host{clock: clock, options: options, deliver: deliver, shards: make(map[string]*runner)}
 }
@@ -127,7 +127,7 @@
 	return names
 }
 
-// Apply gives one message to a shard's scheduler.
+// Apply passes one message to a shard's scheduler.
 func (h *Host) Apply(shard string, m *Message) {
 	h.with(shard, func(now time.Time, core *schedule.Scheduler) {
 		apply(core, now, m)
--- a/internal/daemon/tableclient/tableclient.go
+++ b/internal/daemon/tableclient/tableclient.go
@@ -105,7 +105,7 @@
 	failed func()
 }
 
-// New makes a client. Failed is called for each call without an answer.
+// New returns a client. Failed is called for each call without an answer.
 func New(address string, timeout time.Duration, failed func()) *Client {
 	return &Client{
 		base:   "http://" + address,
@@ -117,14 +117,14 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Read gives one row.
+// Read returns one row.
 func (c *Client) Read(ctx context.Context, key string) (Row, error) {
 	var row Row
 	err := c.call(ctx, http.MethodGet, PathRows+"/"+url.PathEscape(key), nil, &row)
 	return row, err
 }
 
-// List gives all rows whose keys begin with a prefix, sorted by key.
+// List returns all rows whose keys begin with a prefix, sorted by key.
 func (c *Client) List(ctx context.Context, prefix string) ([]Row, error) {
 	var list RowList
 	err := c.call(ctx, http.MethodGet, PathRows+"?prefix="+url.QueryEscape(prefix), nil, &list)
@@ -154,7 +154,7 @@
 	return err
 }
 
-// Hosts gives the platform's list of hosts.
+// Hosts returns the platform's list of hosts.
 func (c *Client) Hosts(ctx context.Context) ([]Host, error) {
 	var list HostList
 	err := c.call(ctx, http.MethodGet, PathHosts, nil, &list)
@@ -172,7 +172,7 @@
 	return err
 }
 
-// do makes one call. It gives the answer's body also for ErrConflict.
+// do makes one call. It returns the answer's body also for ErrConflict.
 func (c *Client) do(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.base+path, nil)
 	if err != nil {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -49,7 +49,7 @@
 	next    int
 }
 
-// New makes an empty ring.
+// New returns an empty ring.
 func New() *Ring {
 	return &Ring{records: make(map[string]*Record), order: make([]string, maxRecords)}
 }
@@ -81,7 +81,7 @@
 	record.Steps = append(record.Steps, step)
 }
 
-// Get gives a copy of a record.
+// Get returns a copy of a record.
 func (r *Ring) Get(id string) (Record, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/front/directory/lapse.go
+++ b/internal/front/directory/lapse.go
@@ -32,7 +32,7 @@
 	return removed >= minLapsed && float64(removed) >= lapsedShare*float64(serving)
 }
 
-// remove takes entries away, or keeps them for a while if they have lapsed. The lock is held;
+// remove removes entries, or keeps them for a while if they have lapsed. The lock is held;
 // the directory's revision is the one at which they went.
 func (d *Directory) remove(ids []string) {
 	removed := make(map[string]int)
--- a/internal/front/follow/follow.go
+++ b/internal/front/follow/follow.go
@@ -42,11 +42,11 @@
 	Wait(ctx context.Context, after uint64, held time.Duration) (Batch[T], error)
 }
 
-// Sink takes what a follower reads.
+// Sink receives what a follower reads.
 type Sink[T any] interface {
-	// Replace takes a whole table.
+	// Replace replaces the whole table.
 	Replace(batch Batch[T])
-	// Apply takes changes.
+	// Apply applies changes.
 	Apply(batch Batch[T])
 }
 
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -268,7 +268,7 @@
 	return nil
 }
 
-// Reload takes the host's file as it was read again. Only the addresses of first peers can
+// Reload applies the host's file as it was read again. Only the addresses of first peers can
 // change while the host runs.
 func (h *Host) Reload(config hostconfig.Host) {
 	h.gossip.Contact(config.FirstPeers)
--- a/internal/front/fx.go
+++ b/internal/front/fx.go
@@ -70,14 +70,14 @@
 	followers atomic.Pointer[followers]
 }
 
-// revisionChanged tells gossip that peers should have a newer revision at once.
+// revisionChanged lets gossip know that peers should have a newer revision at once.
 func (l *late) revisionChanged() {
 	if g := l.gossip.Load(); g != nil {
 		g.ChangedRevision()
 	}
 }
 
-// loadChanged tells gossip of loads that differ much from what peers know.
+// loadChanged lets gossip know of loads that differ much from what peers know.
 func (l *late) loadChanged() {
 	g, s := l.gossip.Load(), l.sync.Load()
 	if g != nil && s != nil && s.WorthReporting() {
--- a/internal/front/gossip/capacity_test.go
+++ b/internal/front/gossip/capacity_test.go
@@ -11,9 +11,9 @@
 	"oxbowslip.dev/oxbowslip/internal/front/keys"
 )
 
-// TestBeatBytes measures the slopes of docs/CAPACITY.md, and bounds them: a beat
+// TestHeartbeatBytes measures the slopes of docs/CAPACITY.md, and bounds them: a beat
 // must fit a datagram.
-func TestBeatBytes(t *testing.T) {
+func TestHeartbeatBytes(t *testing.T) {
 	c := qt.New(t)
 	size := func(endpoints, reads, services, known int) int {
 		beat := Heartbeat{Incarnation: 4_000_000_000, Sequence: 70_000, Settings: 12_000, Directory: 900_000}
--- a/internal/front/gossip/gossip.go
+++ b/internal/front/gossip/gossip.go
@@ -43,7 +43,7 @@
 	State() State
 	// Revisions returns the revisions up to which this host knows all changes.
 	Revisions() SyncRequest
-	// Received takes a peer's heartbeat that has no announcement.
+	// Received handles a peer's heartbeat that has no announcement.
 	Received(peer string, heartbeat *Heartbeat)
 	// Lost is called when a peer left or fell silent.
 	Lost(peer string)
@@ -53,7 +53,7 @@
 	Apply(peer string, response SyncResponse)
 }
 
-// Config says who this host is among its peers.
+// Config is who this host is among its peers.
 type Config struct {
 	Name string
 	Zone string
@@ -93,7 +93,7 @@
 	// askAt is when some member is asked next for hosts that this one does not know.
 	askAt   time.Time
 	leaving bool
-	// syncing says which topics are being fetched.
+	// syncing is which topics are being fetched.
 	syncing [topics]bool
 }
 
@@ -227,7 +227,7 @@
 	}
 }
 
-// Leave tells all members that this host leaves. No heartbeat follows.
+// Leave informs all members that this host leaves. No heartbeat follows.
 func (g *Gossip) Leave() {
 	g.mu.Lock()
 	g.leaving = true
--- a/internal/front/gossip/heartbeat.go
+++ b/internal/front/gossip/heartbeat.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// receive takes heartbeats until the socket is closed.
+// receive handles heartbeats until the socket is closed.
 func (g *Gossip) receive() {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -144,7 +144,7 @@
 	}
 }
 
-// received takes a heartbeat that came from an address.
+// received handles a heartbeat that came from an address.
 func (g *Gossip) received(h *Heartbeat, from string) {
 	g.mu.Lock()
 	member, isNew, counts := g.members.Received(g.clock(), h)
--- a/internal/front/gossip/members.go
+++ b/internal/front/gossip/members.go
@@ -61,7 +61,7 @@
 	known.namedAt = now
 }
 
-// Received takes a heartbeat. It returns the member that sent it. Counts is false if the
+// Received handles a heartbeat. It returns the member that sent it. Counts is false if the
 // heartbeat is this host's own, older than the last one of its sender, or of an unknown
 // sender; isNew is set if the member was not live before.
 func (m *Members) Received(now time.Time, h *Heartbeat) (member Member, isNew, counts bool) {
@@ -81,7 +81,7 @@
 	return *known, isNew, true
 }
 
-// announced takes an announcement, and reports whether its host is new.
+// announced handles an announcement, and reports whether its host is new.
 func (m *Members) announced(now time.Time, h *Heartbeat) bool {
 	a := h.Announcement
 	if a.Host == m.self {
--- a/internal/front/gossip/messages.go
+++ b/internal/front/gossip/messages.go
@@ -17,11 +17,11 @@
 type Heartbeat struct {
 	_ struct{} `cbor:",toarray"`
 
-	// Incarnation names the sender: each start of a host draws a new number. Sequence counts
+	// Incarnation identifies the sender: each start of a host draws a new number. Sequence counts
 	// the heartbeats of one incarnation.
 	Incarnation uint32
 	Sequence    uint64
-	// Announcement says who the sender is. It goes to hosts that do not know the sender yet;
+	// Announcement is who the sender is. It goes to hosts that do not know the sender yet;
 	// a heartbeat with it carries nothing of the sender's work.
 	Announcement *Announcement
 	// Settings and Directory are the newest revisions that the sender has.
@@ -79,7 +79,7 @@
 	Gone    bool
 }
 
-// Holder says that an endpoint was sent a prompt with a prefix, and so has it in its cache.
+// Holder is an endpoint that was sent a prompt with a prefix, and so has it in its cache.
 type Holder struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -87,7 +87,7 @@
 	Endpoint keys.Endpoint
 }
 
-// Announcement says which host an incarnation belongs to.
+// Announcement is the host that an incarnation belongs to.
 type Announcement struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -130,7 +130,7 @@
 	All     int
 }
 
-// Ejection says that the sender gives an endpoint no new work.
+// Ejection is an endpoint that the sender gives no new work.
 type Ejection struct {
 	_ struct{} `cbor:",toarray"`
 
--- a/internal/front/gossip/rules.go
+++ b/internal/front/gossip/rules.go
@@ -46,7 +46,7 @@
 const fullHeartbeats = 120
 
 // How many addresses of other hosts an announcement carries. Not measured on their own;
-// 64 addresses fit one datagram (TestBeatBytes).
+// 64 addresses fit one datagram (TestHeartbeatBytes).
 const (
 	// manyAddresses are sent to a host that knows less than half as many hosts.
 	manyAddresses = 64
--- a/internal/front/pack/pack.go
+++ b/internal/front/pack/pack.go
@@ -15,7 +15,7 @@
 var ErrDamaged = merry.Sentinel("packed document is damaged or was made on another base")
 
 const (
-	// baseID names the dictionary of a patch in its frame.
+	// baseID identifies the dictionary of a patch in its frame.
 	baseID = 1
 	// maxDocument bounds an unpacked document, in bytes.
 	maxDocument = 64 << 20
@@ -37,7 +37,7 @@
 	return encoder.EncodeAll(document, nil), nil
 }
 
-// Apply gives the document that was packed on the same base. The frame carries a
+// Apply returns the document that was packed on the same base. The frame carries a
 // checksum, so that a wrong base is found.
 func Apply(base, patch []byte) ([]byte, error) {
 	options := []zstd.DOption{
--- a/internal/front/peersync/documents.go
+++ b/internal/front/peersync/documents.go
@@ -30,7 +30,7 @@
 	heartbeats int
 }
 
-// keep takes the configuration that came into force, if it is newer.
+// keep keeps the configuration that came into force, if it is newer.
 func (d *documents) keep(document settings.Raw, revision uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/front/peersync/endpoints.go
+++ b/internal/front/peersync/endpoints.go
@@ -46,7 +46,7 @@
 // NewEndpoints returns a sink for a directory.
 func NewEndpoints(parts EndpointsParts) *Endpoints { return &Endpoints{parts: parts} }
 
-// Replace takes the whole table of the store.
+// Replace replaces the whole table of the store.
 func (s *Endpoints) Replace(batch follow.Batch[directory.Change]) {
 	snapshot := directory.Snapshot{Revision: batch.Revision, Changed: batch.Changed}
 	for _, change := range batch.Items {
@@ -65,7 +65,7 @@
 	s.watchLapse(snapshot.Revision)
 }
 
-// Apply takes changes that the store brought.
+// Apply applies changes that the store brought.
 func (s *Endpoints) Apply(batch follow.Batch[directory.Change]) {
 	from := s.parts.Directory.Changed()
 	if !s.parts.Directory.Apply(batch.Revision, batch.Items) {
@@ -114,7 +114,7 @@
 	return s.delta
 }
 
-// applyDelta takes a peer's changes, if this host knows all that came before them.
+// applyDelta applies a peer's changes, if this host knows all that came before them.
 func (s *Endpoints) applyDelta(peer string, delta *gossip.DirectoryDelta) {
 	if s.parts.Directory.Revision() < delta.From {
 		return
@@ -144,7 +144,7 @@
 	return &gossip.DirectorySnapshot{Revision: snapshot.Revision, Changed: snapshot.Changed, Entries: s.entries}, nil
 }
 
-// applySnapshot takes the whole directory of a peer, if it is newer.
+// applySnapshot applies the whole directory of a peer, if it is newer.
 func (s *Endpoints) applySnapshot(peer string, snapshot *gossip.DirectorySnapshot) {
 	entries, err := decompressEntries(snapshot.Entries)
 	if err != nil {
--- a/internal/front/peersync/peersync.go
+++ b/internal/front/peersync/peersync.go
@@ -27,7 +27,7 @@
 // is missed, and such a host fetches it from a peer.
 const heartbeatsPerChange = 3
 
-// fromStore names the store as the source of a change in the logs.
+// fromStore stands for the store as the source of a change in the logs.
 const fromStore = "store"
 
 // Sync joins gossip with what this host knows. It implements gossip.Host.
@@ -95,7 +95,7 @@
 	return gossip.SyncRequest{Settings: s.parts.Holder.Number(), Directory: s.parts.Directory.Revision()}
 }
 
-// Received takes a peer's heartbeat.
+// Received handles a peer's heartbeat.
 func (s *Sync) Received(peer string, h *gossip.Heartbeat) {
 	s.parts.Placer.SetPeer(peer, reportOf(h, s.parts.Clock()))
 	if h.Patch != nil {
--- a/internal/front/peersync/settings.go
+++ b/internal/front/peersync/settings.go
@@ -85,7 +85,7 @@
 	s.parts.Changed()
 }
 
-// applyPatch takes a peer's change of the settings.
+// applyPatch applies a peer's change of the settings.
 func (s *Settings) applyPatch(peer string, patch *gossip.SettingsPatch) {
 	s.applyCompressed(peer, patch.From, patch.Data)
 }
--- a/internal/front/placement/affinity.go
+++ b/internal/front/placement/affinity.go
@@ -27,7 +27,7 @@
 // processing of the prefix.
 const holderTimeout = time.Minute
 
-// Holder says that an endpoint was sent a prompt with a prefix, and so has it in its cache.
+// Holder is an endpoint that was sent a prompt with a prefix, and so has it in its cache.
 type Holder struct {
 	Prefix   keys.Prefix
 	Endpoint keys.Endpoint
@@ -37,7 +37,7 @@
 // with the last time.
 type holderTable map[keys.Prefix]map[keys.Endpoint]time.Time
 
-// Note takes a holder, and reports whether it is news.
+// Note records a holder, and reports whether it is news.
 func (t holderTable) Note(now time.Time, h Holder) bool {
 	endpoints, ok := t[h.Prefix]
 	if !ok {
--- a/internal/front/placement/ejection.go
+++ b/internal/front/placement/ejection.go
@@ -89,7 +89,7 @@
 	return failed
 }
 
-// EjectByPeer takes a peer's report that an endpoint is ejected, and reports whether it is
+// EjectByPeer records a peer's report that an endpoint is ejected, and reports whether it is
 // news.
 func (t *ejectionTable) EjectByPeer(endpoint keys.Endpoint, until time.Time) bool {
 	if !until.After(t.byPeers[endpoint].Add(sameEjection)) {
--- a/internal/front/placement/partition.go
+++ b/internal/front/placement/partition.go
@@ -40,7 +40,7 @@
 	mixingCost = 5000
 )
 
-// partition says which prompts an endpoint is for.
+// partition is which prompts an endpoint is for.
 type partition int
 
 const (
--- a/internal/front/relay/exchange.go
+++ b/internal/front/relay/exchange.go
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// run takes the request through its attempts and answers the caller.
+// run leads the request through its attempts and answers the caller.
 func (x *exchange) run() {
 	p := &x.server.parts
 	ctx, cancel := context.WithDeadlineCause(x.r.Context(), x.limit, owner.ErrTimeLimit)
--- a/internal/front/relay/refuse.go
+++ b/internal/front/relay/refuse.go
@@ -10,7 +10,7 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// headerRequestID names the header with the caller's ID of a request.
+// headerRequestID is the header with the caller's ID of a request.
 const headerRequestID = "X-Request-Id"
 
 // When a refused caller should come back, where nobody knows better. Not measured.
--- a/internal/hostconfig/hostconfig.go
+++ b/internal/hostconfig/hostconfig.go
@@ -20,7 +20,8 @@
 
 // Host is the file of one host.
 type Host struct {
-	Name   string `json:"name"`
+	Name string `json:"name"`
+	// Region is without effect; see docs/operate/setup.md.
 	Region string `json:"region,omitzero"`
 	Zone   string `json:"zone"`
 	// Callers, Operators and Peers are addresses to listen on. Port 0 picks a
@@ -56,7 +57,7 @@
 	Window time.Duration `json:"window,omitzero"`
 }
 
-// Platform says where the platform's service is.
+// Platform is where the platform's service is.
 type Platform struct {
 	Address string `json:"address"`
 	// Poll is the mean time between two reads of the settings' head.
@@ -81,13 +82,13 @@
 	Role   OperatorRole `json:"role"`
 }
 
-// Log says what is logged and how.
+// Log is what is logged and how.
 type Log struct {
 	Level  string `json:"level,omitzero"`
 	Format string `json:"format,omitzero"`
 }
 
-// Drain says how a planned stop goes.
+// Drain is how a planned stop goes.
 type Drain struct {
 	// Notice is how long the host goes on accepting after its readiness has
 	// failed, for the balancer to see it.
--- a/internal/lifetime/lifetime.go
+++ b/internal/lifetime/lifetime.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Context gives a context that ends when done is closed. The function ends it
+// Context returns a context that ends when done is closed. The function ends it
 // sooner and must be called.
 func Context(done <-chan struct{}) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -35,7 +35,7 @@
 
 // Every calls f at once and then again and again until done is closed, with
 // pauses of half to one and a half of the mean, which keeps many hosts apart.
-// Random gives numbers from 0 up to 1.
+// Random returns numbers from 0 up to 1.
 func Every(done <-chan struct{}, mean time.Duration, random func() float64, f func(ctx context.Context)) {
 	ctx, cancel := Context(done)
 	defer cancel()
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -13,7 +13,7 @@
 // partField is the field that becomes the prefix.
 const partField = "part"
 
-// New makes a logger that writes to w. Level and format are those of a host's
+// New returns a logger that writes to w. Level and format are those of a host's
 // settings.
 func New(w io.Writer, level, format string) (*logrus.Logger, error) {
 	parsed, err := logrus.ParseLevel(level)
@@ -31,7 +31,7 @@
 	return log, nil
 }
 
-// Part gives a logger whose messages begin with the part's name.
+// Part returns a logger whose messages begin with the part's name.
 func Part(log *logrus.Logger, part string) *logrus.Entry {
 	return log.WithField(partField, part)
 }
@@ -39,7 +39,7 @@
 // prefixHook moves the part from the fields to the front of the message.
 type prefixHook struct{}
 
-// Levels says that the hook is for all levels.
+// Levels reports that the hook is for all levels.
 func (prefixHook) Levels() []logrus.Level { return logrus.AllLevels }
 
 // Fire changes the entry that is about to be written.
--- a/internal/logging/ring.go
+++ b/internal/logging/ring.go
@@ -92,7 +92,7 @@
 	leftOut   atomic.Int64
 }
 
-// NewSampler makes a sampler for a number of lines a second.
+// NewSampler returns a sampler for a number of lines a second.
 func NewSampler(perSecond int) *Sampler { return &Sampler{perSecond: int64(perSecond)} }
 
 // Allow reports whether a line may be logged, and how many were not since the last
--- a/internal/logread/logread.go
+++ b/internal/logread/logread.go
@@ -16,7 +16,7 @@
 	"oxbowslip.dev/oxbowslip/internal/explain"
 )
 
-// ErrNotFound says that no line of the logs tells of the request.
+// ErrNotFound means that no line of the logs tells of the request.
 var ErrNotFound = merry.Sentinel("no line of these logs tells of the request")
 
 // Line is a log line of a host, as far as it is of use here.
--- a/internal/operator/changes.go
+++ b/internal/operator/changes.go
@@ -26,7 +26,7 @@
 	Patch jsontext.Value `json:"patch"`
 }
 
-// ChangeAnswer tells what became of a change. Exactly one of Revision and Error
+// ChangeAnswer is what became of a change. Exactly one of Revision and Error
 // is set.
 type ChangeAnswer struct {
 	Revision uint64 `json:"revision,omitzero"`
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -28,37 +28,37 @@
 	http *http.Client
 }
 
-// NewClient makes a client with an operator's key.
+// NewClient returns a client with an operator's key.
 func NewClient(address, key string) *Client {
 	return &Client{base: "http://" + address, key: key, http: &http.Client{Timeout: clientTimeout}}
 }
 
-// Status gives the state of the host.
+// Status returns the state of the host.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	return get[Status](ctx, c, "/v1/status")
 }
 
-// Settings gives the tree in force on the host.
+// Settings returns the tree in force on the host.
 func (c *Client) Settings(ctx context.Context) (SettingsAnswer, error) {
 	return get[SettingsAnswer](ctx, c, "/v1/settings")
 }
 
-// Change gives an accepted change.
+// Change returns an accepted change.
 func (c *Client) Change(ctx context.Context, revision uint64) (settings.Change, error) {
 	return get[settings.Change](ctx, c, "/v1/settings/changes/"+strconv.FormatUint(revision, 10))
 }
 
-// Effective gives each effective value of a workspace and class.
+// Effective returns each effective value of a workspace and class.
 func (c *Client) Effective(ctx context.Context, workspace, class string) ([]settings.Explained, error) {
 	return get[[]settings.Explained](ctx, c, "/v1/settings/effective/"+url.PathEscape(workspace)+"/"+class)
 }
 
-// Explain gives what was decided for a request.
+// Explain returns what was decided for a request.
 func (c *Client) Explain(ctx context.Context, id string) (explain.Record, error) {
 	return get[explain.Record](ctx, c, "/v1/requests/"+url.PathEscape(id))
 }
 
-// Recorded gives the shapes of the host's requests that arrived after a time.
+// Recorded returns the shapes of the host's requests that arrived after a time.
 func (c *Client) Recorded(ctx context.Context, after time.Time) ([]record.Entry, error) {
 	return get[[]record.Entry](ctx, c, "/v1/recorded?after="+url.QueryEscape(after.Format(time.RFC3339Nano)))
 }
@@ -68,7 +68,7 @@
 	Answer ChangeAnswer
 }
 
-// Error gives the host's words.
+// Error returns the host's words.
 func (r *Refused) Error() string { return r.Answer.Error }
 
 // Apply sends a change. A change that was not accepted comes back as *Refused.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -51,7 +51,7 @@
 	Problem  string        `json:"problem,omitzero"`
 	Open     int           `json:"open"`
 	Shards   []ShardStatus `json:"shards"`
-	// Schedulers gives the host that schedules each shard, as this host sees it.
+	// Schedulers returns the host that schedules each shard, as this host sees it.
 	Schedulers map[string]string `json:"schedulers"`
 	// Refusals counts refusals by reason since the start; those at 0 are left
 	// out.
@@ -116,7 +116,7 @@
 
 const readHeaderTime = 10 * time.Second
 
-// HTTP gives the HTTP server. Health, readiness and metrics need no key.
+// HTTP returns the HTTP server. Health, readiness and metrics need no key.
 func (s *Server) HTTP() *http.Server {
 	router := mux.NewRouter()
 	router.HandleFunc("/healthz", s.health).Methods(http.MethodGet)
@@ -151,7 +151,7 @@
 // whoKey is the context key of the operator's name.
 type whoKey struct{}
 
-// who names the operator of a request that passed with.
+// who returns the name of the operator of a request that passed with.
 func who(r *http.Request) string {
 	name, _ := r.Context().Value(whoKey{}).(string)
 	return name
--- a/internal/owner/job.go
+++ b/internal/owner/job.go
@@ -17,7 +17,7 @@
 	Rules request.Rules
 	// RetryBudget is the class's retries as a fraction of its first tries.
 	RetryBudget float64
-	// BudgetGroup names the retry budget; empty means the class.
+	// BudgetGroup is the name of the retry budget; empty means the class.
 	BudgetGroup string
 	// Deadline is when no retry begins any more; zero means never.
 	Deadline time.Time
@@ -25,7 +25,7 @@
 	CanContinue bool
 	// Attempt sends the request to the granted endpoint and relays the answer.
 	Attempt func(ctx context.Context, a *Attempt) Result
-	// Resume takes up a broken stream at the same endpoint; nil if it can't.
+	// Resume continues a broken stream at the same endpoint; nil if it can't.
 	Resume func(ctx context.Context, a *Attempt) Result
 }
 
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -42,7 +42,7 @@
 	Ask(ctx context.Context, shard string, request admission.Request) (Ticket, admission.Decision, error)
 }
 
-// Ticket tells an Admitter how a granted request goes on. Its methods are called from the
+// Ticket informs an Admitter how a granted request goes on. Its methods are called from the
 // goroutine of the request and must not block.
 type Ticket interface {
 	// Preempted is closed when the request has to leave its endpoint. It may be nil.
@@ -101,7 +101,7 @@
 	return &Owner{parts: parts, idle: make(chan struct{}, 1), stopped: make(chan struct{})}
 }
 
-// Run takes a job to its end. Ctx is the caller's: when it ends, the caller is gone.
+// Run runs a job to its end. Ctx is the caller's: when it ends, the caller is gone.
 func (o *Owner) Run(ctx context.Context, job *Job) End {
 	o.enter()
 	defer o.leave()
--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -180,7 +180,7 @@
 	return action
 }
 
-// attemptFailed gives the endpoint back and remembers to avoid it.
+// attemptFailed ends the grant and remembers to avoid the endpoint.
 func (r *run) attemptFailed(event request.Event, next request.Action) {
 	r.job.Request.Avoid = append(r.job.Request.Avoid, r.endpointID)
 	cause, result := counters.WasteBroken, admission.Failed
--- a/internal/proof/demo/cluster.go
+++ b/internal/proof/demo/cluster.go
@@ -37,7 +37,7 @@
 // CallerKey is the key of a workspace of the demonstration.
 func CallerKey(workspace string) string { return callerKeyPrefix + workspace }
 
-// Config says what a cluster is made of.
+// Config is what a cluster is made of.
 type Config struct {
 	Hosts int
 	// Engines counts the engines of each model.
@@ -51,7 +51,7 @@
 	// Poll is the mean time between two reads of the settings' head; 0 means
 	// 200 ms.
 	Poll time.Duration
-	// PeerAddress gives the address that the platform's list shows for a host's
+	// PeerAddress returns the address that the platform's list shows for a host's
 	// own; nil means the same.
 	PeerAddress func(address string) string
 	// CallerTimeout bounds how long a caller may take to read or to send; 0
@@ -79,7 +79,7 @@
 	Zone   string
 	Daemon *daemon.Daemon
 	app    *fx.App
-	// Down says that the host was killed or stopped.
+	// Down is set if the host was killed or stopped.
 	Down bool
 }
 
@@ -254,14 +254,14 @@
 	return nil
 }
 
-// Hosts gives the daemons.
+// Hosts returns the daemons.
 func (c *Cluster) Hosts() []*Host {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]*Host(nil), c.hosts...)
 }
 
-// Pick gives the next ready host, as the platform's balancer would.
+// Pick returns the next ready host, as the platform's balancer would.
 func (c *Cluster) Pick() (*Host, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proof/demo/faults.go
+++ b/internal/proof/demo/faults.go
@@ -13,7 +13,7 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// Fault names a fault that a demonstration can inject.
+// Fault is the name of a fault that a demonstration can inject.
 type Fault string
 
 // The faults.
--- a/internal/proof/demo/load.go
+++ b/internal/proof/demo/load.go
@@ -59,13 +59,13 @@
 	Source Source
 	ID     string
 	Status int
-	// Answered says that the whole answer came and was right.
+	// Answered is set if the whole answer came and was right.
 	Answered bool
-	// Wrong says what was wrong with an answer that claimed to be whole.
+	// Wrong is what was wrong with an answer that claimed to be whole.
 	Wrong  string
 	Reason request.Reason
 	Ran    request.Ran
-	// Broken says that the answer broke off and the caller could tell.
+	// Broken is set if the answer broke off and the caller could tell.
 	Broken     bool
 	Begun      time.Time
 	FirstToken time.Duration
--- a/internal/proof/demo/order.go
+++ b/internal/proof/demo/order.go
@@ -22,7 +22,7 @@
 	Address string                 `json:"address,omitzero"`
 }
 
-// Order gives an endpoint a state and waits until that is in force on every
+// Order sets the state of an endpoint and waits until that is in force on every
 // host.
 func (c *Cluster) Order(endpoint string, state settings.EndpointState) error {
 	if err := c.change(endpoint, endpointPatch{State: state}); err != nil {
--- a/internal/proof/demo/run.go
+++ b/internal/proof/demo/run.go
@@ -10,7 +10,7 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// Plan says what a demonstration does.
+// Plan is what a demonstration does.
 type Plan struct {
 	Seconds int
 	Seed    uint64
--- a/internal/proof/demo/serve.go
+++ b/internal/proof/demo/serve.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// PrintAddresses tells how to reach a cluster, with a command that works.
+// PrintAddresses prints how to reach a cluster, with a command that works.
 func PrintAddresses(w io.Writer, c *Cluster) {
 	hosts := c.Hosts()
 	for i, host := range hosts {
--- a/internal/proof/emulator/engine.go
+++ b/internal/proof/emulator/engine.go
@@ -14,7 +14,7 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/prefix"
 )
 
-// Config gives an engine's speed and size.
+// Config is an engine's speed and size.
 type Config struct {
 	// StepTime is the time of a step with no request.
 	StepTime time.Duration
@@ -120,7 +120,7 @@
 	busy      time.Duration
 }
 
-// New makes an idle engine.
+// New returns an idle engine.
 func New(config Config) *Engine {
 	return &Engine{config: config, slow: 1, cache: newPrefixCache()}
 }
@@ -174,7 +174,7 @@
 	return Load{Running: len(e.running), Waiting: len(e.waiting), CacheTokens: e.memory()}
 }
 
-// Next tells when the step under way ends. It reports false if the engine is
+// Next returns when the step under way ends. It reports false if the engine is
 // idle or stalled.
 func (e *Engine) Next() (time.Time, bool) {
 	return e.stepEnd, e.stepping && !e.stalled
--- a/internal/proof/replay/owner.go
+++ b/internal/proof/replay/owner.go
@@ -44,7 +44,7 @@
 	w.settle(now, shard)
 }
 
-// prefixOf gives the hashes of a prompt's shared document.
+// prefixOf returns the hashes of a prompt's shared document.
 func prefixOf(event *Event) []uint64 {
 	if event.Document == "" {
 		return nil
@@ -62,7 +62,7 @@
 	return hashes
 }
 
-// sendOutside gives a request to the engine with the fewest requests, as
+// sendOutside sends a request to the engine with the fewest requests, as
 // another router would.
 func (w *world) sendOutside(now time.Time, j *job) {
 	var best *engineWorld
@@ -283,7 +283,7 @@
 	})
 }
 
-// preempt takes a request back from its engine.
+// preempt removes a request from its engine.
 func (w *world) preempt(now time.Time, j *job) {
 	if j.state != stateSent || j.tokens > j.base {
 		return
--- a/internal/proof/replay/policy.go
+++ b/internal/proof/replay/policy.go
@@ -33,7 +33,7 @@
 	Report(endpoint string, load emulator.Load)
 }
 
-// Current names the policy of the daemons.
+// Current is the policy of the daemons.
 const Current = "current"
 
 // The baselines.
@@ -125,7 +125,7 @@
 	}
 }
 
-// least gives the endpoint with the least load; among equals, a random one.
+// least returns the endpoint with the least load; among equals, a random one.
 func (d *direct) least(load func(*directEndpoint) int) *directEndpoint {
 	start := d.random.IntN(len(d.endpoints))
 	best := d.endpoints[start]
@@ -138,7 +138,7 @@
 	return best
 }
 
-// Report takes a load report.
+// Report records a load report.
 func (d *direct) Report(endpoint string, load emulator.Load) {
 	if e, ok := d.byID[endpoint]; ok {
 		e.load = load
@@ -156,7 +156,7 @@
 // Withdraw frees a place.
 func (d *direct) Withdraw(now time.Time, id string) { d.Finished(now, id, admission.Cancelled, 0) }
 
-// Take gives the decisions.
+// Take returns the decisions.
 func (d *direct) Take() []admission.Decision {
 	taken := d.decisions
 	d.decisions = nil
--- a/internal/proof/replay/report.go
+++ b/internal/proof/replay/report.go
@@ -301,7 +301,7 @@
 	return o.Arrived.ToSecond == 0 || (second >= o.Arrived.FromSecond && second < o.Arrived.ToSecond)
 }
 
-// name tells in messages which requests an outcome is about.
+// name describes in messages which requests an outcome is about.
 func (o *Outcome) name() string {
 	name := "all classes"
 	if o.Class != "" {
--- a/internal/proof/replay/trace.go
+++ b/internal/proof/replay/trace.go
@@ -29,9 +29,9 @@
 	Seed   uint64 `json:"seed"`
 	// Settings is the tree in force: classes, workspaces, models, endpoints.
 	Settings settings.Tree `json:"settings"`
-	// Engines names the engine model of all endpoints.
+	// Engines is the engine model of all endpoints.
 	Engines EngineModel `json:"engines"`
-	// Callers says how callers behave, class by class.
+	// Callers is how callers behave, class by class.
 	Callers  map[string]Caller `json:"callers,omitzero"`
 	Outcomes []Outcome         `json:"outcomes,omitzero"`
 	// Measure is the part of the trace that goodput is measured in; the zero
@@ -90,7 +90,7 @@
 	Model     string `json:"model,omitzero"`
 	Prompt    int    `json:"prompt,omitzero"`
 	Answer    int    `json:"answer,omitzero"`
-	// Document names a text that the prompt begins with, DocumentTokens its
+	// Document is the name of a text that the prompt begins with, DocumentTokens its
 	// length.
 	Document       string `json:"document,omitzero"`
 	DocumentTokens int    `json:"document_tokens,omitzero"`
--- a/internal/proof/standin/answer.go
+++ b/internal/proof/standin/answer.go
@@ -18,7 +18,7 @@
 	tag string
 }
 
-// AnswerTag gives the tag of a prompt's answer. The prompt is the raw JSON of
+// AnswerTag returns the tag of a prompt's answer. The prompt is the raw JSON of
 // the messages, without a part of an answer to go on from.
 func answerTag(messages []byte) string {
 	hash := fnv.New32a()
@@ -26,10 +26,10 @@
 	return fmt.Sprintf("%08x", hash.Sum32())
 }
 
-// word gives the n-th word, counted from 1.
+// word returns the n-th word, counted from 1.
 func (a answerText) word(n int) string { return a.tag + "." + strconv.Itoa(n) + " " }
 
-// Answer gives the whole answer of so many words to a prompt.
+// Answer returns the whole answer of so many words to a prompt.
 func Answer(messages []byte, words int) string {
 	text := answerText{tag: answerTag(messages)}
 	var b strings.Builder
@@ -49,7 +49,7 @@
 	answerSpan  = 112
 )
 
-// answerLength gives the number of words of a prompt's answer.
+// answerLength returns the number of words of a prompt's answer.
 func answerLength(messages []byte, bound int) int {
 	length := 0
 	if found := lengthMark.FindSubmatch(messages); found != nil {
@@ -85,7 +85,7 @@
 	Rest    jsontext.Value `json:",embed"`
 }
 
-// split takes a part of an answer off the end of the messages. It gives the
+// split removes a part of an answer off the end of the messages. It returns the
 // prompt and the number of words of the part.
 func (r *chatRequest) split() ([]byte, int, error) {
 	messages := r.Messages
--- a/internal/proof/standin/engine.go
+++ b/internal/proof/standin/engine.go
@@ -35,14 +35,14 @@
 	WrongID bool `json:"wrong_id,omitzero"`
 }
 
-// EngineConfig says what an engine stand-in is.
+// EngineConfig is what an engine stand-in is.
 type EngineConfig struct {
 	Name  string
 	Model string
 	Speed emulator.Config
 	// KeepStreams is how long an ended stream can be resumed.
 	KeepStreams time.Duration
-	// Continues says whether the engine goes on from a part of an answer.
+	// Continues is set if the engine goes on from a part of an answer.
 	Continues bool
 }
 
@@ -68,7 +68,7 @@
 	stopped    chan struct{}
 }
 
-// NewEngine makes an engine that does not listen yet.
+// NewEngine returns an engine that does not listen yet.
 func NewEngine(config EngineConfig) *Engine {
 	if config.Speed.MaxRunning == 0 {
 		config.Speed = emulator.DefaultConfig
@@ -151,7 +151,7 @@
 	e.nudge()
 }
 
-// Executions tells how often each request was begun, by request ID.
+// Executions returns how often each request was begun, by request ID.
 func (e *Engine) Executions() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -162,7 +162,7 @@
 	return counts
 }
 
-// LastBegun tells when the engine last began a request.
+// LastBegun returns when the engine last began a request.
 func (e *Engine) LastBegun() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/proof/standin/platform.go
+++ b/internal/proof/standin/platform.go
@@ -34,7 +34,7 @@
 	Writes int
 }
 
-// PlatformConfig says how the platform stand-in behaves.
+// PlatformConfig is how the platform stand-in behaves.
 type PlatformConfig struct {
 	// HostLag is the age of the list of hosts.
 	HostLag time.Duration
@@ -60,7 +60,7 @@
 	hosts []tableclient.Host
 }
 
-// NewPlatform makes a platform that does not listen yet.
+// NewPlatform returns a platform that does not listen yet.
 func NewPlatform(config PlatformConfig) *Platform {
 	return &Platform{config: config, rows: make(map[string]tableclient.Row), objects: make(map[string][]byte)}
 }
@@ -98,7 +98,7 @@
 	p.faults = f
 }
 
-// Calls tells what the platform was asked so far.
+// Calls returns what the platform was asked so far.
 func (p *Platform) Calls() Calls {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,7 +157,7 @@
 	return p.faults
 }
 
-// discard takes an answer that gets lost.
+// discard swallows an answer that gets lost.
 type discard struct{ header http.Header }
 
 func (d discard) Header() http.Header         { return d.header }
--- a/internal/proof/standin/service.go
+++ b/internal/proof/standin/service.go
@@ -35,7 +35,7 @@
 	faults     ServiceFaults
 }
 
-// NewService makes a service that does not listen yet.
+// NewService returns a service that does not listen yet.
 func NewService() *Service {
 	return &Service{executions: make(map[string]int)}
 }
@@ -68,7 +68,7 @@
 	s.faults = f
 }
 
-// Executions tells how often each call ran, by request ID.
+// Executions returns how often each call ran, by request ID.
 func (s *Service) Executions() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proof/standin/stream.go
+++ b/internal/proof/standin/stream.go
@@ -56,7 +56,7 @@
 	s.changed = make(chan struct{})
 }
 
-// look gives the state and a channel that is closed when it changes.
+// look returns the state and a channel that is closed when it changes.
 func (s *stream) look() (int, streamState, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -28,7 +28,7 @@
 	next    int
 }
 
-// New makes an empty ring.
+// New returns an empty ring.
 func New() *Ring { return &Ring{} }
 
 // Add keeps an entry and forgets the oldest one if the ring is full.
@@ -43,7 +43,7 @@
 	r.next = (r.next + 1) % maxEntries
 }
 
-// Since gives the entries that arrived after a time, in the order in which they
+// Since returns the entries that arrived after a time, in the order in which they
 // ended.
 func (r *Ring) Since(after time.Time) []Entry {
 	r.mu.Lock()
--- a/internal/request/lifecycle.go
+++ b/internal/request/lifecycle.go
@@ -117,7 +117,7 @@
 	return &Lifecycle{rules: rules}
 }
 
-// Apply takes an event and returns what to do next. After the end it changes nothing.
+// Apply handles an event and returns what to do next. After the end it changes nothing.
 func (l *Lifecycle) Apply(event Event, facts Facts) Action {
 	if l.outcome != OutcomeOpen {
 		return ActFinish
--- a/internal/request/reason.go
+++ b/internal/request/reason.go
@@ -80,7 +80,7 @@
 	return r != RetryGrantVoid && r != RetryPreempted
 }
 
-// Ran tells the caller whether a request that was not answered ran.
+// Ran is whether a request that was not answered ran, as its caller is told.
 type Ran string
 
 // The values of Ran. RanNo is a promise: no byte of the request was written to an endpoint, or
--- a/internal/settings/effective.go
+++ b/internal/settings/effective.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Origin names the node that an effective value comes from, as a path in the
+// Origin is the node that an effective value comes from, as a path in the
 // tree, or originBuiltIn.
 type Origin string
 
@@ -47,7 +47,7 @@
 	return policy
 }
 
-// RoutePolicy gives the policy of a host route's class for a workspace, or for
+// RoutePolicy returns the policy of a host route's class for a workspace, or for
 // no workspace if the name is empty.
 func (t *Tree) RoutePolicy(workspace, class string) (Policy, bool) {
 	if workspace != "" {
@@ -118,7 +118,7 @@
 	return false
 }
 
-// layers gives the nodes that a class inherits from, the least specific first:
+// layers returns the nodes that a class inherits from, the least specific first:
 // root, the root's classes along the path, workspace, the workspace's classes
 // along the path.
 func (t *Tree) layers(workspace, class string) ([]layer, bool) {
--- a/internal/settings/holder.go
+++ b/internal/settings/holder.go
@@ -15,12 +15,12 @@
 	changed chan struct{}
 }
 
-// NewHolder makes a holder with nothing in force.
+// NewHolder returns a holder with nothing in force.
 func NewHolder() *Holder {
 	return &Holder{changed: make(chan struct{})}
 }
 
-// Current gives the revision in force, or nil before the first.
+// Current returns the revision in force, or nil before the first.
 func (h *Holder) Current() *Revision {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -48,7 +48,7 @@
 	return true
 }
 
-// Changed gives a channel that is closed when the next revision comes into
+// Changed returns a channel that is closed when the next revision comes into
 // force.
 func (h *Holder) Changed() <-chan struct{} {
 	h.mu.Lock()
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -91,7 +91,7 @@
 	Name string `json:"name"`
 	Host string `json:"host"`
 	Path string `json:"path"`
-	// Class gives the calls their settings.
+	// Class is the request class of the calls.
 	Class string `json:"class"`
 	// Targets are the services that share the calls by weight.
 	Targets []Target `json:"targets"`
@@ -105,7 +105,7 @@
 	Weight  float64 `json:"weight"`
 }
 
-// Route names the class of calls with a method and a path prefix. An empty
+// Route is the class of calls with a method and a path prefix. An empty
 // method matches all. The longest path that matches wins.
 type Route struct {
 	Method string `json:"method,omitzero"`
@@ -113,7 +113,7 @@
 	Class  string `json:"class"`
 }
 
-// EndpointState says whether an endpoint is to receive work.
+// EndpointState is whether an endpoint is to get work.
 type EndpointState string
 
 // The states of an endpoint. The empty state means StateIn.
@@ -122,7 +122,7 @@
 	StateOut EndpointState = "out"
 )
 
-// Role is the part of the work that an engine does.
+// Role is the part of the work that an engine does. It is accepted and without effect.
 type Role string
 
 // The roles of an engine. The empty role means RoleServe.
@@ -135,19 +135,21 @@
 // Endpoint is one back end: an engine that serves a model, or a server of a
 // plain service.
 type Endpoint struct {
-	Address string        `json:"address"`
+	Address string `json:"address"`
+	// Region is without effect; see docs/operate/setup.md.
 	Region  string        `json:"region,omitzero"`
 	Zone    string        `json:"zone"`
 	State   EndpointState `json:"state,omitzero"`
 	Model   string        `json:"model,omitzero"`
 	Service string        `json:"service,omitzero"`
-	Adapter string        `json:"adapter,omitzero"`
-	Version string        `json:"version,omitzero"`
-	Role    Role          `json:"role,omitzero"`
-	// ChecksFences says whether the endpoint refuses an order with an older
-	// fence.
+	// Adapter and Role are without effect: no orders are given to engines.
+	Adapter string `json:"adapter,omitzero"`
+	Version string `json:"version,omitzero"`
+	Role    Role   `json:"role,omitzero"`
+	// ChecksFences is set if the endpoint refuses an order with an older fence. It is without
+	// effect: no orders are given.
 	ChecksFences bool `json:"checks_fences,omitzero"`
-	// Continues says whether the engine can go on from a part of an answer.
+	// Continues is set if the engine can go on from a part of an answer.
 	Continues bool `json:"continues,omitzero"`
 	// MaxInFlight bounds the requests sent to the endpoint at a time; 0 means
 	// that only the learned limit counts.
@@ -157,7 +159,7 @@
 	CacheTokens int `json:"cache_tokens,omitzero"`
 }
 
-// LatePolicy says what becomes of a request that can't meet its target.
+// LatePolicy is what becomes of a request that can't meet its target.
 type LatePolicy string
 
 // The policies for late requests.
@@ -207,7 +209,7 @@
 	WhenLate      LatePolicy
 	// MaxWait bounds the time before the answer begins.
 	MaxWait time.Duration
-	// Repeatable says whether a request may run more than once.
+	// Repeatable is set if a request may run more than once.
 	Repeatable bool
 	MaxTries   int
 	// RetryBudget is the retries allowed as a fraction of first tries.
@@ -226,7 +228,7 @@
 	MaxAnswerTokens int
 	// TimeLimit bounds the whole request; 0 means no bound.
 	TimeLimit time.Duration
-	// Stream says that answers are event streams, Resumable that another
+	// Stream is set if answers are event streams, Resumable if another
 	// endpoint can go on with a broken one after its last event.
 	Stream    bool
 	Resumable bool
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -34,13 +34,13 @@
 	return strictjson.Encode(tree)
 }
 
-// HashKey gives the form of a caller's key that the settings keep.
+// HashKey returns the form of a caller's key that the settings keep.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// WorkspaceOf names the workspace that a caller's key belongs to. All hashes
+// WorkspaceOf returns the workspace that a caller's key belongs to. All hashes
 // are compared, each in constant time, so that timing tells nothing.
 func (t *Tree) WorkspaceOf(key string) (string, bool) {
 	hash := []byte(HashKey(key))
@@ -55,7 +55,7 @@
 	return found, found != ""
 }
 
-// ClassOfRoute names the class of a service's call, or "" if no route of the
+// ClassOfRoute returns the class of a service's call, or "" if no route of the
 // service matches.
 func (s Service) ClassOfRoute(method, path string) string {
 	best := Route{}
@@ -70,7 +70,7 @@
 	return best.Class
 }
 
-// RouteFor gives the route of a call: of the routes of its host, the one with the
+// RouteFor returns the route of a call: of the routes of its host, the one with the
 // longest prefix of its path.
 func (t *Tree) RouteFor(host, path string) (HostRoute, bool) {
 	best := HostRoute{}
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -21,7 +21,7 @@
 type Fault struct {
 	// Path is a JSON pointer to the value. The root is "/".
 	Path string `json:"path"`
-	// Problem says what is wrong and what would be right.
+	// Problem is what is wrong and what would be right.
 	Problem string `json:"problem"`
 }
 
@@ -31,7 +31,7 @@
 	Faults   []Fault
 }
 
-// Error gives one fault a line.
+// Error returns one fault a line.
 func (e *Error) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: %d fault(s)", e.Document, len(e.Faults))
