--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,6 +1,6 @@
-// Package counters holds the metrics of one daemon. Every series of a closed
-// set exists from the start, so that alerts can be written before its first
-// event.
+// Package counters holds the metrics of one daemon; both programs use it. Every series of a closed set
+// exists from the start, so that alerts can be written before its first event. Names and labels are
+// listed in docs/metrics.md and never change.
 package counters
 
 import (
--- a/internal/daemon/api/api.go
+++ b/internal/daemon/api/api.go
@@ -1,6 +1,8 @@
-// Package api is the callers' interface: OpenAI-compatible chat requests and
-// calls of plain services. It names the workspace and class of a request,
-// checks it, and relays the answer.
+// Package api is the callers' interface of oxbowslipd: chat requests as OpenAI clients send them, and
+// calls of plain services. It finds the workspace and class of a request, checks it, and relays the
+// answer. oxbowslip-front routes by host name and path instead (package relay).
+//
+// It owns one exchange for each open request; package owner leads it through its attempts.
 package api
 
 import (
@@ -14,7 +16,6 @@
 
 	"github.com/google/uuid"
 	"github.com/gorilla/mux"
-	"github.com/sirupsen/logrus"
 
 	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/counters"
@@ -51,32 +52,28 @@
 	Release(workspace, key, requestID string)
 }
 
-// Server answers callers.
-type Server struct {
-	host     string
-	zone     string
-	settings *settings.Holder
-	owner    *owner.Owner
-	client   *httpclient.Client
-	counters *counters.Counters
-	claims   Claims
-	recorded *record.Ring
-	log      *logrus.Entry
-	clock    func() time.Time
-	timeouts httprelay.Timeouts
-	ready    func() *request.Refusal
+// Parts are what a server works with.
+type Parts struct {
+	// Host and Zone are this host's name and availability zone.
+	Host     string
+	Zone     string
+	Settings *settings.Holder
+	Owner    *owner.Owner
+	Client   *httpclient.Client
+	Counters *counters.Counters
+	Claims   Claims
+	Recorded *record.Ring
+	Clock    func() time.Time
+	Timeouts httprelay.Timeouts
+	// Ready returns the refusal for a host that can't take requests yet, or nil.
+	Ready func() *request.Refusal
 }
 
-// New returns the callers' server. Ready gives the refusal for a host that can't
-// take requests yet, or nil.
-func New(host, zone string, s *settings.Holder, o *owner.Owner, client *httpclient.Client, c *counters.Counters, claims Claims, recorded *record.Ring,
-	log *logrus.Entry, clock func() time.Time, timeouts httprelay.Timeouts, ready func() *request.Refusal,
-) *Server {
-	return &Server{
-		host: host, zone: zone, settings: s, owner: o, client: client, counters: c, claims: claims, recorded: recorded,
-		log: log, clock: clock, timeouts: timeouts, ready: ready,
-	}
-}
+// Server answers callers.
+type Server struct{ parts Parts }
+
+// New returns the callers' server.
+func New(parts Parts) *Server { return &Server{parts: parts} }
 
 // HTTP returns the HTTP server, with the limits on what a caller may send.
 func (s *Server) HTTP() *http.Server {
@@ -121,7 +118,7 @@
 // fault into an answer.
 func (s *Server) handle(next func(http.ResponseWriter, *http.Request, *caller) *fault) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		c := &caller{id: requestID(r), arrived: s.clock()}
+		c := &caller{id: requestID(r), arrived: s.parts.Clock()}
 		w.Header().Set(HeaderRequestID, c.id)
 		f := s.identify(r, c)
 		if f == nil {
@@ -130,7 +127,7 @@
 		if f == nil {
 			return
 		}
-		s.counters.Refused(f.reason)
+		s.parts.Counters.Refused(f.reason)
 		writeRefusal(w, c.id, &request.Refusal{Reason: f.reason, Ran: request.RanNo, Detail: f.detail}, f.known)
 	}
 }
@@ -152,14 +149,14 @@
 }
 
 func (s *Server) identify(r *http.Request, c *caller) *fault {
-	if refusal := s.ready(); refusal != nil {
+	if refusal := s.parts.Ready(); refusal != nil {
 		return faultOf(refusal)
 	}
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return &fault{reason: request.ReasonUnknownKey, detail: "send the key as Authorization: Bearer KEY"}
 	}
-	c.tree = s.settings.Current().Tree
+	c.tree = s.parts.Settings.Current().Tree
 	c.workspace, ok = c.tree.WorkspaceOf(strings.TrimSpace(key))
 	if !ok {
 		return &fault{reason: request.ReasonUnknownKey, detail: "this key belongs to no workspace"}
@@ -234,7 +231,7 @@
 	if len(key) > maxIDLength {
 		return &fault{reason: request.ReasonBadRequest, detail: "the idempotency key is too long"}
 	}
-	won, err := s.claims.Claim(r.Context(), c.workspace, key, c.id)
+	won, err := s.parts.Claims.Claim(r.Context(), c.workspace, key, c.id)
 	switch {
 	case err != nil:
 		return &fault{reason: request.ReasonClaimsAway, detail: "the idempotency key can't be checked now; nothing ran"}
@@ -249,7 +246,7 @@
 // not run, its idempotency key is free again.
 func (s *Server) refuse(w http.ResponseWriter, c *caller, refusal *request.Refusal) {
 	if c.key != "" && refusal.Ran == request.RanNo {
-		s.claims.Release(c.workspace, c.key, c.id)
+		s.parts.Claims.Release(c.workspace, c.key, c.id)
 	}
 	writeRefusal(w, c.id, refusal, nil)
 }
@@ -258,11 +255,11 @@
 func (s *Server) scheduleRequest(c *caller) admission.Request {
 	p := &c.policy
 	return admission.Request{
-		ID: c.id, Owner: s.host, Workspace: c.workspace, Class: c.class, Tier: p.Tier, Arrived: c.arrived,
+		ID: c.id, Owner: s.parts.Host, Workspace: c.workspace, Class: c.class, Tier: p.Tier, Arrived: c.arrived,
 		FirstToken: p.FirstToken, BetweenTokens: p.BetweenTokens, WholeAnswer: p.WholeAnswer,
 		RefuseLate: p.WhenLate == settings.LateRefuse, MaxWait: p.MaxWait, Repeatable: p.Repeatable,
 		Share: p.Share, Weight: p.Weight, MaxInFlight: p.MaxInFlight, MaxWaiting: p.MaxWaiting,
-		TokensPerMinute: p.TokensPerMinute, Zone: s.zone,
+		TokensPerMinute: p.TokensPerMinute, Zone: s.parts.Zone,
 	}
 }
 
--- a/internal/daemon/api/chat.go
+++ b/internal/daemon/api/chat.go
@@ -34,7 +34,7 @@
 	if f := c.classify(r.Header.Get(HeaderClass)); f != nil {
 		return f
 	}
-	data, refusal := httprelay.ReadBody(w, r, int64(c.policy.MaxBodyBytes), s.timeouts.Read)
+	data, refusal := httprelay.ReadBody(w, r, int64(c.policy.MaxBodyBytes), s.parts.Timeouts.Read)
 	if refusal != nil {
 		return faultOf(refusal)
 	}
@@ -88,8 +88,8 @@
 		job.Resume = x.streamResume
 		job.CanContinue = x.shardContinues()
 	}
-	end := s.owner.Run(ctx, job)
-	s.recorded.Add(record.Entry{
+	end := s.parts.Owner.Run(ctx, job)
+	s.parts.Recorded.Add(record.Entry{
 		Arrived: c.arrived, Class: c.class, Workspace: c.workspace, Model: x.body.Model, Prompt: req.PromptTokens, Answer: end.Tokens,
 	})
 	x.finish(&end)
@@ -110,11 +110,11 @@
 	s, c := x.server, x.caller
 	switch end.Outcome {
 	case request.OutcomeAnswered:
-		whole := s.clock().Sub(c.arrived)
+		whole := s.parts.Clock().Sub(c.arrived)
 		if x.answer != nil {
 			x.answer.Send(x.w)
 		}
-		s.counters.Answered(c.class, end.FirstToken, attained(&c.policy, end, whole), end.Tokens)
+		s.parts.Counters.Answered(c.class, end.FirstToken, attained(&c.policy, end, whole), end.Tokens)
 	case request.OutcomeBroken:
 		x.stream.breakOff(end.Refusal)
 	case request.OutcomeRefused:
@@ -152,7 +152,7 @@
 	if err != nil {
 		return owner.Result{Event: request.EventBroken, Err: err}
 	}
-	response, err := x.server.client.Do(ctx, call)
+	response, err := x.server.parts.Client.Do(ctx, call)
 	if err != nil {
 		return failed(err)
 	}
@@ -237,7 +237,7 @@
 func (x *chatExchange) relay(ctx context.Context, a *owner.Attempt, call httpclient.Call) owner.Result {
 	ctx, watch := httprelay.WatchSilence(ctx, stallTime, owner.ErrStalled)
 	defer watch.Stop()
-	response, err := x.server.client.Do(ctx, call)
+	response, err := x.server.parts.Client.Do(ctx, call)
 	if err != nil {
 		return failed(err)
 	}
--- a/internal/daemon/api/service.go
+++ b/internal/daemon/api/service.go
@@ -88,7 +88,7 @@
 // readHead reads as much of the body as is held back.
 func (x *serviceExchange) readHead() *fault {
 	limit := int64(x.caller.policy.MaxBodyBytes)
-	head, whole, refusal := httprelay.ReadHead(x.w, x.r, limit, heldBytes, x.server.timeouts.Read)
+	head, whole, refusal := httprelay.ReadHead(x.w, x.r, limit, heldBytes, x.server.parts.Timeouts.Read)
 	if refusal != nil {
 		return faultOf(refusal)
 	}
@@ -113,14 +113,14 @@
 	if c.policy.MaxWait > 0 {
 		job.Deadline = c.arrived.Add(c.policy.MaxWait)
 	}
-	end := s.owner.Run(ctx, job)
+	end := s.parts.Owner.Run(ctx, job)
 	switch end.Outcome {
 	case request.OutcomeAnswered:
-		whole := s.clock().Sub(c.arrived)
+		whole := s.parts.Clock().Sub(c.arrived)
 		if x.answer != nil {
 			x.answer.Send(x.w)
 		}
-		s.counters.Answered(c.class, whole, attained(&c.policy, &end, whole), 0)
+		s.parts.Counters.Answered(c.class, whole, attained(&c.policy, &end, whole), 0)
 	case request.OutcomeBroken:
 		panic(http.ErrAbortHandler)
 	case request.OutcomeRefused:
@@ -130,7 +130,7 @@
 
 // attempt makes one try.
 func (x *serviceExchange) attempt(ctx context.Context, a *owner.Attempt) owner.Result {
-	response, err := x.server.client.Do(ctx, x.call(a))
+	response, err := x.server.parts.Client.Do(ctx, x.call(a))
 	if err != nil {
 		return failed(err)
 	}
@@ -191,7 +191,7 @@
 	control := http.NewResponseController(x.w)
 	buffer := make([]byte, heldBytes)
 	for part, readErr := head, error(nil); ; {
-		_ = control.SetWriteDeadline(time.Now().Add(x.server.timeouts.Write))
+		_ = control.SetWriteDeadline(time.Now().Add(x.server.parts.Timeouts.Write))
 		if _, err := x.w.Write(part); err != nil {
 			return callerLost(err)
 		}
--- a/internal/daemon/api/stream.go
+++ b/internal/daemon/api/stream.go
@@ -141,7 +141,7 @@
 		r.w.WriteHeader(http.StatusOK)
 		r.started = true
 	}
-	_ = r.control.SetWriteDeadline(time.Now().Add(r.server.timeouts.Write))
+	_ = r.control.SetWriteDeadline(time.Now().Add(r.server.parts.Timeouts.Write))
 	r.scratch = append(r.scratch[:0], "data: "...)
 	r.scratch = append(r.scratch, data...)
 	r.scratch = append(r.scratch, "\n\n"...)
--- a/internal/daemon/change/change.go
+++ b/internal/daemon/change/change.go
@@ -1,6 +1,6 @@
-// Package change holds the rules for changes of the settings tree: what a patch
-// touches, when two changes conflict, and how a change makes the next revision.
-// It does no input or output.
+// Package change holds the rules for changes of the settings tree in oxbowslipd: what a patch
+// touches, when two changes conflict, and how a change makes the next revision. It does no input or
+// output. On the users' platform the settings are changed in the deployment's store.
 package change
 
 import (
--- a/internal/daemon/claims/claims.go
+++ b/internal/daemon/claims/claims.go
@@ -1,5 +1,8 @@
-// Package claims takes idempotency keys in the platform's table, so that the
-// same key at two hosts runs at most once. Many claims go in one transaction.
+// Package claims reserves idempotency keys in the platform's table, so that the same key at two
+// hosts of oxbowslipd runs at most once. Many claims share a transaction.
+//
+// It owns the claims that wait for their transaction and the rows of claims. On the users' platform
+// there are no idempotency keys; a request that may not be repeated goes to one endpoint only.
 package claims
 
 import (
--- a/internal/daemon/commit/commit.go
+++ b/internal/daemon/commit/commit.go
@@ -1,6 +1,7 @@
-// Package commit takes operators' changes of the settings into the platform's
-// table. A change is accepted by one transaction on the head row; its ID tells a
-// lost answer from a lost race.
+// Package commit stores operators' changes of the settings in the platform's table, for oxbowslipd.
+// A change is accepted by one transaction on the head row; its ID distinguishes a lost answer from a
+// lost race. The form of the rows is in package poller, which reads them; the rules for conflicts are
+// in package change.
 package commit
 
 import (
--- a/internal/daemon/commit/commit_test.go
+++ b/internal/daemon/commit/commit_test.go
@@ -99,7 +99,10 @@
 	log.SetOutput(io.Discard)
 	follow := func() (*poller.Follower, *settings.Holder) {
 		holder := settings.NewHolder()
-		return poller.New(client, holder, counters.New(), logrus.NewEntry(log), time.Second, func() float64 { return 0 }, noPeers, time.Now), holder
+		return poller.New(poller.Parts{
+			Client: client, Holder: holder, Counters: counters.New(), Log: logrus.NewEntry(log), Interval: time.Second,
+			Random: func() float64 { return 0 }, Peers: noPeers, Clock: time.Now,
+		}), holder
 	}
 	early, holder := follow()
 	ctx := context.Background()
--- a/internal/daemon/dispatch/dispatch.go
+++ b/internal/daemon/dispatch/dispatch.go
@@ -1,6 +1,7 @@
-// Package dispatch is the owner's side of scheduling: it asks the scheduler of
-// a shard for grants, waits for its decisions, tells it how the granted requests
-// go on, and announces them to the next scheduler when the shard moves.
+// Package dispatch is the owner's side of scheduling in oxbowslipd: it asks the scheduler of a shard
+// for grants, waits for its decisions, reports how the granted requests go on, and announces them to
+// the next scheduler when the shard moves. It owns the requests of this host that are open with a
+// scheduler; package fleet is the way there.
 package dispatch
 
 import (
--- a/internal/daemon/fleet/fleet.go
+++ b/internal/daemon/fleet/fleet.go
@@ -1,6 +1,9 @@
-// Package fleet joins the hosts into one: it sends each request to the host that
-// schedules its shard, moves the requests when that changes, and schedules the
-// shards that fall to this host.
+// Package fleet joins the hosts of oxbowslipd into one: it sends each request to the host that
+// schedules its shard, moves the requests when that changes, and schedules the shards that fall to
+// this host. oxbowslip-front has no schedulers (package placement).
+//
+// It owns the links to other hosts and the assignment of shards, which follows from the platform's
+// list of hosts and what this host sees of them (package membership).
 package fleet
 
 import (
@@ -45,17 +48,10 @@
 
 // Fleet is one host's part in the fleet.
 type Fleet struct {
-	config     Config
-	dispatcher *dispatch.Dispatcher
-	platform   *tableclient.Client
-	log        *logrus.Entry
-	clock      func() time.Time
-	random     func() float64
-	settings   func() change.Document
-	newer      func(revision uint64)
-	server     *peer.Server
-	listener   net.Listener
-	shards     *shard.Host
+	parts    Parts
+	server   *peer.Server
+	listener net.Listener
+	shards   *shard.Host
 
 	// moving keeps two moves of shards apart.
 	moving sync.Mutex
@@ -71,18 +67,33 @@
 	closed    bool
 }
 
-// New returns a host's part of the fleet. Options are those of its schedulers.
-func New(config Config, d *dispatch.Dispatcher, client *tableclient.Client, log *logrus.Entry, options schedule.Options,
-	settings func() change.Document, newer func(revision uint64), clock func() time.Time, random func() float64,
-) *Fleet {
+// Parts are what a fleet works with.
+type Parts struct {
+	Config     Config
+	Dispatcher *dispatch.Dispatcher
+	Platform   *tableclient.Client
+	Log        *logrus.Entry
+	// Options are those of this host's schedulers.
+	Options schedule.Options
+	// Settings returns the settings in force, Newer is called with a peer's revision of them.
+	Settings func() change.Document
+	Newer    func(revision uint64)
+	Clock    func() time.Time
+	// Random returns numbers from 0 up to 1.
+	Random func() float64
+}
+
+// New returns a host's part of the fleet that does not listen yet.
+func New(parts Parts) *Fleet {
 	f := &Fleet{
-		config: config, dispatcher: d, platform: client, log: log, clock: clock, random: random,
-		settings: settings, newer: newer,
-		view: membership.New(config.Self), links: make(map[string]*peer.Link), schedulers: make(map[string]string),
+		parts: parts, view: membership.New(parts.Config.Self), links: make(map[string]*peer.Link), schedulers: make(map[string]string),
 	}
-	f.shards = shard.New(clock, options, f.deliver)
-	f.server = peer.NewServer(config.Self.Name, config.Key, clock, f.shards.Apply, f.shards.DropOwner, settings, newer)
-	d.Connect(f)
+	f.shards = shard.New(parts.Clock, parts.Options, f.deliver)
+	f.server = peer.NewServer(peer.ServerParts{
+		Self: parts.Config.Self.Name, Key: parts.Config.Key, Clock: parts.Clock, Apply: f.shards.Apply, Drop: f.shards.DropOwner,
+		Settings: parts.Settings, Newer: parts.Newer,
+	})
+	parts.Dispatcher.Connect(f)
 	return f
 }
 
@@ -95,7 +106,7 @@
 	var newest change.Document
 	answered := false
 	for _, address := range f.someAddresses() {
-		document, err := peer.FetchSettings(ctx, f.config.Self.Name, address, f.config.Key, newer)
+		document, err := peer.FetchSettings(ctx, f.parts.Config.Self.Name, address, f.parts.Config.Key, newer)
 		if err != nil {
 			continue // The next may answer; with none, the caller knows.
 		}
@@ -110,14 +121,14 @@
 func (f *Fleet) someAddresses() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	addresses := append([]string(nil), f.config.FirstPeers...)
+	addresses := append([]string(nil), f.parts.Config.FirstPeers...)
 	for _, h := range f.view.Hosts() {
-		if h.Name != f.config.Self.Name {
+		if h.Name != f.parts.Config.Self.Name {
 			addresses = append(addresses, h.Address)
 		}
 	}
 	for i := len(addresses) - 1; i > 0; i-- {
-		j := int(f.random() * float64(i+1))
+		j := int(f.parts.Random() * float64(i+1))
 		addresses[i], addresses[j] = addresses[j], addresses[i]
 	}
 	return addresses[:min(maxAsked, len(addresses))]
@@ -128,10 +139,10 @@
 
 // Start listens for peers.
 func (f *Fleet) Start() error {
-	if f.config.Listen == "" {
+	if f.parts.Config.Listen == "" {
 		return nil
 	}
-	listener, err := net.Listen("tcp", f.config.Listen)
+	listener, err := net.Listen("tcp", f.parts.Config.Listen)
 	if err != nil {
 		return merry.Prepend(err, "listen for peers")
 	}
@@ -151,15 +162,15 @@
 // Run reads the platform's list of hosts until done is closed. While the
 // platform is away, the last list stays.
 func (f *Fleet) Run(done <-chan struct{}) {
-	go lifetime.Every(done, repeatInterval, f.random, func(context.Context) { f.dispatcher.Repeat() })
-	lifetime.Every(done, listInterval, f.random, f.readList)
+	go lifetime.Every(done, repeatInterval, f.parts.Random, func(context.Context) { f.parts.Dispatcher.Repeat() })
+	lifetime.Every(done, listInterval, f.parts.Random, f.readList)
 }
 
 func (f *Fleet) readList(ctx context.Context) {
-	if f.config.Listen == "" {
+	if f.parts.Config.Listen == "" {
 		return
 	}
-	list, err := f.platform.Hosts(ctx)
+	list, err := f.parts.Platform.Hosts(ctx)
 	if err != nil {
 		return // The client counts it.
 	}
@@ -188,7 +199,7 @@
 		if _, ok := f.schedulers[shardName]; ok {
 			continue
 		}
-		if host := f.view.Scheduler(shardName); host.Name == f.config.Self.Name {
+		if host := f.view.Scheduler(shardName); host.Name == f.parts.Config.Self.Name {
 			f.assign(shardName, host)
 		}
 	}
@@ -197,7 +208,7 @@
 // Leave hands this host's shards over: it schedules no more.
 func (f *Fleet) Leave() {
 	f.mu.Lock()
-	f.view.Leave(f.config.Self.Name)
+	f.view.Leave(f.parts.Config.Self.Name)
 	f.mu.Unlock()
 	f.server.Leave()
 	f.reassign()
@@ -251,7 +262,7 @@
 
 // Send hands a message to a host's scheduler.
 func (f *Fleet) Send(host, shardName string, m *shard.Message) {
-	if host == f.config.Self.Name {
+	if host == f.parts.Config.Self.Name {
 		f.shards.Apply(shardName, m)
 		return
 	}
@@ -265,8 +276,8 @@
 
 // deliver hands a scheduler's decision to the request's owner.
 func (f *Fleet) deliver(shardName string, d admission.Decision) {
-	if d.Owner == f.config.Self.Name || d.Owner == "" {
-		f.dispatcher.Deliver(f.config.Self.Name, shardName, d)
+	if d.Owner == f.parts.Config.Self.Name || d.Owner == "" {
+		f.parts.Dispatcher.Deliver(f.parts.Config.Self.Name, shardName, d)
 		return
 	}
 	f.server.Deliver(shardName, d)
@@ -276,58 +287,19 @@
 func (f *Fleet) assign(shardName string, host membership.Host) {
 	before, known := f.schedulers[shardName]
 	f.schedulers[shardName] = host.Name
-	if host.Name != f.config.Self.Name {
+	if host.Name != f.parts.Config.Self.Name {
 		f.link(host)
 		return
 	}
 	if known && before != host.Name {
 		f.takeovers++
-		f.log.WithField("shard", shardName).Info("took over")
+		f.parts.Log.WithField("shard", shardName).Info("took over")
 	}
 	if f.view.Others() > 0 {
 		f.shards.Hold(shardName, takeoverHold)
 	}
 }
 
-// link opens a link to a host if there is none. The lock is held.
-func (f *Fleet) link(host membership.Host) {
-	if _, ok := f.links[host.Name]; ok || f.closed {
-		return
-	}
-	f.links[host.Name] = peer.Dial(f.config.Self.Name, host.Name, host.Address, f.config.Key, f.clock, peer.Events{
-		Up: f.linkUp, Down: f.linkDown, Leaving: f.linkLeaving, Decision: f.dispatcher.Deliver,
-		Revision: func() uint64 { return f.settings().Revision }, Newer: f.newer,
-	})
-}
-
-// linkUp announces to a scheduler all requests that are its own.
-func (f *Fleet) linkUp(host string) {
-	f.mu.Lock()
-	news := f.view.Suspect(host, false)
-	f.mu.Unlock()
-	if news {
-		f.reassign()
-	}
-	f.dispatcher.Announce(host)
-}
-
-func (f *Fleet) linkDown(host string) {
-	f.mu.Lock()
-	news := f.view.Suspect(host, true)
-	f.mu.Unlock()
-	if news {
-		f.log.WithField("peer", host).Warn("lost")
-		f.reassign()
-	}
-}
-
-func (f *Fleet) linkLeaving(host string) {
-	f.mu.Lock()
-	f.view.Leave(host)
-	f.mu.Unlock()
-	f.reassign()
-}
-
 // reassign moves the shards whose scheduler has changed, with their requests,
 // and ends links that nothing needs.
 func (f *Fleet) reassign() {
@@ -346,30 +318,10 @@
 	idle := f.idleLinks()
 	f.mu.Unlock()
 	for _, shardName := range moved {
-		f.dispatcher.Move(shardName)
+		f.parts.Dispatcher.Move(shardName)
 	}
 	for _, link := range idle {
 		// In the background: a link's own goroutine may have called.
 		go link.Close()
 	}
 }
-
-// idleLinks removes the links to hosts that are gone from the list and
-// schedule nothing for this host. The lock is held.
-func (f *Fleet) idleLinks() []*peer.Link {
-	needed := make(map[string]bool)
-	for _, host := range f.schedulers {
-		needed[host] = true
-	}
-	for _, host := range f.view.Hosts() {
-		needed[host.Name] = true
-	}
-	var idle []*peer.Link
-	for name, link := range f.links {
-		if !needed[name] {
-			idle = append(idle, link)
-			delete(f.links, name)
-		}
-	}
-	return idle
-}
--- /dev/null
+++ b/internal/daemon/fx.go
@@ -0,0 +1,146 @@
+package daemon
+
+import (
+	"context"
+	"math/rand/v2"
+	"sync/atomic"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"go.uber.org/fx"
+	"go.uber.org/fx/fxevent"
+
+	"oxbowslip.dev/oxbowslip/internal/admission"
+	"oxbowslip.dev/oxbowslip/internal/counters"
+	"oxbowslip.dev/oxbowslip/internal/daemon/change"
+	"oxbowslip.dev/oxbowslip/internal/daemon/claims"
+	"oxbowslip.dev/oxbowslip/internal/daemon/commit"
+	"oxbowslip.dev/oxbowslip/internal/daemon/dispatch"
+	"oxbowslip.dev/oxbowslip/internal/daemon/fleet"
+	"oxbowslip.dev/oxbowslip/internal/daemon/httpclient"
+	"oxbowslip.dev/oxbowslip/internal/daemon/membership"
+	"oxbowslip.dev/oxbowslip/internal/daemon/poller"
+	"oxbowslip.dev/oxbowslip/internal/daemon/tableclient"
+	"oxbowslip.dev/oxbowslip/internal/explain"
+	"oxbowslip.dev/oxbowslip/internal/hostconfig"
+	"oxbowslip.dev/oxbowslip/internal/logging"
+	"oxbowslip.dev/oxbowslip/internal/owner"
+	"oxbowslip.dev/oxbowslip/internal/record"
+	"oxbowslip.dev/oxbowslip/internal/retrybudget"
+	"oxbowslip.dev/oxbowslip/internal/settings"
+)
+
+// Options returns the parts of a daemon to fx.
+func Options(config hostconfig.Host, log *logrus.Logger) fx.Option {
+	return fx.Options(
+		fx.Supply(config, log),
+		fx.Provide(
+			func() func() time.Time { return time.Now },
+			func() func() float64 { return rand.Float64 },
+			counters.New,
+			explain.New,
+			record.New,
+			settings.NewHolder,
+			dispatch.New,
+			httpclient.New,
+			func() *documentSource { return new(documentSource) },
+			newFleet,
+			newPlatform,
+			newFollower,
+			newOwner,
+			newClaims,
+			commit.New,
+			New,
+		),
+		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
+		fx.StopTimeout(config.Drain.Limit+stopMargin),
+		fx.Invoke(func(lifecycle fx.Lifecycle, d *Daemon) {
+			lifecycle.Append(fx.Hook{OnStart: d.Start, OnStop: d.Stop})
+		}),
+	)
+}
+
+func newFleet(config hostconfig.Host, d *dispatch.Dispatcher, client *tableclient.Client, log *logrus.Logger,
+	document *documentSource, clock func() time.Time, random func() float64,
+) *fleet.Fleet {
+	return fleet.New(fleet.Parts{
+		Config: fleet.Config{
+			Self:   membership.Host{Name: config.Name, Address: config.Peers, Zone: config.Zone},
+			Listen: config.Peers, Key: config.PeerKey, FirstPeers: config.FirstPeers,
+		},
+		Dispatcher: d, Platform: client, Log: logging.Part(log, "fleet"), Settings: document.get, Newer: document.newer,
+		Clock: clock, Random: random,
+	})
+}
+
+func newPlatform(config hostconfig.Host, c *counters.Counters) *tableclient.Client {
+	return tableclient.New(config.Platform.Address, config.Platform.Timeout, c.PlatformErrors.Inc)
+}
+
+// followerParts are what the follower of the settings is made of.
+type followerParts struct {
+	fx.In
+
+	Config   hostconfig.Host
+	Client   *tableclient.Client
+	Holder   *settings.Holder
+	Counters *counters.Counters
+	Log      *logrus.Logger
+	Document *documentSource
+	Fleet    *fleet.Fleet
+	Clock    func() time.Time
+	Random   func() float64
+}
+
+func newFollower(p followerParts) *poller.Follower {
+	follower := poller.New(poller.Parts{
+		Client: p.Client, Holder: p.Holder, Counters: p.Counters, Log: logging.Part(p.Log, "settings"),
+		Interval: p.Config.Platform.Poll, Peers: p.Fleet.Settings, Clock: p.Clock, Random: p.Random,
+	})
+	p.Document.follower.Store(follower)
+	return follower
+}
+
+// documentSource lets peers read the settings that the follower has. The fleet
+// and the follower need each other, so one is filled in later.
+type documentSource struct {
+	follower atomic.Pointer[poller.Follower]
+}
+
+func (s *documentSource) get() change.Document {
+	if follower := s.follower.Load(); follower != nil {
+		return follower.Document()
+	}
+	return change.Document{}
+}
+
+func newOwner(config hostconfig.Host, d *dispatch.Dispatcher, s *settings.Holder, c *counters.Counters, ring *explain.Ring,
+	clock func() time.Time, random func() float64,
+) *owner.Owner {
+	endpoints := func(id string) (settings.Endpoint, bool) {
+		e, ok := s.Current().Tree.Endpoints[id]
+		return e, ok && e.State != settings.StateOut
+	}
+	return owner.New(owner.Parts{
+		Host: config.Name, Admitter: sharedQueue{d}, Endpoints: endpoints, Budget: retrybudget.NewClass(), Counters: c,
+		Explained: ring, Clock: clock, Random: random,
+	})
+}
+
+// sharedQueue asks the host that schedules a shard. It implements owner.Admitter.
+type sharedQueue struct{ dispatcher *dispatch.Dispatcher }
+
+// Ask submits a request to the host that schedules its shard.
+func (s sharedQueue) Ask(ctx context.Context, shardName string, r admission.Request) (owner.Ticket, admission.Decision, error) {
+	return s.dispatcher.Ask(ctx, shardName, r)
+}
+
+func newClaims(config hostconfig.Host, client *tableclient.Client, log *logrus.Logger, clock func() time.Time) *claims.Table {
+	return claims.New(config.Name, client, logging.Part(log, "claims"), clock)
+}
+
+func (s *documentSource) newer(revision uint64) {
+	if follower := s.follower.Load(); follower != nil {
+		follower.Nudge(revision)
+	}
+}
--- a/internal/daemon/httpclient/httpclient.go
+++ b/internal/daemon/httpclient/httpclient.go
@@ -1,5 +1,7 @@
-// Package httpclient sends calls to endpoints over HTTP. It never sends a call
-// twice, and it tells whether a call that failed may have reached the endpoint.
+// Package httpclient is the HTTP client of oxbowslipd towards endpoints. It never sends a call
+// twice, and reports whether a call that failed may have reached the endpoint. It is net/http's
+// transport with its resends prevented, and streams bodies both ways; oxbowslip-front needs
+// answers bound to calls and has a client of its own (package upstream).
 package httpclient
 
 import (
@@ -101,27 +103,11 @@
 			call.OnSend()
 		}
 	}}
-	header := call.Header
-	if header == nil {
-		header = make(http.Header)
-	}
-	body := call.Body
-	if body == nil {
-		body = emptyReader{}
-	}
-	outgoing := (&http.Request{
-		Method:        call.Method,
-		URL:           target,
-		Header:        header,
-		Body:          onceBody{body},
-		ContentLength: call.Length,
-		Host:          call.Address,
-	}).WithContext(httptrace.WithClientTrace(ctx, trace))
 	transport := c.kept
 	if call.Once {
 		transport = c.fresh
 	}
-	response, err := transport.RoundTrip(outgoing)
+	response, err := transport.RoundTrip(call.request(httptrace.WithClientTrace(ctx, trace), target))
 	if err == nil {
 		return response, nil
 	}
@@ -130,3 +116,23 @@
 	}
 	return nil, merry.Wrap(request.ErrNotSent, merry.WithCause(err))
 }
+
+// request returns the call in the form that a transport takes.
+func (c *Call) request(ctx context.Context, target *url.URL) *http.Request {
+	header := c.Header
+	if header == nil {
+		header = make(http.Header)
+	}
+	body := c.Body
+	if body == nil {
+		body = emptyReader{}
+	}
+	return (&http.Request{
+		Method:        c.Method,
+		URL:           target,
+		Header:        header,
+		Body:          onceBody{body},
+		ContentLength: c.Length,
+		Host:          c.Address,
+	}).WithContext(ctx)
+}
--- a/internal/daemon/membership/membership.go
+++ b/internal/daemon/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership decides which host schedules which shard. It starts from
-// the platform's lagging list of hosts and corrects it by what this host sees of
-// the peers that it works with. It does no input or output.
+// Package membership decides which host of oxbowslipd schedules which shard. It starts from the
+// platform's lagging list of hosts and corrects it by what this host sees of the peers that it works
+// with. It owns this host's view of the fleet and does no input or output.
 package membership
 
 import (
--- a/internal/daemon/peer/server.go
+++ b/internal/daemon/peer/server.go
@@ -22,16 +22,7 @@
 
 // Server is this host's side, as a scheduler, of the links from owners.
 type Server struct {
-	self  string
-	key   string
-	clock func() time.Time
-	// apply hands an owner's message to a scheduler, drop an owner's end.
-	apply func(shard string, m *shard.Message)
-	drop  func(owner string)
-	// settings returns the settings in force.
-	settings func() change.Document
-	// newer hands over an owner's revision of the settings.
-	newer func(revision uint64)
+	parts ServerParts
 
 	mu       sync.Mutex
 	sessions map[string]*session
@@ -49,14 +40,23 @@
 	ended chan struct{}
 }
 
+// ServerParts are what a server works with.
+type ServerParts struct {
+	// Self is this host's name, Key the one that all peers share.
+	Self  string
+	Key   string
+	Clock func() time.Time
+	// Apply hands an owner's message to a scheduler, Drop the end of an owner.
+	Apply func(shard string, m *shard.Message)
+	Drop  func(owner string)
+	// Settings returns the settings in force, Newer is called with an owner's revision.
+	Settings func() change.Document
+	Newer    func(revision uint64)
+}
+
 // NewServer returns a server that does not listen yet.
-func NewServer(self, key string, clock func() time.Time, apply func(shard string, m *shard.Message), drop func(owner string),
-	settings func() change.Document, newer func(revision uint64),
-) *Server {
-	return &Server{
-		self: self, key: key, clock: clock, apply: apply, drop: drop, settings: settings, newer: newer,
-		sessions: make(map[string]*session), ended: make(chan struct{}),
-	}
+func NewServer(parts ServerParts) *Server {
+	return &Server{parts: parts, sessions: make(map[string]*session), ended: make(chan struct{})}
 }
 
 // Serve accepts links in the background until Close.
@@ -103,7 +103,7 @@
 		return
 	}
 	select {
-	case session.queue <- decisionToForm(s.clock(), shardName, &d):
+	case session.queue <- decisionToForm(s.parts.Clock(), shardName, &d):
 	default:
 		// An owner that is so far behind is as good as gone.
 		delete(s.sessions, d.Owner)
@@ -130,7 +130,7 @@
 	}
 	// The owner announces all it has on a new link. What is held of it from
 	// before is dropped first: it may have ended while no link was there.
-	s.drop(owner)
+	s.parts.Drop(owner)
 	go s.write(stream, session)
 	err = s.read(stream, owner)
 	close(session.ended)
@@ -144,7 +144,7 @@
 		return "", merry.Wrap(err)
 	}
 	nonce := newNonce()
-	challenge := frame{Kind: kindChallenge, Host: s.self, Nonce: nonce, Proof: proof(s.key, roleScheduler, hello.Nonce)}
+	challenge := frame{Kind: kindChallenge, Host: s.parts.Self, Nonce: nonce, Proof: proof(s.parts.Key, roleScheduler, hello.Nonce)}
 	if err := stream.MsgSend(&challenge, encoding{}); err != nil {
 		return "", merry.Wrap(err)
 	}
@@ -152,7 +152,7 @@
 	if err := stream.MsgRecv(&answer, encoding{}); err != nil {
 		return "", merry.Wrap(err)
 	}
-	if !hmac.Equal(answer.Proof, proof(s.key, roleOwner, nonce)) {
+	if !hmac.Equal(answer.Proof, proof(s.parts.Key, roleOwner, nonce)) {
 		return "", merry.Wrap(ErrWrongKey)
 	}
 	return hello.Host, nil
@@ -191,7 +191,7 @@
 		_, back := s.sessions[ended.owner]
 		s.mu.Unlock()
 		if !back {
-			s.drop(ended.owner)
+			s.parts.Drop(ended.owner)
 			s.renew(ended.owner)
 		}
 	})
@@ -213,7 +213,7 @@
 	defer ticker.Stop()
 	leave := session.leave
 	for {
-		f := frame{Kind: kindHeartbeat, Revision: s.settings().Revision}
+		f := frame{Kind: kindHeartbeat, Revision: s.parts.Settings().Revision}
 		select {
 		case form, ok := <-session.queue:
 			if !ok {
@@ -243,11 +243,11 @@
 			return merry.Wrap(err)
 		}
 		if f.Kind == kindHeartbeat {
-			s.newer(f.Revision)
+			s.parts.Newer(f.Revision)
 		}
-		now := s.clock()
+		now := s.parts.Clock()
 		for i := range f.Messages {
-			s.apply(f.Messages[i].Shard, f.Messages[i].message(now, owner))
+			s.parts.Apply(f.Messages[i].Shard, f.Messages[i].message(now, owner))
 		}
 	}
 }
--- a/internal/daemon/peer/settings.go
+++ b/internal/daemon/peer/settings.go
@@ -48,7 +48,7 @@
 		return merry.Wrap(err)
 	}
 	answer := frame{Kind: kindSettings}
-	if document := s.settings(); document.Revision > want.Revision {
+	if document := s.parts.Settings(); document.Revision > want.Revision {
 		answer.Revision, answer.Data = document.Revision, document.Data
 	}
 	return merry.Wrap(stream.MsgSend(&answer, encoding{}))
--- a/internal/daemon/poller/poller.go
+++ b/internal/daemon/poller/poller.go
@@ -1,7 +1,10 @@
-// Package poller keeps the newest accepted settings in force on this host. It
-// polls the head row of the platform's table with jitter, reads the changes
-// since the revision that it has, and goes on with what it has while the
-// platform is away.
+// Package poller keeps the newest accepted settings in force on a host of oxbowslipd. It polls
+// the head row of the platform's table with jitter, reads the changes since the revision that it
+// has, and keeps what it has while the platform is away. oxbowslip-front follows a feed instead
+// (package follow).
+//
+// It owns the document in force, and the form of the rows that hold the settings; package commit
+// writes them.
 package poller
 
 import (
@@ -48,14 +51,7 @@
 
 // Follower keeps a holder up to date.
 type Follower struct {
-	client   *tableclient.Client
-	holder   *settings.Holder
-	counters *counters.Counters
-	log      *logrus.Entry
-	poll     time.Duration
-	random   func() float64
-	peers    Peers
-	clock    func() time.Time
+	parts Parts
 
 	// ctx ends with Run. nudged says that a poll for a peer's newer revision is
 	// under way.
@@ -81,15 +77,25 @@
 // settings.
 const grace = 30 * time.Second
 
+// Parts are what a follower works with.
+type Parts struct {
+	Client   *tableclient.Client
+	Holder   *settings.Holder
+	Counters *counters.Counters
+	Log      *logrus.Entry
+	// Interval is the mean time between two reads of the head row.
+	Interval time.Duration
+	// Peers are asked while the platform is away.
+	Peers Peers
+	Clock func() time.Time
+	// Random returns numbers from 0 up to 1.
+	Random func() float64
+}
+
 // New returns a follower that has read nothing.
-func New(client *tableclient.Client, holder *settings.Holder, c *counters.Counters, log *logrus.Entry,
-	poll time.Duration, random func() float64, peers Peers, clock func() time.Time,
-) *Follower {
+func New(p Parts) *Follower {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Follower{
-		ctx: ctx, cancel: cancel, client: client, holder: holder, counters: c, log: log, poll: poll, random: random, peers: peers, clock: clock,
-		currentAt: clock(),
-	}
+	return &Follower{parts: p, ctx: ctx, cancel: cancel, currentAt: p.Clock()}
 }
 
 // Stale reports whether the host has been cut off for so long, from the platform
@@ -97,7 +103,7 @@
 func (f *Follower) Stale() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.clock().Sub(f.currentAt) > grace
+	return f.parts.Clock().Sub(f.currentAt) > grace
 }
 
 // Problem returns why the last read brought nothing, or nil.
@@ -117,7 +123,7 @@
 // Run polls until done is closed.
 func (f *Follower) Run(done <-chan struct{}) {
 	defer f.cancel()
-	lifetime.Every(done, f.poll, f.random, f.Poll)
+	lifetime.Every(done, f.parts.Interval, f.parts.Random, f.Poll)
 }
 
 // nudgeSpread is the time over which hosts that hear of a newer revision at once
@@ -127,11 +133,11 @@
 // Nudge reports that a peer has a revision. If it is newer, the platform is asked
 // soon.
 func (f *Follower) Nudge(revision uint64) {
-	current := f.holder.Current()
+	current := f.parts.Holder.Current()
 	if current == nil || revision <= current.Number || !f.nudged.CompareAndSwap(false, true) {
 		return
 	}
-	time.AfterFunc(time.Duration(f.random()*float64(nudgeSpread)), func() {
+	time.AfterFunc(time.Duration(f.parts.Random()*float64(nudgeSpread)), func() {
 		defer f.nudged.Store(false)
 		if f.ctx.Err() == nil {
 			f.Poll(f.ctx)
@@ -148,10 +154,10 @@
 		return
 	}
 	if err == nil {
-		f.currentAt = f.clock()
+		f.currentAt = f.parts.Clock()
 	}
 	if err != nil && f.problem == nil {
-		f.log.WithError(err).Warn("settings can't be read, the last ones stay in force")
+		f.parts.Log.WithError(err).Warn("settings can't be read, the last ones stay in force")
 	}
 	f.problem = err
 	if errors.Is(err, tableclient.ErrUnavailable) {
@@ -162,28 +168,28 @@
 // askPeers adopts newer settings of a peer: one that started earlier, or that
 // still reaches the platform.
 func (f *Follower) askPeers(ctx context.Context) {
-	document, answered := f.peers(ctx, f.document.Revision)
+	document, answered := f.parts.Peers(ctx, f.document.Revision)
 	if !answered {
 		return
 	}
-	f.currentAt = f.clock()
+	f.currentAt = f.parts.Clock()
 	if document.Revision <= f.document.Revision {
 		return
 	}
 	if err := f.put(document); err != nil {
-		f.log.WithError(err).Warn("a peer's settings can't be read")
+		f.parts.Log.WithError(err).Warn("a peer's settings can't be read")
 	}
 }
 
 func (f *Follower) advance(ctx context.Context) error {
-	_, head, err := ReadHead(ctx, f.client)
+	_, head, err := ReadHead(ctx, f.parts.Client)
 	if err != nil {
 		return err
 	}
 	if head.Revision <= f.document.Revision {
 		return nil
 	}
-	document, err := ReadDocument(ctx, f.client, head, f.document)
+	document, err := ReadDocument(ctx, f.parts.Client, head, f.document)
 	if err != nil {
 		return err
 	}
@@ -247,12 +253,12 @@
 func (f *Follower) put(document change.Document) error {
 	tree, err := document.Tree()
 	if err != nil {
-		f.counters.SettingsRejected.Inc()
+		f.parts.Counters.SettingsRejected.Inc()
 		return merry.Prependf(err, "revision %d can't be read by this program", document.Revision)
 	}
 	f.document = document
-	if f.holder.Offer(&settings.Revision{Number: document.Revision, Tree: tree}) {
-		f.log.WithField("revision", document.Revision).Info("settings in force")
+	if f.parts.Holder.Offer(&settings.Revision{Number: document.Revision, Tree: tree}) {
+		f.parts.Log.WithField("revision", document.Revision).Info("settings in force")
 	}
 	return nil
 }
--- a/internal/daemon/poller/poller_test.go
+++ b/internal/daemon/poller/poller_test.go
@@ -34,8 +34,10 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	holder := settings.NewHolder()
-	f := poller.New(tableclient.New(p.Address(), time.Minute, nil), holder, counters.New(), logrus.NewEntry(log), time.Second,
-		func() float64 { return 0 }, peers, func() time.Time { return now })
+	f := poller.New(poller.Parts{
+		Client: tableclient.New(p.Address(), time.Minute, nil), Holder: holder, Counters: counters.New(), Log: logrus.NewEntry(log),
+		Interval: time.Second, Peers: peers, Clock: func() time.Time { return now }, Random: func() float64 { return 0 },
+	})
 	steps := []struct {
 		name     string
 		down     bool
--- a/internal/daemon/schedule/schedule.go
+++ b/internal/daemon/schedule/schedule.go
@@ -1,10 +1,12 @@
-// Package schedule decides, for one shard, which request runs where and when,
-// which waits and which is refused. A shard is the set of endpoints that serve
-// the same model, or the same plain service.
+// Package schedule decides, for one shard, which request runs where and when, which waits and which
+// is refused. A shard is the set of endpoints that serve the same model, or the same plain service.
+// oxbowslipd uses it, with one scheduler a shard for the whole fleet; oxbowslip-front has no queue and
+// decides on each host (package placement).
 //
-// The package does no input or output. Each call takes the time as a
-// parameter; decisions are collected and taken with Take. The same calls in the
-// same order always give the same decisions.
+// It owns the waiting requests and the open grants of the shard, and what it has learned of endpoints
+// and of the lengths of answers. It does no input or output: each call takes the time as a parameter,
+// and decisions are collected until Take. The same calls in the same order always give the same
+// decisions, on which replays rely.
 package schedule
 
 import (
--- a/internal/daemon/shard/shard.go
+++ b/internal/daemon/shard/shard.go
@@ -1,6 +1,6 @@
-// Package shard hosts the scheduler cores of the shards that this host
-// schedules: it gives them the time, the owners' messages and timers, and hands
-// their decisions to the owners.
+// Package shard runs the schedulers of the shards that this host of oxbowslipd schedules: it passes
+// them the time, the owners' messages and timers, and their decisions to the owners. The decisions
+// themselves are made in package schedule, which does no input or output.
 package shard
 
 import (
--- /dev/null
+++ b/internal/daemon/status.go
@@ -0,0 +1,61 @@
+package daemon
+
+import (
+	"time"
+
+	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
+	"oxbowslip.dev/oxbowslip/internal/operator"
+	"oxbowslip.dev/oxbowslip/internal/request"
+	"oxbowslip.dev/oxbowslip/internal/version"
+)
+
+// tree returns the tree in force as operators see it.
+func (d *Daemon) tree() operator.SettingsAnswer {
+	document := d.follower.Document()
+	return operator.SettingsAnswer{Revision: document.Revision, Tree: document.Data}
+}
+
+// notReady returns the refusal for a host without settings.
+func (d *Daemon) notReady() *request.Refusal {
+	if d.configured.Load() > 0 {
+		return nil
+	}
+	return &request.Refusal{Reason: request.ReasonNotReady, Ran: request.RanNo, Detail: d.Problem()}
+}
+
+// Problem returns why the host is not ready, or is empty.
+func (d *Daemon) Problem() string {
+	switch {
+	case d.draining.Load():
+		return "the host is leaving"
+	case d.holder.Current() == nil && d.follower.Problem() != nil:
+		return "no settings yet: " + d.follower.Problem().Error()
+	case d.configured.Load() == 0:
+		return "no settings yet"
+	case d.follower.Stale():
+		return "cut off from the platform and from all peers: the settings may be old"
+	}
+	return ""
+}
+
+// Status returns the state of the host for operators.
+func (d *Daemon) Status() operator.Status {
+	problem := d.Problem()
+	status := operator.Status{
+		Host: d.config.Name, Zone: d.config.Zone, Version: version.Version, Revision: d.holder.Number(), Ready: problem == "",
+		Problem: problem, Open: d.owner.Open(), Now: time.Now(), Schedulers: d.fleet.Schedulers(),
+		Refusals: d.counters.RefusalsByReason(),
+	}
+	for _, name := range d.shards.Names() {
+		d.shards.Inspect(name, func(core *schedule.Scheduler) {
+			shard := operator.ShardStatus{Name: name, Waiting: core.Waiting(), Running: core.Running()}
+			for _, e := range core.Endpoints() {
+				shard.Endpoints = append(shard.Endpoints, operator.EndpointStatus{
+					ID: e.ID, InFlight: e.InFlight, Limit: e.Limit, Between: e.Between, Ejected: string(e.Ejected), Probing: e.Probing,
+				})
+			}
+			status.Shards = append(status.Shards, shard)
+		})
+	}
+	return status
+}
--- a/internal/daemon/tableclient/tableclient.go
+++ b/internal/daemon/tableclient/tableclient.go
@@ -1,6 +1,6 @@
-// Package tableclient is the client of the platform's service: a transactional
-// table, an object store, a weight store and the list of hosts. Its protocol is
-// JSON over HTTP, described in docs/platform.md.
+// Package tableclient is oxbowslipd's client of the product's own platform service: a transactional
+// table, an object store and the list of hosts, JSON over HTTP as in docs/platform.md. The users'
+// platform has another store, whose client is package platform.
 package tableclient
 
 import (
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain keeps what was decided for the last requests, so that an
-// operator can ask why one ran where and when it did, waited or was refused. It
-// holds no contents of requests.
+// Package explain keeps what was decided for the last requests of a host, so that an operator can ask
+// why one ran where and when it did, waited or was refused. Both programs use it. It holds no contents
+// of requests.
 package explain
 
 import (
--- a/internal/front/pack/pack.go
+++ b/internal/front/pack/pack.go
@@ -1,6 +1,6 @@
-// Package pack makes documents small for the way between hosts: compressed by
-// themselves, or as a patch against a document that the other end holds. The
-// format is Zstandard; a patch is a frame whose dictionary is the older document.
+// Package pack compresses documents for the way between hosts of oxbowslip-front: by themselves, or as
+// a patch against a document that the other end has. The format is Zstandard; a patch is a frame whose
+// dictionary is the older document.
 package pack
 
 import (
--- a/internal/hostconfig/hostconfig.go
+++ b/internal/hostconfig/hostconfig.go
@@ -1,5 +1,5 @@
-// Package hostconfig reads the file that tells one daemon its name, its
-// addresses, its availability zone and where the platform is. All else comes
+// Package hostconfig reads the file that tells one daemon its name, its addresses, its availability
+// zone and where the platform is. Both programs use it, each some of its fields; everything else comes
 // from the settings tree.
 package hostconfig
 
--- a/internal/lifetime/lifetime.go
+++ b/internal/lifetime/lifetime.go
@@ -1,5 +1,5 @@
-// Package lifetime ties contexts and periodic work to the done channel of a
-// part.
+// Package lifetime ties contexts and periodic work to the done channel of a part, and lets a server
+// that leaves finish what is in flight. Both programs use it.
 package lifetime
 
 import (
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,6 @@
-// Package logging makes the logger of a program. Each part of a program logs
-// short sentences with its own fixed prefix.
+// Package logging makes the logger of a program; both programs use it. Each part of a program logs
+// short sentences with its own fixed prefix. Ring writes in the background and Sampler bounds lines, so
+// that logs never hold up a request.
 package logging
 
 import (
--- a/internal/logread/logread.go
+++ b/internal/logread/logread.go
@@ -1,6 +1,6 @@
-// Package logread finds in the logs of many hosts what became of one request, and
-// what its host believed of the endpoints that it met. It is for the time after, when
-// no live host remembers the request any more.
+// Package logread finds in the saved logs of many hosts what became of one request, and what its hosts
+// knew of the endpoints that it met. cmd/oxbowslip uses it when no live host remembers the request. It
+// reads lines by their fields; logs of older versions stay readable.
 package logread
 
 import (
@@ -17,9 +17,9 @@
 )
 
 // ErrNotFound means that no line of the logs tells of the request.
-var ErrNotFound = merry.Sentinel("no line of these logs tells of the request")
+var ErrNotFound = merry.Sentinel("no line of these logs is about the request")
 
-// Line is a log line of a host, as far as it is of use here.
+// Line is a log line of a host, with the fields that are used here.
 type Line struct {
 	Time  time.Time `json:"time"`
 	Level string    `json:"level"`
@@ -44,13 +44,16 @@
 	Until     time.Time      `json:"until"`
 	State     string         `json:"state"`
 	Gone      bool           `json:"gone"`
+	// Endpoints is a number or a list, Lapsed a number; they mark lines on the whole directory.
+	Endpoints any `json:"endpoints,omitzero"`
+	Lapsed    int `json:"lapsed,omitzero"`
 
 	// Source is what stood before the JSON text of the line, such as the name of the
 	// host where a collector puts it there.
 	Source string `json:"-"`
 }
 
-// Story is what the logs tell of a request.
+// Story is what the logs say about a request.
 type Story struct {
 	// Request are the lines of the request itself; a caller that came back under
 	// the same ID has several.
@@ -60,7 +63,8 @@
 	Around []Line
 }
 
-// before is how long before a request lines on its endpoints count.
+// before is how long before a request lines on its endpoints count. Not measured; an ejection lasts
+// up to 8 s.
 const before = 10 * time.Second
 
 const maxLineBytes = 1 << 20
@@ -104,7 +108,15 @@
 	return lines, merry.Wrap(scanner.Err())
 }
 
-// around picks the lines that tell what was believed while the request ran.
+// isOfSettings reports whether a line is on the store or the settings. Such lines carry a revision
+// and no endpoints, whatever their sentences say; those that older versions wrote without a revision
+// are known by their words.
+func (l *Line) isOfSettings() bool {
+	byFields := l.Revision > 0 && l.Endpoint == "" && l.Endpoints == nil && l.Lapsed == 0
+	return byFields || strings.Contains(l.Text, "store") || strings.Contains(l.Text, "in force")
+}
+
+// around picks the lines on what the hosts knew while the request ran.
 func around(lines, requests []Line) []Line {
 	endpoints := make(map[string]bool)
 	for _, r := range requests {
@@ -121,7 +133,7 @@
 		if line.ID != "" || line.Time.Before(first.Add(-before)) || line.Time.After(last.Add(time.Second)) {
 			continue
 		}
-		if endpoints[line.Endpoint] || strings.Contains(line.Text, "store") || strings.Contains(line.Text, "in force") {
+		if endpoints[line.Endpoint] || line.isOfSettings() {
 			picked = append(picked, *line)
 		}
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,6 @@
-// Package operator is the operators' interface of one daemon: health,
-// readiness, metrics, status and explanations.
+// Package operator is the operators' interface of one daemon, and its client: health, readiness,
+// metrics, status, explanations, and reading and changing the settings. Both programs serve it, and
+// cmd/oxbowslip calls it. It owns no state; what it shows and changes comes in as Parts.
 package operator
 
 import (
--- a/internal/proof/demo/cluster.go
+++ b/internal/proof/demo/cluster.go
@@ -192,6 +192,23 @@
 }
 
 func (c *Cluster) startHost(ctx context.Context, i int) error {
+	config := c.hostConfig(i)
+	log, err := logging.New(c.Config.Log, cmp.Or(c.Config.LogLevel, "warn"), "text")
+	if err != nil {
+		return err
+	}
+	d, app, err := daemon.Launch(ctx, config, log)
+	if err != nil {
+		return err
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.hosts = append(c.hosts, &Host{Name: config.Name, Zone: config.Zone, Daemon: d, app: app})
+	return nil
+}
+
+// hostConfig returns the file of the host with an index from 0.
+func (c *Cluster) hostConfig(i int) hostconfig.Host {
 	config := hostconfig.Host{
 		Name:      fmt.Sprintf("host-%d", i+1),
 		Zone:      zones[i%len(zones)],
@@ -215,22 +232,7 @@
 	if i == 0 {
 		config.Callers, config.Operators = c.Config.Callers, c.Config.Operators
 	}
-	level := c.Config.LogLevel
-	if level == "" {
-		level = "warn"
-	}
-	log, err := logging.New(c.Config.Log, level, "text")
-	if err != nil {
-		return err
-	}
-	d, app, err := daemon.Launch(ctx, config, log)
-	if err != nil {
-		return err
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.hosts = append(c.hosts, &Host{Name: config.Name, Zone: config.Zone, Daemon: d, app: app})
-	return nil
+	return config
 }
 
 // How often readiness is looked at, and how long it may take.
--- a/internal/proof/golden/golden.go
+++ b/internal/proof/golden/golden.go
@@ -11,6 +11,7 @@
 	"maps"
 	"os"
 	"path/filepath"
+	"reflect"
 	"slices"
 	"strings"
 	"testing"
@@ -109,3 +110,23 @@
 		}
 	}
 }
+
+// Options lists the options and commands of a program from its argument struct, one a line,
+// so that a test can hold them. Help texts are left out.
+func Options(arguments any) string {
+	var lines []string
+	collectOptions(reflect.TypeOf(arguments), "", &lines)
+	slices.Sort(lines)
+	return strings.Join(lines, "\n") + "\n"
+}
+
+func collectOptions(t reflect.Type, command string, lines *[]string) {
+	for i := range t.NumField() {
+		field := t.Field(i)
+		tag := field.Tag.Get("arg")
+		*lines = append(*lines, strings.TrimSpace(command+" "+field.Name+" "+field.Type.String()+" "+tag+" "+field.Tag.Get("default")))
+		if field.Type.Kind() == reflect.Pointer && field.Type.Elem().Kind() == reflect.Struct {
+			collectOptions(field.Type.Elem(), strings.TrimSpace(command+" "+tag), lines)
+		}
+	}
+}
--- a/internal/proof/replay/report.go
+++ b/internal/proof/replay/report.go
@@ -1,11 +1,11 @@
 package replay
 
 import (
+	"cmp"
 	"fmt"
 	"io"
 	"math"
 	"slices"
-	"strings"
 	"text/tabwriter"
 	"time"
 
@@ -87,60 +87,61 @@
 	return policy == LeastConnections || policy == TwoChoices || policy == LeastReported
 }
 
+// result adds up what became of the requests.
 func (w *world) result() *Result {
 	r := &Result{Trace: w.trace.Header.Name, Policy: w.policyName, Violations: w.violations}
+	wasted := w.addClasses(r)
+	for _, e := range w.engineList {
+		r.Generated += e.model.Generated
+	}
+	r.Wasted = float64(wasted) / math.Max(float64(r.Generated), 1)
+	r.Capacity = w.capacity()
+	r.Goodput = w.goodput() / r.Capacity
+	r.Busy = w.generated / r.Capacity
+	for _, s := range w.shardList() {
+		if scheduler, ok := s.policy.(*schedule.Scheduler); ok {
+			r.Steps += scheduler.Steps
+		}
+	}
+	return r
+}
+
+// addClasses fills in the classes and the attainment over all of them, and returns the wasted
+// tokens.
+func (w *world) addClasses(r *Result) (wasted int) {
 	index := make(map[string]int)
 	firstTokens := make(map[string][]time.Duration)
 	weight, attained := 0.0, 0.0
-	waste := 0
 	for _, j := range w.order {
 		if j.event.Outside {
 			continue
 		}
-		i, ok := index[j.event.Class]
+		class := j.event.Class
+		i, ok := index[class]
 		if !ok {
 			i = len(r.Classes)
-			index[j.event.Class] = i
-			r.Classes = append(r.Classes, ClassResult{Class: j.event.Class, Tier: j.policy.Tier, Reasons: make(map[admission.Reason]int)})
+			index[class] = i
+			r.Classes = append(r.Classes, ClassResult{Class: class, Tier: j.policy.Tier, Reasons: make(map[admission.Reason]int)})
 		}
-		row := &r.Classes[i]
-		row.add(j)
+		r.Classes[i].add(j)
 		if !j.firstToken.IsZero() {
-			firstTokens[j.event.Class] = append(firstTokens[j.event.Class], j.firstToken.Sub(j.arrived))
+			firstTokens[class] = append(firstTokens[class], j.firstToken.Sub(j.arrived))
 		}
 		share := tierWeight(j.policy.Tier)
 		weight += share
 		if j.attained() {
 			attained += share
 		}
-		waste += j.wasted
+		wasted += j.wasted
 	}
 	for i := range r.Classes {
 		r.Classes[i].FirstToken = quantile(firstTokens[r.Classes[i].Class], 0.95)
 	}
 	slices.SortStableFunc(r.Classes, func(a, b ClassResult) int {
-		if a.Tier != b.Tier {
-			return a.Tier - b.Tier
-		}
-		if a.Class < b.Class {
-			return -1
-		}
-		return 1
+		return cmp.Or(cmp.Compare(a.Tier, b.Tier), cmp.Compare(a.Class, b.Class))
 	})
 	r.Attainment = attained / math.Max(weight, 1)
-	for _, e := range w.engineList {
-		r.Generated += e.model.Generated
-	}
-	r.Wasted = float64(waste) / math.Max(float64(r.Generated), 1)
-	r.Capacity = w.capacity()
-	r.Goodput = w.goodput() / r.Capacity
-	r.Busy = w.generated / r.Capacity
-	for _, s := range w.shardList() {
-		if scheduler, ok := s.policy.(*schedule.Scheduler); ok {
-			r.Steps += scheduler.Steps
-		}
-	}
-	return r
+	return wasted
 }
 
 // tierWeight makes a request of each tier count twice one of the next.
@@ -253,75 +254,6 @@
 	return values[int(q*float64(len(values)-1))]
 }
 
-// checkOutcomes compares a result with what its trace states.
-func (w *world) checkOutcomes(r *Result) {
-	for i := range w.trace.Header.Outcomes {
-		o := &w.trace.Header.Outcomes[i]
-		name := o.name()
-		weight, attained, answered, sent := 0.0, 0.0, 0, 0
-		longest := time.Duration(0)
-		for _, j := range w.order {
-			if !o.picks(j) {
-				continue
-			}
-			sent++
-			share := tierWeight(j.policy.Tier)
-			weight += share
-			if j.attained() {
-				attained += share
-			}
-			if j.state == stateAnswered {
-				answered++
-			}
-			if !j.granted.IsZero() {
-				longest = max(longest, j.granted.Sub(j.arrived))
-			}
-		}
-		attainment := attained / math.Max(weight, 1)
-		served := float64(answered) / float64(max(sent, 1))
-		wait := time.Duration(o.MaxWaitMillis) * time.Millisecond
-		r.require(sent > 0, "%s: picks no request", name)
-		r.require(attainment >= o.MinAttainment, "%s: attainment %.4f, stated at least %.4f", name, attainment, o.MinAttainment)
-		r.require(served >= o.MinServed, "%s: served %.4f, stated at least %.4f", name, served, o.MinServed)
-		r.require(wait == 0 || longest <= wait, "%s: longest wait %s, stated at most %s", name, longest, wait)
-		r.require(r.Goodput >= o.MinGoodput, "goodput %.3f of capacity, stated at least %.3f", r.Goodput, o.MinGoodput)
-		r.require(o.MaxWasted == 0 || r.Wasted <= o.MaxWasted, "wasted %.4f of the tokens, stated at most %.4f", r.Wasted, o.MaxWasted)
-	}
-}
-
-// picks reports whether an outcome is about a request.
-func (o *Outcome) picks(j *job) bool {
-	if j.event.Outside || (o.Class != "" && o.Class != j.event.Class) {
-		return false
-	}
-	if len(o.Workspaces) > 0 && !slices.Contains(o.Workspaces, j.event.Workspace) {
-		return false
-	}
-	second := int(j.arrived.Sub(epoch).Seconds())
-	return o.Arrived.ToSecond == 0 || (second >= o.Arrived.FromSecond && second < o.Arrived.ToSecond)
-}
-
-// name describes in messages which requests an outcome is about.
-func (o *Outcome) name() string {
-	name := "all classes"
-	if o.Class != "" {
-		name = o.Class
-	}
-	if len(o.Workspaces) > 0 {
-		name += " of " + strings.Join(o.Workspaces, ", ")
-	}
-	if o.Arrived.ToSecond > 0 {
-		name += fmt.Sprintf(" from %d to %d s", o.Arrived.FromSecond, o.Arrived.ToSecond)
-	}
-	return name
-}
-
-func (r *Result) require(held bool, format string, args ...any) {
-	if !held {
-		r.Missed = append(r.Missed, fmt.Sprintf(format, args...))
-	}
-}
-
 // Print writes the results of one trace under several policies.
 func Print(w io.Writer, results []*Result) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
--- a/internal/proof/standin/chat.go
+++ b/internal/proof/standin/chat.go
@@ -182,13 +182,8 @@
 				panic(http.ErrAbortHandler)
 			}
 		}
-		switch state {
-		case streamWhole:
-			// A write that fails means that the reader is gone.
-			_, _ = io.WriteString(w, "data: "+endMark+"\n\n")
+		if !e.keepsStreaming(w, state) {
 			return
-		case streamLost:
-			panic(http.ErrAbortHandler)
 		}
 		if err := control.Flush(); err != nil {
 			return
@@ -201,6 +196,20 @@
 	}
 }
 
+// keepsStreaming ends a stream that is whole or lost, and reports whether it goes on.
+func (e *Engine) keepsStreaming(w http.ResponseWriter, state streamState) bool {
+	switch state {
+	case streamWhole:
+		// A failed write means that the reader is gone.
+		_, _ = io.WriteString(w, "data: "+endMark+"\n\n")
+		return false
+	case streamLost:
+		panic(http.ErrAbortHandler)
+	}
+	return true
+}
+
+// appendChunk appends the n-th word of an answer as an event.
 func (e *Engine) appendChunk(buffer []byte, id, word string, n int, last bool) []byte {
 	chunk := Chunk{
 		ID: "chatcmpl-" + id, Object: "chat.completion.chunk", Model: e.config.Model,
--- a/internal/proof/standin/engine.go
+++ b/internal/proof/standin/engine.go
@@ -1,6 +1,3 @@
-// Package standin serves the outside systems that the router works with, over
-// their published protocols: model engines, plain services and the platform.
-// They are for tests, demonstrations and measurements.
 package standin
 
 import (
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,5 +1,5 @@
-// Package record keeps the shape of the last requests of a host, so that an
-// operator can make a trace of them. It keeps sizes and names, no contents.
+// Package record keeps the shape of the last requests of a host, so that an operator can make a trace
+// of them (oxbowslip-replay record). oxbowslipd fills it. It keeps sizes and names, no contents.
 package record
 
 import (
--- a/internal/settings/tree.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,9 @@
-// Package settings holds the tree of settings that operators edit: workspaces
-// and request classes that inherit values from their parents, and the models,
-// services and endpoints that requests run on. It does no input or output.
+// Package settings holds the tree of settings that operators edit: workspaces and request classes that
+// inherit values from their parents, and the models, services, endpoints and routes that requests run
+// on. Both programs use it; on the users' platform the tree is made from the platform's configuration.
+//
+// It owns the form of the tree, how values are inherited, and which revision is in force on this host
+// (Holder). It does no input or output.
 package settings
 
 import (
