--- /dev/null
+++ b/internal/proof/pages/pages_test.go
@@ -0,0 +1,140 @@
+// Package pages holds README and docs/ to the code.
+package pages
+
+import (
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+)
+
+const root = "../../.."
+
+// pages returns the text of README, CHANGELOG and all pages below docs/, by path from the root.
+func pages(c *qt.C) map[string]string {
+	texts := make(map[string]string)
+	read := func(path string) {
+		text, err := os.ReadFile(filepath.Join(root, path))
+		c.Assert(err, qt.IsNil)
+		texts[path] = string(text)
+	}
+	read("README.md")
+	read("CHANGELOG.md")
+	err := filepath.WalkDir(filepath.Join(root, "docs"), func(path string, _ fs.DirEntry, err error) error {
+		if err == nil && filepath.Ext(path) == ".md" {
+			relative, err := filepath.Rel(root, path)
+			c.Assert(err, qt.IsNil)
+			read(relative)
+		}
+		return err
+	})
+	c.Assert(err, qt.IsNil)
+	return texts
+}
+
+// sources returns the text of all Go files, tests included.
+func sources(c *qt.C) string {
+	var all strings.Builder
+	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
+		if err == nil && filepath.Ext(path) == ".go" {
+			text, err := os.ReadFile(path)
+			c.Assert(err, qt.IsNil)
+			all.Write(text)
+		}
+		return err
+	})
+	c.Assert(err, qt.IsNil)
+	return all.String()
+}
+
+var (
+	link    = regexp.MustCompile(`\]\(([^)#]*)(?:#([^)]*))?\)`)
+	heading = regexp.MustCompile(`(?m)^#+ (.*)$`)
+	notSlug = regexp.MustCompile(`[^a-z0-9 -]`)
+)
+
+// slugs returns the anchors of a page's headings.
+func slugs(text string) map[string]bool {
+	anchors := make(map[string]bool)
+	for _, match := range heading.FindAllStringSubmatch(text, -1) {
+		anchors[strings.ReplaceAll(notSlug.ReplaceAllString(strings.ToLower(match[1]), ""), " ", "-")] = true
+	}
+	return anchors
+}
+
+// TestLinks checks that each relative link leads to a file, and to a heading of it.
+func TestLinks(t *testing.T) {
+	c := qt.New(t)
+	all := pages(c)
+	for path, text := range all {
+		for _, match := range link.FindAllStringSubmatch(text, -1) {
+			if strings.Contains(match[1], "://") {
+				continue
+			}
+			target := path
+			if match[1] != "" {
+				target = filepath.Join(filepath.Dir(path), match[1])
+			}
+			_, err := os.Stat(filepath.Join(root, target))
+			c.Check(err, qt.IsNil, qt.Commentf("%s links to %s", path, match[1]))
+			if match[2] != "" {
+				c.Check(slugs(all[target])[match[2]], qt.IsTrue, qt.Commentf("%s links to %s#%s", path, match[1], match[2]))
+			}
+		}
+	}
+}
+
+// goPath matches a path of this module in a command or between backticks.
+var goPath = regexp.MustCompile("(?:^|[\\s`(])(\\./)?((?:internal|platform|cmd|examples|deploy|traces)/[A-Za-z0-9_./-]*[A-Za-z0-9_])")
+
+// TestPaths checks that files and packages that the pages name exist. The history, CHANGELOG and
+// incidents, is left out.
+func TestPaths(t *testing.T) {
+	c := qt.New(t)
+	for path, text := range pages(c) {
+		if path == "CHANGELOG.md" || strings.Contains(path, "incidents") {
+			continue
+		}
+		for _, match := range goPath.FindAllStringSubmatch(text, -1) {
+			_, err := os.Stat(filepath.Join(root, match[2]))
+			c.Check(err, qt.IsNil, qt.Commentf("%s names %s", path, match[2]))
+		}
+	}
+}
+
+var testName = regexp.MustCompile("`(Test[A-Z]\\w+)`")
+
+// TestTests checks that the tests that the pages name exist.
+func TestTests(t *testing.T) {
+	c := qt.New(t)
+	code := sources(c)
+	for path, text := range pages(c) {
+		for _, match := range testName.FindAllStringSubmatch(text, -1) {
+			c.Check(strings.Contains(code, "func "+match[1]+"("), qt.IsTrue, qt.Commentf("%s names %s", path, match[1]))
+		}
+	}
+}
+
+// logLine matches a log line with the prefix of its part between backticks.
+var logLine = regexp.MustCompile("`(?:settings|endpoints|peers|host|request|log): ([a-z' ]+?)`")
+
+// TestLogLines checks that the log lines that operators are told to look for are in the code.
+func TestLogLines(t *testing.T) {
+	c := qt.New(t)
+	code := sources(c)
+	found := 0
+	for path, text := range pages(c) {
+		if strings.Contains(path, "incidents") || path == "CHANGELOG.md" {
+			continue
+		}
+		for _, match := range logLine.FindAllStringSubmatch(text, -1) {
+			found++
+			c.Check(strings.Contains(code, `"`+match[1]) || strings.Contains(code, match[1]+`"`), qt.IsTrue, qt.Commentf("%s names the line %q", path, match[1]))
+		}
+	}
+	c.Check(found > 5, qt.IsTrue)
+}
