--- a/internal/daemon/peer/server.go
+++ b/internal/daemon/peer/server.go
@@ -26,9 +26,12 @@
 
 	mu       sync.Mutex
 	sessions map[string]*session
-	leaving  bool
-	cancel   context.CancelFunc
-	ended    chan struct{}
+	// ending holds, by owner, the sessions that this server has ended itself while
+	// messages that came before may still be applied.
+	ending  map[string]*session
+	leaving bool
+	cancel  context.CancelFunc
+	ended   chan struct{}
 }
 
 // session is one owner's open link.
@@ -56,7 +59,12 @@
 
 // NewServer returns a server that does not listen yet.
 func NewServer(parts ServerParts) *Server {
-	return &Server{parts: parts, sessions: make(map[string]*session), ended: make(chan struct{})}
+	return &Server{
+		parts:    parts,
+		sessions: make(map[string]*session),
+		ending:   make(map[string]*session),
+		ended:    make(chan struct{}),
+	}
 }
 
 // Serve accepts links in the background until Close.
@@ -106,11 +114,17 @@
 	case session.queue <- decisionToForm(s.parts.Clock(), shardName, &d):
 	default:
 		// An owner that is so far behind is as good as gone.
-		delete(s.sessions, d.Owner)
-		close(session.queue)
+		s.end(session)
 	}
 }
 
+// end breaks the link of a session in use. The caller holds mu.
+func (s *Server) end(session *session) {
+	delete(s.sessions, session.owner)
+	s.ending[session.owner] = session
+	close(session.queue)
+}
+
 // HandleRPC serves one link.
 func (s *Server) HandleRPC(stream drpc.Stream, rpc string) error {
 	owner, err := s.greet(stream)
@@ -158,14 +172,16 @@
 	return hello.Host, nil
 }
 
-// enter makes a session, and closes the owner's old one if there is one.
+// enter makes a session, and ends the owner's old one if there is one. No message of
+// the old one is applied after its ended is closed.
 func (s *Server) enter(owner string) (entered, old *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	old, ok := s.sessions[owner]
-	if ok {
-		close(old.queue)
+	if current, ok := s.sessions[owner]; ok {
+		s.end(current)
 	}
+	old = s.ending[owner]
+	delete(s.ending, owner)
 	session := &session{
 		owner: owner, queue: make(chan decisionForm, queueLength), leave: make(chan struct{}), ended: make(chan struct{}),
 	}
@@ -181,11 +197,16 @@
 func (s *Server) leave(ended *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.sessions[ended.owner] != ended {
+	switch ended {
+	case s.sessions[ended.owner]:
+		delete(s.sessions, ended.owner)
+		close(ended.queue)
+	case s.ending[ended.owner]:
+		delete(s.ending, ended.owner)
+	default:
+		// The owner has a newer link.
 		return
 	}
-	delete(s.sessions, ended.owner)
-	close(ended.queue)
 	time.AfterFunc(ownerGrace, func() {
 		s.mu.Lock()
 		_, back := s.sessions[ended.owner]
@@ -203,8 +224,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if session, ok := s.sessions[owner]; ok {
-		delete(s.sessions, owner)
-		close(session.queue)
+		s.end(session)
 	}
 }
 
