--- a/cmd/oxbowslip/logs.go
+++ b/cmd/oxbowslip/logs.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// doctor asks hosts for their state and tells what is wrong. It fails if anything is.
+// doctor asks hosts for their state and reports what is wrong. It fails if anything is.
 func (t *tool) doctor(ctx context.Context, addresses []string) error {
 	var reports []hostReport
 	for _, address := range addresses {
@@ -130,7 +130,7 @@
 			add("knows %d endpoints, another host %d", s.Endpoints, most)
 		}
 		if s.Hosts > 0 && s.Hosts < len(reports) {
-			add("hears %d hosts of %d; are beats (UDP, the peers' address) let through?", s.Hosts, len(reports))
+			add("hears %d hosts of %d; are heartbeats (UDP, the peers' address) let through?", s.Hosts, len(reports))
 		}
 		for _, endpoint := range s.Ejected {
 			add("sends nothing new to %s, which failed; see its log for 'endpoint ejected'", endpoint)
--- a/cmd/oxbowslip/main.go
+++ b/cmd/oxbowslip/main.go
@@ -85,12 +85,12 @@
 }
 
 type arguments struct {
-	Logs     *logsCommand     `arg:"subcommand:logs" help:"tell what saved logs say of a request"`
-	Doctor   *doctorCommand   `arg:"subcommand:doctor" help:"ask all hosts and tell what is wrong"`
+	Logs     *logsCommand     `arg:"subcommand:logs" help:"show what saved logs say of a request"`
+	Doctor   *doctorCommand   `arg:"subcommand:doctor" help:"ask all hosts and report what is wrong"`
 	Settings *settingsCommand `arg:"subcommand:settings" help:"read and change the settings"`
 	Endpoint *endpointCommand `arg:"subcommand:endpoint" help:"list endpoints and order them in or out"`
 	Status   *statusCommand   `arg:"subcommand:status" help:"show the state of a host"`
-	Explain  *explainCommand  `arg:"subcommand:explain" help:"tell why a request ran where and when it did, waited or was refused"`
+	Explain  *explainCommand  `arg:"subcommand:explain" help:"explain why a request ran where and when it did, waited or was refused"`
 	Address  string           `arg:"--address,env:OXBOWSLIP_ADDRESS" default:"127.0.0.1:8180" help:"operators' address of a host" placeholder:"ADDR"`
 	Key      string           `arg:"--key,env:OXBOWSLIP_KEY" help:"operator's key"`
 	JSON     bool             `arg:"--json" help:"print JSON for scripts"`
--- a/cmd/oxbowslip/watch.go
+++ b/cmd/oxbowslip/watch.go
@@ -15,7 +15,7 @@
 // watchInterval is the time between two looks at a host.
 const watchInterval = time.Second
 
-// repeat calls show until ctx ends. An answer that does not come is told, and the
+// repeat calls show until ctx ends. An answer that does not come is reported, and the
 // watch goes on: the host may come back.
 func repeat(ctx context.Context, show func(ctx context.Context) error) error {
 	for {
--- a/internal/daemon/changes.go
+++ b/internal/daemon/changes.go
@@ -45,20 +45,20 @@
 	return found, err
 }
 
-// changeError turns the error of a commit into what operators are told.
+// changeError turns the error of a commit into what operators read.
 func changeError(err error) *operator.ChangeError {
 	var conflict *commit.Conflict
 	var faults *strictjson.Error
-	told := &operator.ChangeError{Cause: operator.CauseAway, Detail: err.Error()}
+	answer := &operator.ChangeError{Cause: operator.CauseAway, Detail: err.Error()}
 	switch {
 	case errors.As(err, &conflict):
-		told.Cause, told.Other, told.Paths = operator.CauseConflict, &conflict.Other, conflict.Paths
+		answer.Cause, answer.Other, answer.Paths = operator.CauseConflict, &conflict.Other, conflict.Paths
 	case errors.As(err, &faults):
-		told.Cause, told.Detail, told.Faults = operator.CauseInvalid, "the tree would not be valid", faults.Faults
+		answer.Cause, answer.Detail, answer.Faults = operator.CauseInvalid, "the tree would not be valid", faults.Faults
 	case errors.Is(err, change.ErrBadPatch):
-		told.Cause = operator.CauseInvalid
+		answer.Cause = operator.CauseInvalid
 	case errors.Is(err, commit.ErrUnknown):
-		told.Cause = operator.CauseUnknown
+		answer.Cause = operator.CauseUnknown
 	}
-	return told
+	return answer
 }
--- a/internal/daemon/claims/claims.go
+++ b/internal/daemon/claims/claims.go
@@ -41,7 +41,7 @@
 
 // value is the value of a claim's row.
 type value struct {
-	// Attempt is the request that holds the key. It tells a lost answer, whose
+	// Attempt is the request that holds the key. It distinguishes a lost answer, whose
 	// row is one's own, from a lost race.
 	Attempt string    `json:"attempt"`
 	Host    string    `json:"host"`
@@ -173,7 +173,7 @@
 }
 
 // take commits a batch. Claims that lost leave it, and the rest tries again;
-// when an answer is lost, the rows tell in the next attempt who has them.
+// when an answer is lost, the rows show in the next attempt who has them.
 func (t *Table) take(ctx context.Context, batch map[string]*claim) {
 	var err error
 	for range maxAttempts {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -199,7 +199,7 @@
 // Cut counts the requests that a stop did not let finish.
 func (d *Daemon) Cut() int { return int(d.cut.Load()) }
 
-// Kill ends the host at once, as a crash would: no one is told.
+// Kill ends the host at once, as a crash would: no one is notified.
 func (d *Daemon) Kill() {
 	d.callers.Close()
 	d.close()
--- a/internal/daemon/dispatch/dispatch.go
+++ b/internal/daemon/dispatch/dispatch.go
@@ -77,7 +77,7 @@
 		t.scheduler = scheduler
 	}
 	d.mu.Unlock()
-	t.tell(shard.Message{Kind: shard.Submit, Request: request})
+	t.send(shard.Message{Kind: shard.Submit, Request: request})
 	select {
 	case decision := <-t.decisions:
 		if decision.Kind == admission.Refuse {
@@ -86,7 +86,7 @@
 		return t, decision, nil
 	case <-ctx.Done():
 		d.forget(request.ID)
-		t.tell(shard.Message{Kind: shard.Withdraw})
+		t.send(shard.Message{Kind: shard.Withdraw})
 		return nil, admission.Decision{}, ctx.Err()
 	}
 }
@@ -128,7 +128,7 @@
 	}
 }
 
-// hand passes a ticket that is still open to another scheduler, and tells which
+// hand passes a ticket that is still open to another scheduler, and reports which
 // had it.
 func (d *Dispatcher) hand(t *Ticket, to string) (from string, open bool) {
 	d.mu.Lock()
@@ -219,23 +219,23 @@
 func (t *Ticket) Preempted() <-chan struct{} { return t.preempted }
 
 // Started reports that the grant is used.
-func (t *Ticket) Started() { t.tell(shard.Message{Kind: shard.Started}) }
+func (t *Ticket) Started() { t.send(shard.Message{Kind: shard.Started}) }
 
 // FirstToken reports that the first token came.
-func (t *Ticket) FirstToken() { t.tell(shard.Message{Kind: shard.FirstToken, Tokens: 1}) }
+func (t *Ticket) FirstToken() { t.send(shard.Message{Kind: shard.FirstToken, Tokens: 1}) }
 
 // Progress is how many tokens came so far.
 func (t *Ticket) Progress(tokens int) {
-	t.tell(shard.Message{Kind: shard.Progress, Tokens: tokens})
+	t.send(shard.Message{Kind: shard.Progress, Tokens: tokens})
 }
 
 // Finished ends the attempt and gives the place back.
 func (t *Ticket) Finished(result admission.Result, tokens int) {
 	t.dispatcher.forget(t.request.ID)
-	t.tell(shard.Message{Kind: shard.Finished, Result: result, Tokens: tokens})
+	t.send(shard.Message{Kind: shard.Finished, Result: result, Tokens: tokens})
 }
 
-func (t *Ticket) tell(m shard.Message) {
+func (t *Ticket) send(m shard.Message) {
 	m.ID = t.request.ID
 	d := t.dispatcher
 	d.mu.Lock()
--- a/internal/daemon/fleet/links.go
+++ b/internal/daemon/fleet/links.go
@@ -19,9 +19,9 @@
 // linkUp announces to a scheduler all requests that are its own.
 func (f *Fleet) linkUp(host string) {
 	f.mu.Lock()
-	news := f.view.Suspect(host, false)
+	changed := f.view.Suspect(host, false)
 	f.mu.Unlock()
-	if news {
+	if changed {
 		f.reassign()
 	}
 	f.parts.Dispatcher.Announce(host)
@@ -29,9 +29,9 @@
 
 func (f *Fleet) linkDown(host string) {
 	f.mu.Lock()
-	news := f.view.Suspect(host, true)
+	changed := f.view.Suspect(host, true)
 	f.mu.Unlock()
-	if news {
+	if changed {
 		f.parts.Log.WithField("peer", host).Warn("lost")
 		f.reassign()
 	}
--- a/internal/daemon/peer/link.go
+++ b/internal/daemon/peer/link.go
@@ -37,7 +37,7 @@
 // linkBackoff is the wait between two tries to connect. Not measured.
 var linkBackoff = backoff.Doubling{First: 100 * time.Millisecond, Longest: 2 * time.Second}
 
-// Events are what a link tells the host that it belongs to. The functions must
+// Events are what a link reports to the host that it belongs to. The functions must
 // not block.
 type Events struct {
 	// Up is called when a link is open, Down when it is lost or can't be opened.
@@ -109,7 +109,7 @@
 	defer cancel()
 	for failures := 0; ctx.Err() == nil; failures++ {
 		begun := time.Now()
-		// The error is the reason for trying again; Down tells of it.
+		// The error is the reason for trying again; Down reports it.
 		_ = l.connect(ctx)
 		l.shut()
 		if ctx.Err() != nil {
@@ -222,7 +222,7 @@
 		if err := stream.MsgRecv(&f, encoding{}); err != nil {
 			return merry.Wrap(err)
 		}
-		watch.heard()
+		watch.received()
 		now := l.clock()
 		switch f.Kind {
 		case kindDecisions:
@@ -237,7 +237,7 @@
 	}
 }
 
-// watchdog closes a connection on which nothing is heard.
+// watchdog closes a connection on which nothing is received.
 type watchdog struct {
 	timer *time.Timer
 }
@@ -246,6 +246,6 @@
 	return &watchdog{timer: time.AfterFunc(silenceLimit, func() { conn.Close() })}
 }
 
-func (w *watchdog) heard() { w.timer.Reset(silenceLimit) }
+func (w *watchdog) received() { w.timer.Reset(silenceLimit) }
 
 func (w *watchdog) stop() { w.timer.Stop() }
--- a/internal/daemon/schedule/endpoint.go
+++ b/internal/daemon/schedule/endpoint.go
@@ -169,7 +169,7 @@
 	}
 }
 
-// learnPrefillTokens is the least prompt that tells something about the cost
+// learnPrefillTokens is the least prompt that is a measurement of the cost
 // of reading one.
 const learnPrefillTokens = 128
 
@@ -195,7 +195,7 @@
 	e.windowSteps += steps
 	it.measuredAt = now
 	it.measuredTokens = tokens
-	e.health.heard()
+	e.health.succeeded()
 	if tokens > it.predicted {
 		longer := tokens + tokens/4
 		e.cacheUsed += longer - it.predicted
--- a/internal/daemon/schedule/health.go
+++ b/internal/daemon/schedule/health.go
@@ -59,12 +59,12 @@
 		h.failures++
 		h.pausedUntil = now.Add(failureBackoff.Span(h.failures - 1))
 	case admission.Answered:
-		h.heard()
+		h.succeeded()
 	}
 }
 
-// heard reports that the endpoint works: it brought tokens or an answer.
-func (h *health) heard() {
+// succeeded reports that the endpoint works: it brought tokens or an answer.
+func (h *health) succeeded() {
 	h.failures = 0
 	h.pausedUntil = time.Time{}
 	if h.probing {
--- a/internal/daemon/schedule/schedule.go
+++ b/internal/daemon/schedule/schedule.go
@@ -19,7 +19,7 @@
 // Tiers is the number of service tiers. Tier 0 is the highest.
 const Tiers = 4
 
-// Endpoint is what the scheduler is told of an endpoint.
+// Endpoint is what the scheduler knows of an endpoint.
 type Endpoint struct {
 	ID   string
 	Zone string
--- a/internal/daemon/shard/shard.go
+++ b/internal/daemon/shard/shard.go
@@ -12,7 +12,7 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
 )
 
-// Kind is what an owner tells a scheduler.
+// Kind is the kind of a message from an owner to a scheduler.
 type Kind uint8
 
 // The kinds of message.
--- a/internal/front/fx.go
+++ b/internal/front/fx.go
@@ -61,8 +61,8 @@
 func randomNumber() float64 { return rand.Float64() }
 
 // late holds the parts that others need before they can be made: gossip reports the state of
-// placement, settings and endpoints, which tell it when that has changed; and whether this
-// host reads the store depends on gossip, which tells peers so. They are set while the host
+// placement, settings and endpoints, which notify it when that has changed; and whether this
+// host reads the store depends on gossip, which reports it to peers. They are set while the host
 // is wired, before anything runs.
 type late struct {
 	gossip    atomic.Pointer[gossip.Gossip]
--- a/internal/front/gossip/capacity_test.go
+++ b/internal/front/gossip/capacity_test.go
@@ -11,33 +11,33 @@
 	"oxbowslip.dev/oxbowslip/internal/front/keys"
 )
 
-// TestHeartbeatBytes measures the slopes of docs/CAPACITY.md, and bounds them: a beat
+// TestHeartbeatBytes measures the slopes of docs/CAPACITY.md, and bounds them: a heartbeat
 // must fit a datagram.
 func TestHeartbeatBytes(t *testing.T) {
 	c := qt.New(t)
 	size := func(endpoints, reads, services, known int) int {
-		beat := Heartbeat{Incarnation: 4_000_000_000, Sequence: 70_000, Settings: 12_000, Directory: 900_000}
+		heartbeat := Heartbeat{Incarnation: 4_000_000_000, Sequence: 70_000, Settings: 12_000, Directory: 900_000}
 		for n := range endpoints {
 			key := keys.OfEndpoint(fmt.Sprintf("endpoint-%d", n))
-			beat.Loads = append(beat.Loads, EndpointLoad{Endpoint: key, Requests: 3, Tokens: 200})
+			heartbeat.Loads = append(heartbeat.Loads, EndpointLoad{Endpoint: key, Requests: 3, Tokens: 200})
 		}
 		for n := range reads {
-			beat.Holders = append(beat.Holders, Holder{Prefix: keys.Prefix(4e9 - float64(n)), Endpoint: keys.OfEndpoint("e")})
+			heartbeat.Holders = append(heartbeat.Holders, Holder{Prefix: keys.Prefix(4e9 - float64(n)), Endpoint: keys.OfEndpoint("e")})
 		}
 		for n := range services {
-			beat.Streams = append(beat.Streams, StreamCount{Service: keys.OfService(fmt.Sprint(n)), Late: 20, All: 300})
+			heartbeat.Streams = append(heartbeat.Streams, StreamCount{Service: keys.OfService(fmt.Sprint(n)), Late: 20, All: 300})
 		}
 		if known >= 0 {
-			beat.Announcement = &Announcement{Host: "front-north-wharf-1", Address: "10.1.0.40:8229", Zone: "north-wharf", Start: time.Now().UnixNano()}
+			heartbeat.Announcement = &Announcement{Host: "front-north-wharf-1", Address: "10.1.0.40:8229", Zone: "north-wharf", Start: time.Now().UnixNano()}
 			for n := range known {
-				beat.Announcement.KnownAddresses = append(beat.Announcement.KnownAddresses, fmt.Sprintf("10.1.0.%d:8229", n))
+				heartbeat.Announcement.KnownAddresses = append(heartbeat.Announcement.KnownAddresses, fmt.Sprintf("10.1.0.%d:8229", n))
 			}
 		}
-		data, err := cbor.Marshal(&beat)
+		data, err := cbor.Marshal(&heartbeat)
 		c.Assert(err, qt.IsNil)
 		return len(data)
 	}
-	// A beat without an introduction knows of no address.
+	// A heartbeat without an announcement knows of no address.
 	const plain = -1
 	empty := size(0, 0, 0, plain)
 	t.Logf("empty %d B, an endpoint %d B, a read %d B, a service with streams %d B; an introduction with no address %d B, with many %d B",
--- a/internal/front/gossip/gossip.go
+++ b/internal/front/gossip/gossip.go
@@ -1,4 +1,4 @@
-// Package gossip lets the hosts of oxbowslip-front tell each other what each knows: which
+// Package gossip lets the hosts of oxbowslip-front share what each knows: which
 // hosts are there, the work that each has in flight at the endpoints, endpoints that failed,
 // and the newest revisions of the settings and of the directory.
 //
@@ -98,7 +98,7 @@
 }
 
 // New returns a host's part that does not listen yet. Random returns numbers from 0 up to 1;
-// sent is told of the bytes that go to peers.
+// sent counts the bytes that go to peers.
 func New(config Config, host Host, log *logrus.Entry, clock func() time.Time, random func() float64,
 	sent func(kind counters.PeerTraffic, bytes int),
 ) *Gossip {
--- a/internal/front/gossip/gossip_test.go
+++ b/internal/front/gossip/gossip_test.go
@@ -24,29 +24,29 @@
 }
 
 func TestMembers(t *testing.T) {
-	type heard struct {
-		beat  Heartbeat
-		isNew bool
-		ok    bool
+	type received struct {
+		heartbeat Heartbeat
+		isNew     bool
+		ok        bool
 	}
 	tests := map[string]struct {
-		beats []heard
-		live  int
+		heartbeats []received
+		live       int
 	}{
-		"introduced": {[]heard{{Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)}, true, true}, {Heartbeat{Incarnation: 1, Sequence: 2}, false, true}}, 1},
-		"a beat without an introduction does not count": {[]heard{{Heartbeat{Incarnation: 1, Sequence: 1}, false, false}}, 0},
-		"an echo does not count":                        {[]heard{{Heartbeat{Incarnation: 9, Sequence: 1, Announcement: announcement("self", 1)}, false, false}}, 0},
-		"a late beat does not count": {[]heard{
+		"announced": {[]received{{Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)}, true, true}, {Heartbeat{Incarnation: 1, Sequence: 2}, false, true}}, 1},
+		"a heartbeat without an announcement does not count": {[]received{{Heartbeat{Incarnation: 1, Sequence: 1}, false, false}}, 0},
+		"an echo does not count":                             {[]received{{Heartbeat{Incarnation: 9, Sequence: 1, Announcement: announcement("self", 1)}, false, false}}, 0},
+		"a late heartbeat does not count": {[]received{
 			{Heartbeat{Incarnation: 1, Sequence: 2, Announcement: announcement("a", 1)}, true, true},
 			{Heartbeat{Incarnation: 1, Sequence: 1}, false, false},
 		}, 1},
-		"a new life takes the place of the old": {[]heard{
+		"a new incarnation replaces the old": {[]received{
 			{Heartbeat{Incarnation: 1, Sequence: 50, Announcement: announcement("a", 1)}, true, true},
 			{Heartbeat{Incarnation: 2, Sequence: 1, Announcement: announcement("a", 2)}, true, true},
 			{Heartbeat{Incarnation: 1, Sequence: 51}, false, false},
 			{Heartbeat{Incarnation: 1, Sequence: 52, Announcement: announcement("a", 1)}, false, false},
 		}, 1},
-		"leaving": {[]heard{
+		"leaving": {[]received{
 			{Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)}, true, true},
 			{Heartbeat{Incarnation: 1, Sequence: 2, Leaving: true}, false, true},
 		}, 0},
@@ -55,8 +55,8 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			m := NewMembers("self")
-			for _, h := range test.beats {
-				_, isNew, ok := m.Received(start, &h.beat)
+			for _, h := range test.heartbeats {
+				_, isNew, ok := m.Received(start, &h.heartbeat)
 				c.Check([]bool{isNew, ok}, qt.DeepEquals, []bool{h.isNew, h.ok})
 			}
 			c.Check(m.Count(), qt.Equals, test.live)
@@ -84,17 +84,17 @@
 	gossip *Gossip
 	done   chan struct{}
 
-	mu    sync.Mutex
-	state State
-	has   SyncRequest
-	heard map[string]*Heartbeat
-	lost  []string
-	taken []string
+	mu       sync.Mutex
+	state    State
+	has      SyncRequest
+	received map[string]*Heartbeat
+	lost     []string
+	taken    []string
 	// introductions counts what was sent.
 	introductions atomic.Int32
 }
 
-// count is told of each send.
+// count is called with each send.
 func (n *node) count(kind counters.PeerTraffic, _ int) {
 	if kind == counters.PeerAnnouncements {
 		n.introductions.Add(1)
@@ -113,10 +113,10 @@
 	return n.has
 }
 
-func (n *node) Received(peer string, beat *Heartbeat) {
+func (n *node) Received(peer string, heartbeat *Heartbeat) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.heard[peer] = beat
+	n.received[peer] = heartbeat
 }
 
 func (n *node) Lost(peer string) {
@@ -128,25 +128,25 @@
 func (n *node) Respond(want SyncRequest) SyncResponse {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var news SyncResponse
+	var response SyncResponse
 	if n.has.Settings > want.Settings {
-		news.Settings = []byte("settings")
+		response.Settings = []byte("settings")
 	}
 	if n.has.Directory > want.Directory {
-		news.Snapshot = &DirectorySnapshot{Revision: n.has.Directory}
+		response.Snapshot = &DirectorySnapshot{Revision: n.has.Directory}
 	}
-	return news
+	return response
 }
 
-func (n *node) Apply(_ string, news SyncResponse) {
+func (n *node) Apply(_ string, response SyncResponse) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(news.Settings) > 0 {
-		n.taken = append(n.taken, string(news.Settings))
+	if len(response.Settings) > 0 {
+		n.taken = append(n.taken, string(response.Settings))
 		n.has.Settings = 7
 	}
-	if news.Snapshot != nil {
-		n.has.Directory = news.Snapshot.Revision
+	if response.Snapshot != nil {
+		n.has.Directory = response.Snapshot.Revision
 	}
 }
 
@@ -157,7 +157,7 @@
 }
 
 func startNode(c *qt.C, name string, first ...string) *node {
-	n := &node{heard: make(map[string]*Heartbeat), done: make(chan struct{})}
+	n := &node{received: make(map[string]*Heartbeat), done: make(chan struct{})}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	n.gossip = New(Config{Name: name, Address: "127.0.0.1:0", FirstPeers: first}, n, logrus.NewEntry(log), time.Now, rand.Float64, n.count)
@@ -205,9 +205,9 @@
 	a.mu.Unlock()
 	a.gossip.Changed()
 	for _, n := range []*node{b, d} {
-		eventually(c, "the load is heard", func() bool {
+		eventually(c, "the load is received", func() bool {
 			return n.look(func() bool {
-				return n.heard["a"] != nil && len(n.heard["a"].Loads) == 1 && n.heard["a"].Loads[0].Tokens == 9
+				return n.received["a"] != nil && len(n.received["a"].Loads) == 1 && n.received["a"].Loads[0].Tokens == 9
 			})
 		})
 		eventually(c, "newer revisions are fetched", func() bool {
@@ -217,8 +217,8 @@
 	a.stop()
 	a.gossip.Leave()
 	eventually(c, "a left", func() bool { return b.gossip.Hosts() == 2 && d.gossip.Hosts() == 2 })
-	// The member is dropped before its host is told, so that is waited for too.
-	eventually(c, "b is told", func() bool { return b.look(func() bool { return slices.Contains(b.lost, "a") }) })
+	// The member is dropped before its host is notified, so that is waited for too.
+	eventually(c, "b is notified", func() bool { return b.look(func() bool { return slices.Contains(b.lost, "a") }) })
 }
 
 func TestReaders(t *testing.T) {
@@ -262,7 +262,7 @@
 	}
 }
 
-// TestARevisionDoesNotWaitForItsTurn is the sweep at 300 hosts: beats came 2.4 s apart,
+// TestARevisionDoesNotWaitForItsTurn is the sweep at 300 hosts: heartbeats came 2.4 s apart,
 // and a change of the configuration was in force after 5 s (CONFIG, DENIED).
 func TestARevisionDoesNotWaitForItsTurn(t *testing.T) {
 	c := qt.New(t)
@@ -290,9 +290,9 @@
 			for n := range hosts {
 				g.members.Received(time.Now(), &Heartbeat{Incarnation: uint32(n + 1), Sequence: 1, Announcement: announcement(fmt.Sprintf("host-%d", n), 1)})
 			}
-			beat := g.newHeartbeat(State{Settings: 3, Loads: []EndpointLoad{{Endpoint: 1}}})
-			qt.Check(t, len(beat.Loads) > 0, qt.Equals, hosts < fullHeartbeats)
-			qt.Check(t, beat.Settings, qt.Equals, uint64(3))
+			heartbeat := g.newHeartbeat(State{Settings: 3, Loads: []EndpointLoad{{Endpoint: 1}}})
+			qt.Check(t, len(heartbeat.Loads) > 0, qt.Equals, hosts < fullHeartbeats)
+			qt.Check(t, heartbeat.Settings, qt.Equals, uint64(3))
 		})
 	}
 }
@@ -309,9 +309,9 @@
 		settings, directory bool
 	}{{topicSettings, true, false}, {topicDirectory, false, true}} {
 		c.Check(test.topic.isBehind(own, member), qt.IsTrue)
-		news := peer.Respond(test.topic.request(own))
-		c.Check(len(news.Settings) > 0, qt.Equals, test.settings)
-		c.Check(news.Snapshot != nil, qt.Equals, test.directory)
+		response := peer.Respond(test.topic.request(own))
+		c.Check(len(response.Settings) > 0, qt.Equals, test.settings)
+		c.Check(response.Snapshot != nil, qt.Equals, test.directory)
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -323,7 +323,7 @@
 	c.Check(g.beginSync(topicDirectory), qt.IsTrue)
 }
 
-// TestOnlyStrangersAreIntroducedTo is a fleet of 297 hosts: nine tenths of what hosts told
+// TestOnlyStrangersAreIntroducedTo is a fleet of 297 hosts: nine tenths of what hosts sent
 // each other were introductions, sent to all whenever one host was new.
 func TestOnlyStrangersAreIntroducedTo(t *testing.T) {
 	c := qt.New(t)
@@ -339,7 +339,7 @@
 	c.Check(b.introductions.Load()-sent <= 2, qt.IsTrue, qt.Commentf("%d introductions", b.introductions.Load()-sent))
 }
 
-// TestAnUnknownSenderIsAsked is the loss of an introduction: without it, the beats of its
+// TestAnUnknownSenderIsAsked is the loss of an announcement: without it, the heartbeats of its
 // sender would never count.
 func TestAnUnknownSenderIsAsked(t *testing.T) {
 	c := qt.New(t)
--- a/internal/front/keys/keys.go
+++ b/internal/front/keys/keys.go
@@ -1,5 +1,5 @@
 // Package keys has the short names by which the hosts of oxbowslip-front refer to
-// endpoints, services and prefixes of prompts in what they tell each other. Every host
+// endpoints, services and prefixes of prompts in the messages between them. Every host
 // derives them alike, so that they need not be agreed on.
 //
 // A key is a part of a hash. Two names with the same key share what is known of them,
--- a/internal/front/peersync/peersync_test.go
+++ b/internal/front/peersync/peersync_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// hearBeat carries one host's beat to another.
-func (s *Sync) hearBeat(peer string, state *gossip.State) {
+// deliverHeartbeat carries one host's heartbeat to another.
+func (s *Sync) deliverHeartbeat(peer string, state *gossip.State) {
 	s.Received(peer, &gossip.Heartbeat{Settings: state.Settings, Directory: state.Directory, Delta: state.Delta, Patch: state.Patch})
 }
 
@@ -71,15 +71,15 @@
 // whole configuration from one of four readers, the last after 3.7 s (CONFIG).
 func TestAChangeOfTheSettingsGoesWithTheBeats(t *testing.T) {
 	tests := map[string]struct {
-		// has is what the listening host knew before, heard in which of the reader's
-		// beats after its second configuration it hears.
-		has   []int
-		heard int
-		want  uint64
+		// has is what the listening host knew before, received which of the reader's
+		// heartbeats after its second configuration it receives.
+		has      []int
+		received int
+		want     uint64
 	}{
-		"the first beat":           {[]int{3}, 0, 5},
+		"the first heartbeat":      {[]int{3}, 0, 5},
 		"the last that carries it": {[]int{3}, heartbeatsPerChange - 1, 5},
-		"told no more":             {[]int{3}, heartbeatsPerChange, 3},
+		"repeated no more":         {[]int{3}, heartbeatsPerChange, 3},
 		"on another base":          {[]int{2}, 0, 2},
 		"no base at all":           {nil, 0, 0},
 		"known already":            {[]int{3, 5}, 0, 5},
@@ -93,11 +93,11 @@
 			c.Check(*sent, qt.Equals, 2)
 			host, _ := newSync(false)
 			host.read(test.has...)
-			for range test.heard {
+			for range test.received {
 				reader.State()
 			}
 			state := reader.State()
-			host.hearBeat("reader", &state)
+			host.deliverHeartbeat("reader", &state)
 			c.Check(host.parts.Holder.Number(), qt.Equals, test.want)
 		})
 	}
@@ -120,7 +120,7 @@
 			host.read(3)
 			*sent = 0
 			state := reader.State()
-			host.hearBeat("reader", &state)
+			host.deliverHeartbeat("reader", &state)
 			c.Check(host.parts.Holder.Number(), qt.Equals, uint64(5))
 			c.Check(*sent, qt.Equals, test.want)
 			c.Check(host.State().Patch != nil, qt.Equals, test.reading)
@@ -149,9 +149,9 @@
 			host, _ := newSync(false)
 			host.read(test.has...)
 			before := host.parts.Holder.Number()
-			news := peer.Respond(host.Revisions())
-			c.Check(len(news.Settings) <= test.most, qt.IsTrue, qt.Commentf("%d bytes", len(news.Settings)))
-			host.Apply("peer", news)
+			response := peer.Respond(host.Revisions())
+			c.Check(len(response.Settings) <= test.most, qt.IsTrue, qt.Commentf("%d bytes", len(response.Settings)))
+			host.Apply("peer", response)
 			c.Check(host.parts.Holder.Number(), qt.Equals, max(before, 5))
 		})
 	}
--- a/internal/front/placement/affinity.go
+++ b/internal/front/placement/affinity.go
@@ -11,7 +11,7 @@
 )
 
 // Affinity: a prompt whose beginning other prompts share is cheaper at an endpoint that has
-// that beginning in its cache. Hosts tell each other which endpoint was sent which prefix;
+// that beginning in its cache. Hosts report to each other which endpoint was sent which prefix;
 // where nothing is known, a hash picks the same endpoint on every host.
 
 // minSharedPrefix is the length, in tokens, from which a shared prefix decides where a
--- a/internal/front/placement/ejection.go
+++ b/internal/front/placement/ejection.go
@@ -23,7 +23,7 @@
 // of worth of six days): 5.05 to 5.07 and 5.07 without it, 5.09 to 5.10 and 5.07 with it.
 const failureWindow = 2 * time.Second
 
-// sameEjection is how far apart two reports of one ejection may be: each peer tells the
+// sameEjection is how far apart two reports of one ejection may be: each peer reports the
 // time left, and the datagram travels for a while. Well above the delay between zones
 // (1 ms on the users' sites) and the pace of heartbeats (80 ms). Not measured.
 const sameEjection = 100 * time.Millisecond
--- a/internal/front/placement/placement_test.go
+++ b/internal/front/placement/placement_test.go
@@ -47,9 +47,9 @@
 
 func TestChoose(t *testing.T) {
 	three := entries("e1", "e2", "e3")
-	home := NewView().choose(long(7), three).Endpoint
+	preferred := NewView().choose(long(7), three).Endpoint
 	other := "e1"
-	if home == other {
+	if preferred == other {
 		other = "e2"
 	}
 	tests := map[string]struct {
@@ -87,24 +87,27 @@
 				b.loads.Begin("e3", 0)
 			}, short(), "e1",
 		},
-		"a long prompt goes home past some work": {
-			func(b *View) { b.loads.Begin(home, 20_000) }, long(7), home,
+		"a long prompt goes to its preferred endpoint past some work": {
+			func(b *View) { b.loads.Begin(preferred, 20_000) }, long(7), preferred,
 		},
 		"a long prompt goes where it was sent": {
 			func(b *View) {
 				b.holders.Note(start, Holder{Prefix: 7, Endpoint: keys.OfEndpoint(other)})
 			}, long(7), other,
 		},
-		"a home far behind is left": {
-			func(b *View) { b.loads.Begin(home, 60_000); b.loads.Begin(third(home, other), 1000) }, long(7), other,
+		"a preferred endpoint far behind is left": {
+			func(b *View) { b.loads.Begin(preferred, 60_000); b.loads.Begin(third(preferred, other), 1000) }, long(7), other,
 		},
-		"a paused home is left": {
-			func(b *View) { b.ejections.Failed(start, home, false); b.loads.Begin(third(home, other), 60_000) }, long(7), other,
+		"an ejected preferred endpoint is left": {
+			func(b *View) {
+				b.ejections.Failed(start, preferred, false)
+				b.loads.Begin(third(preferred, other), 60_000)
+			}, long(7), other,
 		},
-		"a home that a peer paused is left": {
+		"a preferred endpoint that a peer ejected is left": {
 			func(b *View) {
-				b.ejections.EjectByPeer(keys.OfEndpoint(home), start.Add(time.Second))
-				b.loads.Begin(third(home, other), 60_000)
+				b.ejections.EjectByPeer(keys.OfEndpoint(preferred), start.Add(time.Second))
+				b.loads.Begin(third(preferred, other), 60_000)
 			}, long(7), other,
 		},
 		"all paused: one is used all the same": {
@@ -198,7 +201,7 @@
 		}
 		calm.lateness.Streamed(start, "llm", pause, 300*time.Millisecond)
 	}
-	c.Check(calm.lateness.isOpen(start, "llm"), qt.IsFalse, qt.Commentf("a few late streams open no lane"))
+	c.Check(calm.lateness.isOpen(start, "llm"), qt.IsFalse, qt.Commentf("a few late streams partition nothing"))
 }
 
 func TestSource(t *testing.T) {
@@ -390,7 +393,7 @@
 }
 
 // TestTheStreamsOfAllHostsOpenALane is scale-2 of the grown Kochi site: each of 78 hosts
-// saw two streams of short prompts a second, and the last opened its lane after 15 s,
+// saw two streams of short prompts a second, and the last was partitioned after 15 s,
 // when one stream in four was late.
 func TestTheStreamsOfAllHostsOpenALane(t *testing.T) {
 	type counts = map[keys.Service]StreamCount
@@ -403,7 +406,7 @@
 		"few late":           {[]counts{count(3, 15), count(0, 15)}, false},
 		"too few to tell":    {[]counts{count(10, 10)}, false},
 		"at another service": {[]counts{{1: {Late: 100, All: 100}}}, false},
-		"nothing told":       {nil, false},
+		"nothing reported":   {nil, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/front/relay/dialect.go
+++ b/internal/front/relay/dialect.go
@@ -26,7 +26,7 @@
 	Parts []Part
 }
 
-// Send is what an endpoint is told about a call that it gets.
+// Send is what an endpoint receives with a call.
 type Send struct {
 	EndpointID string
 	// Workspace is empty for a public call.
--- a/internal/front/relay/silence.go
+++ b/internal/front/relay/silence.go
@@ -7,7 +7,7 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// When to give an endpoint up that says nothing. A silent endpoint can't be told from a slow
+// When to give up an endpoint that sends nothing. A silent endpoint can't be told from a slow
 // one, so the rule only applies to requests that can be sent elsewhere: by then the target is
 // missed anyway, and an answer from elsewhere is worth more than none.
 const (
--- a/internal/front/upstream/upstream.go
+++ b/internal/front/upstream/upstream.go
@@ -231,7 +231,7 @@
 	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 }
 
-// abandon closes the connection, which tells the endpoint to stop working on the call.
+// abandon closes the connection, which makes the endpoint stop working on the call.
 func (x *exchange) abandon() {
 	x.stop()
 	x.conn.Close()
--- a/internal/hostconfig/hostconfig.go
+++ b/internal/hostconfig/hostconfig.go
@@ -1,4 +1,4 @@
-// Package hostconfig reads the file that tells one daemon its name, its addresses, its availability
+// Package hostconfig reads the file with one daemon's name, its addresses, its availability
 // zone and where the platform is. Both programs use it, each some of its fields; everything else comes
 // from the settings tree.
 package hostconfig
--- a/internal/logread/logread.go
+++ b/internal/logread/logread.go
@@ -16,7 +16,7 @@
 	"oxbowslip.dev/oxbowslip/internal/explain"
 )
 
-// ErrNotFound means that no line of the logs tells of the request.
+// ErrNotFound means that no line of the logs is about the request.
 var ErrNotFound = merry.Sentinel("no line of these logs is about the request")
 
 // Line is a log line of a host, with the fields that are used here.
--- a/internal/proof/replay/owner.go
+++ b/internal/proof/replay/owner.go
@@ -138,7 +138,7 @@
 	j.endpoint = e
 	j.attempt++
 	j.base = j.tokens
-	j.told = 0
+	j.reported = 0
 	if j.granted.IsZero() {
 		j.granted = now
 	}
@@ -161,7 +161,7 @@
 // submit starts a request at an engine.
 func (w *world) submit(now time.Time, j *job, e *engineWorld) {
 	j.executions++
-	j.heard = now
+	j.lastToken = now
 	e.model.Submit(now, emulator.Request{
 		ID: j.id, Priority: j.policy.Tier, PromptTokens: j.event.Prompt, AnswerTokens: j.event.Answer,
 		Prefix: j.request.Prefix, Done: j.base,
@@ -194,7 +194,7 @@
 	if j.state != stateSent || j.endpoint != e || event.Kind == emulator.Recompute {
 		return
 	}
-	j.heard = now
+	j.lastToken = now
 	j.tokens = event.Tokens
 	if j.firstToken.IsZero() {
 		j.firstToken = now
@@ -213,13 +213,13 @@
 		return
 	}
 	switch {
-	case j.told == 0:
+	case j.reported == 0:
 		policy.FirstToken(now, j.id)
-		j.told = 1
+		j.reported = 1
 		w.settle(now, j.shard)
-	case j.tokens-j.base-j.told >= progressBy:
-		j.told = j.tokens - j.base
-		policy.Progress(now, j.id, j.told)
+	case j.tokens-j.base-j.reported >= progressBy:
+		j.reported = j.tokens - j.base
+		policy.Progress(now, j.id, j.reported)
 		w.settle(now, j.shard)
 	}
 }
@@ -236,8 +236,8 @@
 		if j.attempt != attempt || j.state != stateSent {
 			return
 		}
-		if now.Sub(j.heard) < stalledAfter {
-			w.watchStall(j.heard, j, attempt)
+		if now.Sub(j.lastToken) < stalledAfter {
+			w.watchStall(j.lastToken, j, attempt)
 			return
 		}
 		j.endpoint.model.Cancel(j.id)
--- a/internal/proof/replay/world.go
+++ b/internal/proof/replay/world.go
@@ -61,10 +61,10 @@
 	granted    time.Time
 	firstToken time.Time
 	ended      time.Time
-	heard      time.Time
+	lastToken  time.Time
 	tokens     int
 	base       int
-	told       int
+	reported   int
 	life       *request.Lifecycle
 	executions int
 	wasted     int
--- a/internal/request/lifecycle_test.go
+++ b/internal/request/lifecycle_test.go
@@ -192,11 +192,11 @@
 }
 
 // world is an endpoint's view of one request: what it really did. The property
-// test compares it with what the life told the caller.
+// test compares it with what the lifecycle reported to the caller.
 type world struct {
 	executions int
 	maybeRan   bool
-	// sent tells that the attempt under way has reached its endpoint.
+	// sent reports that the attempt under way has reached its endpoint.
 	sent  bool
 	whole bool
 }
