--- a/internal/daemon/schedule/dispatch.go
+++ b/internal/daemon/schedule/dispatch.go
@@ -7,7 +7,8 @@
 )
 
 // maxAside bounds the requests passed over in one dispatch because no endpoint
-// with room suits them.
+// with room suits them. It bounds the work of a dispatch (BENCHMARKS.md, steps per grant); the
+// value is not measured.
 const maxAside = 8
 
 // dispatch grants waiting requests while endpoints have room.
@@ -28,8 +29,8 @@
 		it.predicted = s.predictLength(&it.request)
 		tier := it.request.Tier
 		if reason == admission.ReasonShare {
-			// The places kept for higher tiers would starve a share when those
-			// tiers take all the rest.
+			// The slots kept for higher tiers would starve a share when those
+			// tiers use all the rest.
 			tier = 0
 		}
 		e := s.endpoints.choose(now, it, tier, s.prefixes)
@@ -48,7 +49,7 @@
 
 // nextWaiting chooses the request to grant next: a class whose share is due,
 // else the highest tier's workspace with the least service, down to the lowest
-// tier that has a place. Flows that a limit holds are parked on the way.
+// tier that has a slot. Flows that a limit holds are parked on the way.
 func (s *Scheduler) nextWaiting(now time.Time, lowest int) (*item, admission.Reason) {
 	for {
 		it, reason := s.candidate(now, lowest)
@@ -76,8 +77,8 @@
 	return nil, ""
 }
 
-// bestOf chooses within a tier. A workspace's place may be out of date, as
-// requests become late with time; it is put right when it comes to the front.
+// bestOf chooses within a tier. A workspace's position in the heap may be out of date, as
+// requests become late with time; it is corrected when it comes to the front.
 func (s *Scheduler) bestOf(now time.Time, t *tierQueue) *item {
 	for {
 		w, ok := t.ready.first()
@@ -112,7 +113,7 @@
 		AnswerTokens:        it.predicted,
 	}
 	s.removeWaiting(it)
-	s.bookService(it, f)
+	s.chargeService(it, f)
 	s.refresh(now, f)
 	s.limitOf(r).use(it.predicted)
 	it.shared = reason == admission.ReasonShare
@@ -132,8 +133,8 @@
 	s.accountShare(now, it, reason)
 }
 
-// bookService charges a grant to its workspace's part of the tier.
-func (s *Scheduler) bookService(it *item, f *flow) {
+// chargeService charges a grant to its workspace's part of the tier.
+func (s *Scheduler) chargeService(it *item, f *flow) {
 	t := &s.tiers[f.key.tier]
 	t.service = max(t.service, f.workspace.service)
 	f.workspace.service += s.work(it) / f.workspace.weight
@@ -146,7 +147,7 @@
 	s.touch(it.flow)
 }
 
-// takeBackAside puts the passed-over requests back into their places.
+// takeBackAside puts the passed-over requests back into their flows.
 func (s *Scheduler) takeBackAside(now time.Time) {
 	for i, it := range s.aside {
 		it.flow.insert(now, it)
--- a/internal/daemon/schedule/endpoint.go
+++ b/internal/daemon/schedule/endpoint.go
@@ -6,28 +6,62 @@
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-// The constants of the learned limits.
+// The constants of an engine's learned concurrency limit. The limit as a whole was measured:
+// fixed limits of 16 and 32 lose 4.6 and 10.9 points of attainment (BENCHMARKS.md, "What each
+// mechanism is worth"). Single values are not measured unless their comment says so; they come
+// from the engine model of the replays, and engines whose steps take much longer or shorter
+// than its 18 to 85 ms (emulator.DefaultConfig) need others.
 const (
-	firstLimit   = 4
+	// firstLimit is the limit in requests of an engine that nothing is known of.
+	firstLimit = 4
+	// largestLimit is the most requests at a time at any endpoint, and the limit of one that
+	// does not generate tokens.
 	largestLimit = 512
-	// judgeTime and judgeSamples are how long one judgement of an engine
-	// gathers measurements.
+	// An engine is judged when at least judgeTime has passed and judgeSamples tokens were
+	// measured: long enough that one slow step does not move the limit, short against the
+	// seconds in which a load changes.
 	judgeTime    = 500 * time.Millisecond
 	judgeSamples = 8
-	// looseBetween is the target of an engine whose requests have none.
+	// looseBetween is the time between tokens that an engine is held to when none of its
+	// requests has a target.
 	looseBetween = 48 * time.Millisecond
-	// reserve is the part of the limit that each tier leaves to the next higher.
+	// reserve is the fraction of the limit that each tier leaves to the next higher, so that
+	// a request of a higher tier rarely waits for a slot.
 	reserve = 0.03
-	// cacheHeadroom is the part of the cache memory that is granted.
+	// cacheHeadroom is the fraction of the cache memory that is granted. The rest absorbs
+	// answers that are longer than predicted; a full cache makes an engine preempt.
 	cacheHeadroom = 0.92
-	// firstChunk is the first guess of the prompt tokens read in one step.
+	// firstChunk is the first estimate of endpoint.chunk, in tokens.
 	firstChunk = 256
-	// firstBetween is the first guess of the time for a token of an answer.
+	// firstBetween is the first estimate of the time between two tokens of an answer.
 	firstBetween = 25 * time.Millisecond
 )
 
-// targetHeadroom keeps the mean below the target, so that most requests meet
-// it. The higher a tier, the fewer of its requests may miss it.
+// The constants of the running estimates. Not measured.
+const (
+	// learnPrefillTokens is the least number of uncached prompt tokens of a request whose first
+	// token is a measurement of endpoint.chunk: with fewer, the step that it shares with others
+	// dominates.
+	learnPrefillTokens = 128
+	// leastPrefillSteps is the least prefill time of a measurement, in steps of the engine.
+	leastPrefillSteps = 0.5
+	// mostChunkChange bounds a measurement of chunk, as a factor of the estimate. A prompt that
+	// waited behind others looks slow although the engine is not.
+	mostChunkChange = 2
+	// chunkSmoothing is the number of measurements that the estimate of chunk averages over.
+	chunkSmoothing = 16
+	// betweenSmoothing is the number of judgements that the estimate of between averages over.
+	betweenSmoothing = 2
+	// longerAnswer is the part by which the predicted length of an answer that has outgrown its
+	// prediction exceeds the length so far: one in so many tokens.
+	longerAnswer = 4
+)
+
+// targetHeadroom is the fraction of the target that the mean time between tokens is held to, by
+// tier, so that most requests meet the target. The higher a tier, the fewer of its requests may
+// miss it. Measured against one headroom of 5 or 2 % for all: 95.4 and 93.8 % of the highest
+// tier's requests met their targets at threefold overload instead of 98.9 (BENCHMARKS.md, "Tries
+// that were dropped").
 var targetHeadroom = [Tiers]float64{0.87, 0.93, 0.96, 0.98}
 
 // endpoint is an endpoint with what was learned of it.
@@ -40,11 +74,11 @@
 	limit     float64
 	slowStart bool
 	between   time.Duration
-	// chunk is the prompt tokens that the engine reads in the time of one token
-	// of an answer. Engines read prompts in steps that they share with the
-	// answers, so a loaded engine reads slower, and by the same ratio.
+	// chunk is the prompt tokens that the engine processes in the time of one token
+	// of an answer. Engines process prompts in steps that they share with the
+	// answers, so prefill at a loaded engine is slower, and by the same ratio.
 	chunk float64
-	// prefillUntil is when the prompts that were sent are read.
+	// prefillUntil is when the prompts that were sent are expected to be processed.
 	prefillUntil time.Time
 	cacheUsed    int
 
@@ -52,7 +86,8 @@
 	window      time.Duration
 	windowSteps int
 	judgedAt    time.Time
-	heardAt     time.Time
+	// lastSign is when the endpoint last brought tokens, got its first request or was readmitted.
+	lastSign time.Time
 
 	health health
 }
@@ -65,7 +100,7 @@
 		between:   firstBetween,
 		chunk:     firstChunk,
 		judgedAt:  now,
-		heardAt:   now,
+		lastSign:  now,
 	}
 	if !config.Engine {
 		e.limit = largestLimit
@@ -94,9 +129,8 @@
 	return float64(len(e.running)) / e.bound()
 }
 
-// hasRoomFor reports whether the endpoint has a place for a tier. The last
-// places are kept for the highest tiers, so that a request of theirs rarely has
-// to wait for one.
+// hasRoomFor reports whether the endpoint has a slot for a tier. The last slots
+// are kept for the highest tiers (reserve).
 func (e *endpoint) hasRoomFor(tier int) bool {
 	if !e.usable() {
 		return false
@@ -106,16 +140,16 @@
 }
 
 // open reports whether the endpoint can take any request of a tier now: there
-// is a place, no pause after a failure, and little prefill ahead.
+// is a slot, no failure was just seen, and little prefill is ahead.
 func (e *endpoint) open(now time.Time, tier int, o *Options) bool {
-	if !e.hasRoomFor(tier) || now.Before(e.health.pausedUntil) {
+	if !e.hasRoomFor(tier) || now.Before(e.health.noWorkUntil) {
 		return false
 	}
 	return len(e.running) == 0 || e.prefillUntil.Sub(now) <= o.PrefillAhead
 }
 
 // fits reports whether there is cache memory for a prompt and its predicted
-// answer. An idle engine takes any.
+// answer. An idle engine accepts any.
 func (e *endpoint) fits(need int) bool {
 	if e.CacheTokens == 0 || len(e.running) == 0 {
 		return true
@@ -123,7 +157,7 @@
 	return float64(e.cacheUsed+need) <= cacheHeadroom*float64(e.CacheTokens)
 }
 
-// uncached is the part of a prompt that the endpoint must read.
+// uncached returns the prompt tokens that the endpoint must process.
 func (e *endpoint) uncached(r *admission.Request, cached cachedPart) int {
 	if cached.holder != e {
 		return r.PromptTokens
@@ -138,11 +172,11 @@
 		return 0
 	}
 	ahead := max(0, e.prefillUntil.Sub(now))
-	return ahead + e.readTime(e.uncached(r, cached)) + e.between
+	return ahead + e.prefillTime(e.uncached(r, cached)) + e.between
 }
 
-// readTime is the time that the endpoint takes to read so many prompt tokens.
-func (e *endpoint) readTime(tokens int) time.Duration {
+// prefillTime estimates how long the endpoint processes so many prompt tokens.
+func (e *endpoint) prefillTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / e.chunk * float64(e.between))
 }
 
@@ -152,7 +186,7 @@
 	it.endpointIndex = len(e.running)
 	e.running = append(e.running, it)
 	e.cacheUsed += it.request.PromptTokens + it.predicted
-	e.prefillUntil = latest(e.prefillUntil, now).Add(e.readTime(it.uncached))
+	e.prefillUntil = latest(e.prefillUntil, now).Add(e.prefillTime(it.uncached))
 }
 
 // drop removes a request.
@@ -169,27 +203,21 @@
 	}
 }
 
-// learnPrefillTokens is the least prompt that is a measurement of the cost
-// of reading one.
-const learnPrefillTokens = 128
-
-// firstToken learns the cost of reading prompts.
+// firstToken updates the estimate of chunk with the time to the first token of a request.
 func (e *endpoint) firstToken(now time.Time, it *item) {
-	e.heardAt = now
+	e.lastSign = now
 	if it.uncached < learnPrefillTokens || !it.started {
 		return
 	}
 	steps := float64(now.Sub(it.sentAt)-e.between) / float64(e.between)
-	// Prompts before this one are in the measured time too, so a sample far
-	// below the estimate counts as half of it at most.
-	chunk := float64(it.uncached) / max(steps, 0.5)
-	chunk = min(max(chunk, e.chunk/2), e.chunk*2)
-	e.chunk = max(1, e.chunk+(chunk-e.chunk)/16)
+	chunk := float64(it.uncached) / max(steps, leastPrefillSteps)
+	chunk = min(max(chunk, e.chunk/mostChunkChange), e.chunk*mostChunkChange)
+	e.chunk = max(1, e.chunk+(chunk-e.chunk)/chunkSmoothing)
 }
 
-// progress learns the time between tokens, and corrects the predicted length.
+// progress adds to the measurement of the time between tokens, and corrects the predicted length.
 func (e *endpoint) progress(now time.Time, it *item, tokens int) {
-	e.heardAt = now
+	e.lastSign = now
 	steps := tokens - it.measuredTokens
 	e.window += now.Sub(it.measuredAt)
 	e.windowSteps += steps
@@ -197,7 +225,7 @@
 	it.measuredTokens = tokens
 	e.health.succeeded()
 	if tokens > it.predicted {
-		longer := tokens + tokens/4
+		longer := tokens + tokens/longerAnswer
 		e.cacheUsed += longer - it.predicted
 		it.predicted = longer
 	}
@@ -217,14 +245,20 @@
 	return target
 }
 
-// The constants of a move of the limit: how much of the distance to the target
-// one judgement corrects, and the bounds of one step.
+// The constants of a move of the limit, all fractions or factors of it. They were chosen so that
+// a limit can't get stuck (the measurements of the traces before and after stand in BENCHMARKS.md
+// as a whole); single values are not measured.
 const (
-	// fullPart is the part of the limit that must be used for it to grow.
-	fullPart     = 0.8
-	limitGain    = 0.5
+	// fullPart is the fraction of the limit that must be in use for it to grow.
+	fullPart = 0.8
+	// limitGain is the fraction of the distance to the target that one judgement corrects.
+	limitGain = 0.5
+	// leastStep and greatestStep bound one move, down and up. Down is faster: a limit that is
+	// too high is paid for by every request at the engine.
 	leastStep    = 0.7
 	greatestStep = 1.1
+	// slowStartStep is a move up until the engine was first slower than its target.
+	slowStartStep = 1.5
 )
 
 // adapt moves the learned limit after a judgement: down in proportion when the
@@ -242,7 +276,7 @@
 		e.slowStart = false
 		e.limit = float64(len(e.running))
 	case full && e.slowStart:
-		e.limit *= 1.5
+		e.limit *= slowStartStep
 	case full:
 		e.limit *= min(greatestStep, 1+limitGain*(ratio-1))
 	}
--- a/internal/daemon/schedule/endpoints.go
+++ b/internal/daemon/schedule/endpoints.go
@@ -9,7 +9,7 @@
 
 // candidates is how many of the least loaded endpoints are compared for a
 // request. They are the top of the heap, so that the cost does not grow with
-// the shard.
+// the shard: 7 is a heap's first three levels. Other values are not measured.
 const candidates = 7
 
 // endpointSet holds the endpoints of the shard, the least loaded first.
@@ -62,7 +62,7 @@
 	}
 }
 
-// place moves an endpoint to its place by load.
+// place updates an endpoint's position by load.
 func (s *endpointSet) place(e *endpoint) {
 	if !e.usable() {
 		s.byLoad.remove(e)
@@ -85,7 +85,7 @@
 
 // choose returns the endpoint with the least predicted time to the first token,
 // of the least loaded ones and the one that is likely to have the prompt's
-// prefix in its cache. It may use the places of a tier, which is not always the
+// prefix in its cache. It may use the slots of a tier, which is not always the
 // request's own.
 func (s *endpointSet) choose(now time.Time, it *item, tier int, prefixes *prefixTable) *endpoint {
 	r := &it.request
@@ -110,8 +110,8 @@
 	return best
 }
 
-// loadCost weighs a full endpoint against an empty one: the more requests an
-// engine has, the slower are the tokens of all of them.
+// loadCost is what a full endpoint costs more than an empty one, in time to the first token: the
+// more requests an engine has, the slower are the tokens of all of them. Not measured.
 const loadCost = 50 * time.Millisecond
 
 func (s *endpointSet) cost(now time.Time, r *admission.Request, e *endpoint, cached cachedPart) time.Duration {
@@ -141,7 +141,7 @@
 
 func (s *endpointSet) take(now time.Time, it *item, e *endpoint) {
 	if len(e.running) == 0 {
-		e.heardAt = now
+		e.lastSign = now
 	}
 	e.take(now, it)
 	s.place(e)
@@ -174,7 +174,7 @@
 
 // firstTokenWhenIdle is the time to the first token with no prompt ahead.
 func (e *endpoint) firstTokenWhenIdle(r *admission.Request) time.Duration {
-	return e.readTime(r.PromptTokens) + e.between
+	return e.prefillTime(r.PromptTokens) + e.between
 }
 
 // leastAnswer is the time for an answer of so many tokens.
--- a/internal/daemon/schedule/health.go
+++ b/internal/daemon/schedule/health.go
@@ -8,19 +8,24 @@
 	"oxbowslip.dev/oxbowslip/internal/backoff"
 )
 
-// The constants of ejection.
+// The constants of ejection. Ejection as a whole shows no gain in the replays (BENCHMARKS.md, "What
+// each mechanism is worth"): the learned limit already takes load off a slow engine. It stays for
+// engines that stop sending tokens. Single values are not measured.
 const (
-	// slowFactor is how much slower than its peers' median an engine may be.
+	// slowFactor is how many times the median time between tokens of its peers an engine's may be.
 	slowFactor = 2.0
 	// failuresInRow is how many failures in a row eject an endpoint.
 	failuresInRow = 3
-	// maxSlow and maxFailing are the parts of a shard that may be ejected for
+	// maxSlow and maxFailing are the fractions of a shard that may be ejected for
 	// being slow or silent, and for failing. With more bad than that, all are
 	// used: a fault that all share is not the endpoints' own.
 	maxSlow    = 0.3
 	maxFailing = 0.6
-	// silentTime is how long an engine with running requests may say nothing.
-	silentTime   = 3 * time.Second
+	// silentTime is how long an engine with running requests may send no token. It is far above
+	// any time between tokens that a target allows.
+	silentTime = 3 * time.Second
+	// firstEjected is how long the first ejection lasts; each further one without a success in
+	// between lasts twice as long, up to longEjected.
 	firstEjected = 2 * time.Second
 	longEjected  = 30 * time.Second
 )
@@ -33,13 +38,15 @@
 type health struct {
 	ejected bool
 	// probing is set if the endpoint is back with one request at a time.
-	probing  bool
-	until    time.Time
-	period   time.Duration
+	probing bool
+	// until is when an ejection ends, period how long the last one was, zero after a success.
+	until  time.Time
+	period time.Duration
+	// failures counts the failures since the last success or ejection.
 	failures int
 	reason   EjectReason
-	// pausedUntil is when the endpoint may get work again after a failure.
-	pausedUntil time.Time
+	// noWorkUntil is when the endpoint may get work again after a failure.
+	noWorkUntil time.Time
 }
 
 // EjectReason is why an endpoint gets no work for a while.
@@ -57,7 +64,7 @@
 	switch result {
 	case admission.Failed:
 		h.failures++
-		h.pausedUntil = now.Add(failureBackoff.Span(h.failures - 1))
+		h.noWorkUntil = now.Add(failureBackoff.Span(h.failures - 1))
 	case admission.Answered:
 		h.succeeded()
 	}
@@ -66,7 +73,7 @@
 // succeeded reports that the endpoint works: it brought tokens or an answer.
 func (h *health) succeeded() {
 	h.failures = 0
-	h.pausedUntil = time.Time{}
+	h.noWorkUntil = time.Time{}
 	if h.probing {
 		h.probing = false
 		h.period = 0
@@ -88,7 +95,7 @@
 	s.place(e)
 }
 
-// mayEject reports whether one more endpoint may be taken out.
+// mayEject reports whether one more endpoint may be ejected.
 func (s *endpointSet) mayEject(reason EjectReason) bool {
 	part := maxSlow
 	if reason == EjectFailing {
@@ -107,7 +114,7 @@
 func (s *endpointSet) readmit(now time.Time, e *endpoint) {
 	e.health.ejected = false
 	e.health.probing = true
-	e.heardAt = now
+	e.lastSign = now
 	if e.Engine {
 		e.limit = firstLimit
 		e.slowStart = true
@@ -116,7 +123,7 @@
 	s.place(e)
 }
 
-// tick ends ejections and ejects engines that say nothing.
+// tick ends ejections and ejects engines that are silent.
 func (s *endpointSet) tick(now time.Time) {
 	for _, e := range s.order {
 		if e.health.ejected && !now.Before(e.health.until) {
@@ -130,7 +137,7 @@
 
 // silent reports whether an engine owes tokens and has brought none for long.
 func (e *endpoint) silent(now time.Time) bool {
-	if !e.Engine || e.health.ejected || now.Sub(e.heardAt) < silentTime {
+	if !e.Engine || e.health.ejected || now.Sub(e.lastSign) < silentTime {
 		return false
 	}
 	for _, it := range e.running {
@@ -148,7 +155,7 @@
 		return
 	}
 	mean := e.window / time.Duration(e.windowSteps)
-	e.between += (mean - e.between) / 2
+	e.between += (mean - e.between) / betweenSmoothing
 	e.adapt(mean)
 	e.window, e.windowSteps = 0, 0
 	e.judgedAt = now
--- a/internal/daemon/schedule/lengths.go
+++ b/internal/daemon/schedule/lengths.go
@@ -4,10 +4,13 @@
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-// The first guess of an answer's length, and the quantile that is learned. A
-// high quantile keeps an engine's cache memory from running full.
+// The constants of the predicted length of an answer. Prediction as a whole is worth 0.2 points of
+// attainment in the replays (BENCHMARKS.md, "no-lengths"); single values are not measured.
 const (
-	firstLength    = 256
+	// firstLength is the first estimate, in tokens.
+	firstLength = 256
+	// lengthQuantile is the quantile that is learned. A high one keeps an engine's cache
+	// memory from running full.
 	lengthQuantile = 0.8
 	// lengthStep is the relative step of one observation. Some thirty answers
 	// move the estimate by a factor of ten.
--- a/internal/daemon/schedule/pace.go
+++ b/internal/daemon/schedule/pace.go
@@ -2,17 +2,22 @@
 
 import "time"
 
-// Bounds of what a refused caller is told.
+// The constants of the time that a refused caller is asked to wait. Not measured.
 const (
+	// minRetryAfter is the least that the Retry-After header, in whole seconds, can say;
+	// maxRetryAfter bounds what an estimate from a backlog can be trusted for.
 	minRetryAfter = time.Second
 	maxRetryAfter = time.Minute
+	// maxInterval bounds the mean time between two finished requests, so that a lull does not
+	// count for longer than this.
+	maxInterval = 5 * time.Second
+	// paceSmoothing is the number of gaps that the mean averages over.
+	paceSmoothing = 16
 )
 
-// paceTime is the time over which the rate of finished requests is averaged.
-const paceTime = 5 * time.Second
-
 // pace measures how fast the shard finishes requests.
 type pace struct {
+	// interval is the mean time between two finished requests.
 	interval time.Duration
 	last     time.Time
 }
@@ -29,8 +34,8 @@
 		return
 	}
 	// An average over gaps weighs each finish alike, so a lull counts once.
-	p.interval += (gap - p.interval) / 16
-	p.interval = min(p.interval, paceTime)
+	p.interval += (gap - p.interval) / paceSmoothing
+	p.interval = min(p.interval, maxInterval)
 }
 
 // wait estimates how long n requests take to be granted.
--- a/internal/daemon/schedule/preempt.go
+++ b/internal/daemon/schedule/preempt.go
@@ -6,12 +6,20 @@
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-// preemptAge bounds how long a victim may have run: what it has done is thrown
-// away.
-const preemptAge = 500 * time.Millisecond
+// The constants of preemption, which as a whole is worth 0.1 points of attainment in the replays
+// (BENCHMARKS.md, "no-preemption"); single values are not measured.
+const (
+	// preemptAge bounds how long a victim may have run: what it has done is lost.
+	preemptAge = 500 * time.Millisecond
+	// preemptMargin and preemptIntervals are how long before a request becomes late a slot is
+	// preempted for it: the margin, and so many mean times between two finished requests. With
+	// more time left, a slot is likely to become free by itself.
+	preemptMargin    = 250 * time.Millisecond
+	preemptIntervals = 2
+)
 
-// considerPreemption takes back a slot from a lower tier for a request that
-// would be late otherwise. A victim must be repeatable, must not have brought
+// considerPreemption preempts a request of a lower tier for one that would be late
+// otherwise. A victim must be repeatable, must not have brought
 // its first token, and must have cost less than the request is worth.
 func (s *Scheduler) considerPreemption(now time.Time) {
 	it := s.mostUrgent(now)
@@ -36,7 +44,7 @@
 }
 
 // mostUrgent returns the next request of the highest waiting tier if it would be
-// late before a place is likely to become free.
+// late before a slot is likely to become free.
 func (s *Scheduler) mostUrgent(now time.Time) *item {
 	for tier := range Tiers - 1 {
 		it := s.bestOf(now, &s.tiers[tier])
@@ -46,7 +54,7 @@
 		if it.lateAt.IsZero() || it.late(now) {
 			return nil
 		}
-		if it.lateAt.Sub(now) > 2*s.pace.interval+preemptAge/2 {
+		if it.lateAt.Sub(now) > preemptIntervals*s.pace.interval+preemptMargin {
 			return nil
 		}
 		return it
@@ -81,7 +89,7 @@
 		return false
 	}
 	if it.shared {
-		// A flood of the highest tier would take back what the share gave.
+		// A flood of the highest tier would preempt all that the share granted.
 		return false
 	}
 	return !it.started || now.Sub(it.sentAt) < preemptAge
--- a/internal/daemon/schedule/prefix.go
+++ b/internal/daemon/schedule/prefix.go
@@ -5,10 +5,12 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/prefix"
 )
 
-// prefixEntries bounds the prefixes remembered for a shard.
+// prefixEntries bounds the prefixes remembered for a shard, to less than a megabyte of memory. Prefix
+// affinity is worth two points of attainment on long-shared-prefixes and nothing elsewhere
+// (BENCHMARKS.md); the number of entries is not measured.
 const prefixEntries = 1 << 14
 
-// prefixTable remembers which endpoint was last given a prompt with a prefix.
+// prefixTable remembers which endpoint was last sent a prompt with a prefix.
 // It is a guess at the endpoints' caches: a wrong entry costs time, nothing
 // else. Two generations bound it: when the young one is full, it becomes the
 // old one and the old one is forgotten.
@@ -35,7 +37,7 @@
 	tokens int
 }
 
-// longest finds the endpoint that was given the longest known part of a prompt.
+// longest finds the endpoint that was sent the longest known part of a prompt.
 func (t *prefixTable) longest(r *admission.Request) cachedPart {
 	for i := len(r.Prefix) - 1; i >= 0; i-- {
 		if e := t.holder(r.Prefix[i]); e != nil {
@@ -45,7 +47,7 @@
 	return cachedPart{}
 }
 
-// granted notes that an endpoint is given a prompt.
+// granted records that an endpoint gets a prompt.
 func (t *prefixTable) granted(r *admission.Request, e *endpoint) {
 	for _, hash := range r.Prefix {
 		t.put(hash, e)
--- a/internal/daemon/schedule/queue.go
+++ b/internal/daemon/schedule/queue.go
@@ -33,7 +33,7 @@
 	sentAt        time.Time
 	firstToken    bool
 	preempting    bool
-	// shared is set if the class's guaranteed share took the place.
+	// shared is set if the slot came from the class's guaranteed share.
 	shared bool
 	tokens int
 	// The last measurement of progress.
@@ -103,7 +103,7 @@
 	return w
 }
 
-// update puts a workspace in its place among those that are ready.
+// update puts a workspace in its position among those that are ready.
 func (t *tierQueue) update(w *workspaceQueue) {
 	if !w.ready() {
 		t.ready.remove(w)
@@ -172,13 +172,13 @@
 	s.touch(f)
 }
 
-// touch puts a flow in its place after its head or its parking has changed.
+// touch updates a flow's position after its head or its parking has changed.
 func (s *Scheduler) touch(f *flow) {
 	s.tiers[f.key.tier].update(f.workspace)
 	f.account.update(f)
 }
 
-// refresh brings a workspace's place up to date after a change of a flow.
+// refresh brings a workspace's position up to date after a change of a flow.
 func (s *Scheduler) refresh(now time.Time, f *flow) {
 	w := f.workspace
 	w.onTime, w.urgent = false, time.Time{}
@@ -212,13 +212,14 @@
 	return a.urgency().Before(b.urgency())
 }
 
-// patience is how long a request without a target is taken to have time.
-const patience = time.Minute
+// noTargetUrgency is how long after its arrival a request without a target should run. It only
+// orders requests: after all with a target of less than a minute. Not measured.
+const noTargetUrgency = time.Minute
 
 // urgency is the time by which a request should run.
 func (it *item) urgency() time.Time {
 	if it.lateAt.IsZero() {
-		return it.request.Arrived.Add(patience)
+		return it.request.Arrived.Add(noTargetUrgency)
 	}
 	return it.lateAt
 }
--- a/internal/daemon/schedule/room.go
+++ b/internal/daemon/schedule/room.go
@@ -32,9 +32,9 @@
 	return admission.ReasonNoRoom, false
 }
 
-// makeRoom gives up a waiting request for a new one: one of the lowest tier
+// makeRoom refuses a waiting request for a new one: one of the lowest tier
 // below, or, if none waits, one of a workspace of the same tier that has more
-// requests waiting than the new one's. It never gives up a higher tier's.
+// requests waiting than the new one's. It never refuses a higher tier's.
 func (s *Scheduler) makeRoom(now time.Time, r *admission.Request) bool {
 	for tier := Tiers - 1; tier > r.Tier; tier-- {
 		if w := s.tiers[tier].largest(); w != nil {
--- a/internal/daemon/schedule/schedule.go
+++ b/internal/daemon/schedule/schedule.go
@@ -45,12 +45,18 @@
 	ZoneCost time.Duration
 }
 
-// The built-in options.
+// The built-in options. Not measured but where said.
 const (
-	defaultMaxWaiting   = 4096
-	defaultGrantTime    = 2 * time.Second
+	// defaultMaxWaiting is in requests: at 100 requests/s some 40 s, more than a caller waits.
+	defaultMaxWaiting = 4096
+	// defaultGrantTime is ample for a grant to reach its owner and be used: a round trip between
+	// hosts and a connection to the endpoint.
+	defaultGrantTime = 2 * time.Second
+	// defaultPrefillAhead keeps the next choice open: prompts queued at an engine can't be
+	// moved to another, or be overtaken by a higher tier.
 	defaultPrefillAhead = 250 * time.Millisecond
-	defaultZoneCost     = time.Millisecond
+	// defaultZoneCost is about the round trip between two availability zones of a region.
+	defaultZoneCost = time.Millisecond
 )
 
 func (o Options) withDefaults() Options {
@@ -159,14 +165,14 @@
 }
 
 // Adopt adds a request that another scheduler granted and that goes on at an
-// endpoint. It takes a place there even if none is free.
+// endpoint. It gets a slot there even if none is free.
 func (s *Scheduler) Adopt(now time.Time, request admission.Request, endpointID string, tokens int) {
 	if _, ok := s.items[request.ID]; ok {
 		return
 	}
 	e, ok := s.endpoints.byID[endpointID]
 	if !ok {
-		return // Its endpoint is out or unknown here; nothing is to be booked.
+		return // Its endpoint is out or unknown here; there is no load to count.
 	}
 	request.Tier = min(max(request.Tier, 0), Tiers-1)
 	it := s.newItem(request)
@@ -277,14 +283,19 @@
 	s.dispatch(now)
 }
 
-// tickInterval is how often Tick runs at least while anything waits.
-const tickInterval = 100 * time.Millisecond
+// tickInterval is how often Tick runs at least while anything waits, idleTickInterval while nothing
+// does. A tick scans the endpoints, so at 100 ms it is cheap, and a tenth of the shortest ejection
+// or wait that it ends. Not measured.
+const (
+	tickInterval     = 100 * time.Millisecond
+	idleTickInterval = time.Second
+)
 
 // Next returns when Tick is due next. It is never in the past.
 func (s *Scheduler) Next(now time.Time) time.Time {
 	next := now.Add(tickInterval)
 	if s.waiting == 0 {
-		next = now.Add(10 * tickInterval)
+		next = now.Add(idleTickInterval)
 	}
 	if s.expiry.Len() > 0 && s.expiry.elements[0].due.Before(next) {
 		next = s.expiry.elements[0].due
@@ -296,7 +307,7 @@
 	return latest(next, now)
 }
 
-// release ends an open grant and frees its place.
+// release ends an open grant and frees its slot.
 func (s *Scheduler) release(now time.Time, it *item, result admission.Result) {
 	s.expiry.remove(it)
 	s.endpoints.release(now, it, result)
--- a/internal/daemon/schedule/shares.go
+++ b/internal/daemon/schedule/shares.go
@@ -10,13 +10,13 @@
 // over the work granted.
 //
 // A share must never cost a higher tier a refusal. So each grant that a share
-// takes before a higher tier's waiting request leaves one place owed to the
+// gets before a higher tier's waiting request leaves one slot owed to the
 // tiers above. A request of those tiers that was waiting then, and is about to
-// be refused, is granted over the limit in its place (see giveBack).
+// be refused, is granted over the limit instead (see giveBack).
 type shareBook struct {
 	classes map[string]*shareAccount
 	order   []*shareAccount
-	// owed counts the places owed by each tier, and owedAt is when the last of
+	// owed counts the slots owed by each tier, and owedAt is when the last of
 	// them was taken.
 	owed   [Tiers]int
 	owedAt [Tiers]time.Time
@@ -32,7 +32,8 @@
 	flows indexedHeap[*flow]
 }
 
-// maxCredit bounds what a class saves up, in grants of its own size.
+// maxCredit bounds what a class saves up, in grants of its own size: enough for the next one, not
+// for a burst after a lull. Not measured.
 const maxCredit = 2
 
 func (b *shareBook) account(class string) *shareAccount {
@@ -47,7 +48,7 @@
 	return a
 }
 
-// update puts a flow in its place, or takes it out if it has nothing to give.
+// update puts a flow in its position, or removes it if it has no request to grant.
 func (a *shareAccount) update(f *flow) {
 	if f.len() == 0 || f.parked {
 		a.flows.remove(f)
@@ -65,7 +66,8 @@
 	return f.head()
 }
 
-// shareCandidates is how many flows are looked at for a request on time.
+// shareCandidates is how many flows are looked at for a request on time. It bounds the work of a
+// grant; the value is not measured.
 const shareCandidates = 16
 
 // next returns a request that can still meet its target, of the flows with the
@@ -107,7 +109,7 @@
 }
 
 // promptTokensPerAnswerToken is how many prompt tokens cost an engine as much
-// as one token of the answer.
+// as one token of the answer, in the engine model of the replays. Not measured.
 const promptTokensPerAnswerToken = 16
 
 // accountShare charges the work of a grant to its class and saves up for the others.
@@ -134,9 +136,8 @@
 	}
 }
 
-// giveBack grants a request that would be refused for want of capacity in a
-// place that a lower tier's share has taken while it waited. The endpoint gets
-// one more than its limit.
+// giveBack grants a request that would be refused although a lower tier's share got
+// a slot while it waited. The endpoint gets one request more than its limit.
 func (s *Scheduler) giveBack(now time.Time, it *item) bool {
 	for tier := Tiers - 1; tier > it.request.Tier; tier-- {
 		if s.shares.owed[tier] == 0 || it.request.Arrived.After(s.shares.owedAt[tier]) {
