--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -14,7 +14,7 @@
 	Longest time.Duration
 }
 
-// Span returns the span after it was doubled a number of times; 0 gives First.
+// Span returns the span after it was doubled a number of times; Span(0) is First.
 func (d Doubling) Span(doublings int) time.Duration {
 	return min(d.First<<min(doublings, maxDoublings), d.Longest)
 }
--- a/internal/daemon/commit/commit.go
+++ b/internal/daemon/commit/commit.go
@@ -62,8 +62,8 @@
 	return &Committer{client: client, clock: clock}
 }
 
-// Commit stores a change whose ID, base, patch and operator are set, and gives
-// its revision. A change with an ID that was accepted before gives that revision
+// Commit stores a change whose ID, base, patch and operator are set, and returns
+// its revision. A change with an ID that was accepted before returns that revision
 // again. The error is a *Conflict, a *strictjson.Error if the tree would not be
 // valid, ErrAway or ErrUnknown.
 func (a *Committer) Commit(ctx context.Context, c settings.Change) (uint64, error) {
--- a/internal/daemon/dispatch/dispatch.go
+++ b/internal/daemon/dispatch/dispatch.go
@@ -215,7 +215,7 @@
 	delete(d.tickets, id)
 }
 
-// Preempted is closed when the scheduler takes the endpoint back.
+// Preempted is closed when the scheduler preempts the attempt.
 func (t *Ticket) Preempted() <-chan struct{} { return t.preempted }
 
 // Started reports that the grant is used.
@@ -229,7 +229,7 @@
 	t.send(shard.Message{Kind: shard.Progress, Tokens: tokens})
 }
 
-// Finished ends the attempt and gives the place back.
+// Finished ends the attempt and frees its slot.
 func (t *Ticket) Finished(result admission.Result, tokens int) {
 	t.dispatcher.forget(t.request.ID)
 	t.send(shard.Message{Kind: shard.Finished, Result: result, Tokens: tokens})
--- a/internal/daemon/httpclient/httpclient.go
+++ b/internal/daemon/httpclient/httpclient.go
@@ -117,7 +117,7 @@
 	return nil, merry.Wrap(request.ErrNotSent, merry.WithCause(err))
 }
 
-// request returns the call in the form that a transport takes.
+// request returns the call in the form of a transport.
 func (c *Call) request(ctx context.Context, target *url.URL) *http.Request {
 	header := c.Header
 	if header == nil {
--- a/internal/daemon/poller/poller.go
+++ b/internal/daemon/poller/poller.go
@@ -69,7 +69,7 @@
 }
 
 // Peers asks other hosts for their settings while the platform is away. It
-// gives the newest document that is newer than the revision, if any, and whether
+// returns the newest document that is newer than the revision, if any, and whether
 // any peer answered.
 type Peers func(ctx context.Context, newer uint64) (document change.Document, answered bool)
 
--- a/internal/daemon/tableclient/tableclient.go
+++ b/internal/daemon/tableclient/tableclient.go
@@ -131,7 +131,7 @@
 	return list.Rows, err
 }
 
-// Commit does a transaction. With ErrConflict it gives the rows in the way.
+// Commit does a transaction. With ErrConflict it returns the rows in conflict.
 // With ErrUnavailable it is not known whether the transaction took effect.
 func (c *Client) Commit(ctx context.Context, transaction Transaction) ([]Row, error) {
 	body, err := json.Marshal(transaction)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -216,7 +216,7 @@
 }
 
 // Addresses returns where the host listens, after Start, with the ports that were picked for
-// those that its file gives as 0.
+// those that are 0 in its file.
 func (h *Host) Addresses() Addresses {
 	bound := h.bound
 	bound.Peers = h.gossip.Address()
--- a/internal/front/gossip/messages.go
+++ b/internal/front/gossip/messages.go
@@ -130,7 +130,7 @@
 	All     int
 }
 
-// Ejection is an endpoint that the sender gives no new work.
+// Ejection is an endpoint that the sender sends no new work.
 type Ejection struct {
 	_ struct{} `cbor:",toarray"`
 
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay answers the callers of oxbowslip-front: it takes calls by host name and path,
-// gives each the settings of its route, and relays it to an endpoint of the route's service,
+// Package relay answers the callers of oxbowslip-front: it accepts calls by host name and path,
+// looks up the route of each, and relays it to an endpoint of the route's service,
 // plain calls whole and event streams event by event. The callers' interface of oxbowslipd is
 // package daemon/api, which speaks the chat protocol of language models instead.
 //
--- a/internal/httprelay/json.go
+++ b/internal/httprelay/json.go
@@ -9,7 +9,7 @@
 )
 
 // WriteJSON answers with a value as JSON and a newline. Durations are written as text such
-// as "1.5s", and the same value always gives the same bytes.
+// as "1.5s", and the same value always has the same encoding.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
 	data, err := json.Marshal(value, strictjson.DurationTexts, json.Deterministic(true))
 	if err != nil {
--- a/internal/lifetime/leaving.go
+++ b/internal/lifetime/leaving.go
@@ -21,7 +21,7 @@
 
 // Finish lets a server that leaves finish: it takes no new connections, drain waits for
 // what is in flight until ctx ends, and the last answers have the margin to leave. It
-// gives the number of requests that drain had to cut.
+// returns the number of requests that drain had to cut.
 func Finish(ctx context.Context, server *http.Server, drain func(ctx context.Context) int, margin time.Duration) int {
 	shut := make(chan struct{})
 	go func() {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -59,7 +59,7 @@
 	Refusals map[string]uint64 `json:"refusals"`
 	// Hosts is the number of hosts that this one knows, itself included. Directory is the
 	// revision up to which it knows the endpoints, Endpoints the number of those that take new
-	// work, Ejected the IDs of those that this host gives none because they failed.
+	// work, Ejected the IDs of those that get none from this host because they failed.
 	Hosts     int       `json:"hosts,omitzero"`
 	Directory uint64    `json:"directory,omitzero"`
 	Endpoints int       `json:"endpoints,omitzero"`
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -1,4 +1,4 @@
-// Package owner takes one request from its acceptance to its end on the host that accepted
+// Package owner leads one request from its acceptance to its end on the host that accepted
 // it: it asks for an endpoint, makes the attempts, and retries or gives up by the rules of
 // package request.
 //
--- a/internal/proof/demo/invariants.go
+++ b/internal/proof/demo/invariants.go
@@ -132,7 +132,7 @@
 func findOlderSettings(_ *Cluster, r *Report) []string { return r.older }
 
 // watchRevisions samples the revision in force on each host until ctx ends, and
-// gives the cases in which it went down.
+// returns the cases in which it went down.
 func watchRevisions(ctx context.Context, c *Cluster) []string {
 	var older []string
 	seen := make(map[string]uint64)
--- a/internal/proof/emulator/engine.go
+++ b/internal/proof/emulator/engine.go
@@ -30,7 +30,7 @@
 	CacheTokens int
 }
 
-// DefaultConfig is an engine on one accelerator that gives about 370 tokens a
+// DefaultConfig is an engine on one accelerator that generates about 370 tokens a
 // second at 48 ms between tokens with prompts of ordinary length.
 var DefaultConfig = Config{
 	StepTime:       18 * time.Millisecond,
@@ -47,7 +47,7 @@
 	// Priority orders waiting requests; lower runs first.
 	Priority int
 	// PromptTokens is the length of the prompt, AnswerTokens that of the answer
-	// that the model will give.
+	// that the model will generate.
 	PromptTokens int
 	AnswerTokens int
 	// Prefix is the hash of each leading part of the prompt of
@@ -156,7 +156,7 @@
 	return len(e.running)+len(e.waiting) < before
 }
 
-// Crash drops everything and gives the IDs of the requests that were lost, in
+// Crash drops everything and returns the IDs of the requests that were lost, in
 // order of their start.
 func (e *Engine) Crash() []string {
 	var lost []string
@@ -180,7 +180,7 @@
 	return e.stepEnd, e.stepping && !e.stalled
 }
 
-// Step ends the step under way, starts the next, and gives what happened. The
+// Step ends the step under way, starts the next, and returns what happened. The
 // slice is valid until the next call.
 func (e *Engine) Step(now time.Time) []Event {
 	e.events = e.events[:0]
--- a/internal/proof/replay/fault.go
+++ b/internal/proof/replay/fault.go
@@ -7,20 +7,20 @@
 )
 
 // fault makes one fault true.
-func (w *world) fault(now time.Time, event *Event) {
-	e := w.engines[event.Endpoint]
+func (sim *simulation) fault(now time.Time, event *Event) {
+	e := sim.engines[event.Endpoint]
 	switch event.Fault {
 	case FaultCrash:
 		e.crashed = true
 		e.stepDue = time.Time{}
 		for _, id := range e.model.Crash() {
-			w.lose(now, e, w.jobs[id])
+			sim.lose(now, e, sim.jobs[id])
 		}
 	case FaultRecover:
 		e.crashed = false
 		e.model.SetSlow(1)
 		e.model.SetStalled(now, false)
-		w.schedule(e)
+		sim.schedule(e)
 	case FaultSlow:
 		e.model.SetSlow(event.Factor)
 	case FaultStall:
@@ -30,14 +30,14 @@
 		e.out = event.Fault == FaultOut
 		e.outAt = now
 		e.shard.policy.SetEndpoints(now, e.shard.usable())
-		w.settle(now, e.shard)
+		sim.settle(now, e.shard)
 	case FaultFreeze, FaultThaw:
-		w.frozen = event.Fault == FaultFreeze
+		sim.frozen = event.Fault == FaultFreeze
 	}
 }
 
 // lose breaks the connection of a request that an engine lost.
-func (w *world) lose(now time.Time, e *engineWorld, j *job) {
+func (sim *simulation) lose(now time.Time, e *simulatedEngine, j *job) {
 	if j.endpoint != e || j.state != stateSent {
 		return
 	}
@@ -46,17 +46,17 @@
 		return
 	}
 	attempt := j.attempt
-	w.at(now.Add(networkDelay), func(now time.Time) { w.attemptFailed(now, j, attempt, request.EventBroken) })
+	sim.at(now.Add(networkDelay), func(now time.Time) { sim.attemptFailed(now, j, attempt, request.EventBroken) })
 }
 
 // report lets the engines report their load, late by one interval.
-func (w *world) report(time.Time) {
-	for _, e := range w.engineList {
+func (sim *simulation) report(time.Time) {
+	for _, e := range sim.engineList {
 		policy, ok := e.shard.policy.(reported)
-		if ok && !w.frozen {
+		if ok && !sim.frozen {
 			load := e.model.Load()
-			w.after(reportInterval, func(time.Time) { policy.Report(e.id, load) })
+			sim.after(reportInterval, func(time.Time) { policy.Report(e.id, load) })
 		}
 	}
-	w.after(reportInterval, w.report)
+	sim.after(reportInterval, sim.report)
 }
--- a/internal/proof/replay/generate.go
+++ b/internal/proof/replay/generate.go
@@ -63,7 +63,7 @@
 	return d, err
 }
 
-// Generate makes a trace. The same description gives the same trace.
+// Generate makes a trace. The same description always makes the same trace.
 func Generate(d *Description) (*Trace, error) {
 	t := &Trace{Header: Header{
 		Format: Format, Name: d.Name, Seed: d.Seed, Settings: d.Settings, Engines: DefaultEngines,
--- a/internal/proof/replay/invariant.go
+++ b/internal/proof/replay/invariant.go
@@ -27,68 +27,68 @@
 	NothingLeaks, EveryRequestEnds,
 }
 
-func (w *world) violate(invariant, detail string) {
-	w.violations = append(w.violations, Violation{Invariant: invariant, At: w.now.Sub(epoch), Detail: detail})
+func (sim *simulation) violate(invariant, detail string) {
+	sim.violations = append(sim.violations, Violation{Invariant: invariant, At: sim.now.Sub(epoch), Detail: detail})
 }
 
 // checkDecision checks a decision against the replay's own books.
-func (w *world) checkDecision(now time.Time, s *shardWorld, j *job, d *admission.Decision) {
+func (sim *simulation) checkDecision(now time.Time, s *simulatedShard, j *job, d *admission.Decision) {
 	switch d.Kind {
 	case admission.Grant:
-		e := w.engines[d.Endpoint]
+		e := sim.engines[d.Endpoint]
 		if e.out {
-			w.violate(LeavingGetsNothing, fmt.Sprintf("%s was granted %s, out since %s", j.id, e.id, now.Sub(e.outAt)))
+			sim.violate(LeavingGetsNothing, fmt.Sprintf("%s was granted %s, out since %s", j.id, e.id, now.Sub(e.outAt)))
 		}
 		if j.executions > 0 && !j.policy.Repeatable {
-			w.violate(AtMostOnce, j.id+" was granted again")
+			sim.violate(AtMostOnce, j.id+" was granted again")
 		}
 	case admission.Refuse:
-		w.checkShed(s, j, d)
+		sim.checkShed(s, j, d)
 	case admission.Preempt:
-		w.checkPreempt(s, j)
+		sim.checkPreempt(s, j)
 	}
 }
 
 // checkRefusal compares what a caller is told with what the engines did.
-func (w *world) checkRefusal(j *job) {
-	if j.life.Ran() == request.RanNo && j.executions > 0 {
-		w.violate(NotRunIsTrue, j.id+" was refused as not run, and ran")
+func (sim *simulation) checkRefusal(j *job) {
+	if j.lifecycle.Ran() == request.RanNo && j.executions > 0 {
+		sim.violate(NotRunIsTrue, j.id+" was refused as not run, and ran")
 	}
 }
 
 // checkShed finds requests of lower tiers that wait while a higher one is
 // refused for want of room. One that was granted before and comes back is left
 // out: it may be in its owner's pause, where the scheduler does not hold it.
-func (w *world) checkShed(s *shardWorld, j *job, d *admission.Decision) {
+func (sim *simulation) checkShed(s *simulatedShard, j *job, d *admission.Decision) {
 	if d.Reason != admission.ReasonNoRoom {
 		return
 	}
-	for _, other := range w.order {
+	for _, other := range sim.order {
 		if other.shard == s && other.state == stateWaiting && !other.request.Retry && other != j && other.policy.Tier > j.policy.Tier {
-			w.violate(NoLowerBeforeShed, fmt.Sprintf("%s of tier %d was refused for room while %s of tier %d waited",
+			sim.violate(NoLowerBeforeShed, fmt.Sprintf("%s of tier %d was refused for room while %s of tier %d waited",
 				j.id, j.policy.Tier, other.id, other.policy.Tier))
 			return
 		}
 	}
 }
 
-func (w *world) checkPreempt(s *shardWorld, j *job) {
+func (sim *simulation) checkPreempt(s *simulatedShard, j *job) {
 	if !j.policy.Repeatable {
-		w.violate(PreemptDownwards, j.id+" may not be repeated and was preempted")
+		sim.violate(PreemptDownwards, j.id+" may not be repeated and was preempted")
 	}
-	for _, other := range w.order {
+	for _, other := range sim.order {
 		if other.shard == s && other.state == stateWaiting && other.policy.Tier < j.policy.Tier {
 			return
 		}
 	}
-	w.violate(PreemptDownwards, fmt.Sprintf("%s of tier %d was preempted for nobody above", j.id, j.policy.Tier))
+	sim.violate(PreemptDownwards, fmt.Sprintf("%s of tier %d was preempted for nobody above", j.id, j.policy.Tier))
 }
 
 // checkEnd checks what must hold when all is over.
-func (w *world) checkEnd() {
+func (sim *simulation) checkEnd() {
 	served := make(map[string]int)
 	sent := make(map[string]int)
-	for _, j := range w.order {
+	for _, j := range sim.order {
 		if j.event.Outside {
 			continue
 		}
@@ -97,23 +97,23 @@
 		case stateAnswered:
 			served[j.event.Class]++
 			if j.tokens < j.event.Answer {
-				w.violate(WholeAnswers, fmt.Sprintf("%s ended with %d of %d tokens", j.id, j.tokens, j.event.Answer))
+				sim.violate(WholeAnswers, fmt.Sprintf("%s ended with %d of %d tokens", j.id, j.tokens, j.event.Answer))
 			}
 		case stateWaiting, stateSent:
-			w.violate(EveryRequestEnds, j.id+" of "+j.event.Class+" never ended")
+			sim.violate(EveryRequestEnds, j.id+" of "+j.event.Class+" never ended")
 		}
 		if j.executions > 1 && !j.policy.Repeatable {
-			w.violate(AtMostOnce, fmt.Sprintf("%s ran %d times", j.id, j.executions))
+			sim.violate(AtMostOnce, fmt.Sprintf("%s ran %d times", j.id, j.executions))
 		}
 	}
 	for class, n := range sent {
 		if n > 0 && served[class] == 0 {
-			w.violate(EveryClassServed, fmt.Sprintf("%s: none of %d was answered", class, n))
+			sim.violate(EveryClassServed, fmt.Sprintf("%s: none of %d was answered", class, n))
 		}
 	}
-	for _, s := range w.shardList() {
+	for _, s := range sim.shardList() {
 		if s.policy.Waiting() != 0 || s.policy.Running() != 0 {
-			w.violate(NothingLeaks, fmt.Sprintf("%s: %d waiting and %d running at the end", s.model, s.policy.Waiting(), s.policy.Running()))
+			sim.violate(NothingLeaks, fmt.Sprintf("%s: %d waiting and %d running at the end", s.model, s.policy.Waiting(), s.policy.Running()))
 		}
 	}
 }
--- a/internal/proof/replay/outcomes.go
+++ b/internal/proof/replay/outcomes.go
@@ -9,13 +9,13 @@
 )
 
 // checkOutcomes compares a result with what its trace states.
-func (w *world) checkOutcomes(r *Result) {
-	for i := range w.trace.Header.Outcomes {
-		o := &w.trace.Header.Outcomes[i]
+func (sim *simulation) checkOutcomes(r *Result) {
+	for i := range sim.trace.Header.Outcomes {
+		o := &sim.trace.Header.Outcomes[i]
 		name := o.name()
 		weight, attained, answered, sent := 0.0, 0.0, 0, 0
 		longest := time.Duration(0)
-		for _, j := range w.order {
+		for _, j := range sim.order {
 			if !o.picks(j) {
 				continue
 			}
--- a/internal/proof/replay/report.go
+++ b/internal/proof/replay/report.go
@@ -68,17 +68,17 @@
 // Run replays a trace under a policy. Outcomes are checked for the daemons' own
 // policy only.
 func Run(trace *Trace, policy string) (*Result, error) {
-	w, err := newWorld(trace, policy)
+	s, err := newSimulation(trace, policy)
 	if err != nil {
 		return nil, err
 	}
-	w.run()
+	s.run()
 	if !isBaseline(policy) {
-		w.checkEnd()
+		s.checkEnd()
 	}
-	r := w.result()
+	r := s.result()
 	if policy == Current {
-		w.checkOutcomes(r)
+		s.checkOutcomes(r)
 	}
 	return r, nil
 }
@@ -88,17 +88,17 @@
 }
 
 // result adds up what became of the requests.
-func (w *world) result() *Result {
-	r := &Result{Trace: w.trace.Header.Name, Policy: w.policyName, Violations: w.violations}
-	wasted := w.addClasses(r)
-	for _, e := range w.engineList {
+func (sim *simulation) result() *Result {
+	r := &Result{Trace: sim.trace.Header.Name, Policy: sim.policyName, Violations: sim.violations}
+	wasted := sim.addClasses(r)
+	for _, e := range sim.engineList {
 		r.Generated += e.model.Generated
 	}
 	r.Wasted = float64(wasted) / math.Max(float64(r.Generated), 1)
-	r.Capacity = w.capacity()
-	r.Goodput = w.goodput() / r.Capacity
-	r.Busy = w.generated / r.Capacity
-	for _, s := range w.shardList() {
+	r.Capacity = sim.capacity()
+	r.Goodput = sim.goodput() / r.Capacity
+	r.Busy = sim.generated / r.Capacity
+	for _, s := range sim.shardList() {
 		if scheduler, ok := s.policy.(*schedule.Scheduler); ok {
 			r.Steps += scheduler.Steps
 		}
@@ -108,11 +108,11 @@
 
 // addClasses fills in the classes and the attainment over all of them, and returns the wasted
 // tokens.
-func (w *world) addClasses(r *Result) (wasted int) {
+func (sim *simulation) addClasses(r *Result) (wasted int) {
 	index := make(map[string]int)
 	firstTokens := make(map[string][]time.Duration)
 	weight, attained := 0.0, 0.0
-	for _, j := range w.order {
+	for _, j := range sim.order {
 		if j.event.Outside {
 			continue
 		}
@@ -171,7 +171,7 @@
 		r.GoodTokens += j.tokens
 	}
 	r.Wasted += j.wasted
-	r.WastedRead += j.wastedRead
+	r.WastedRead += j.wastedPrefill
 	if !j.granted.IsZero() {
 		r.LongestWait = max(r.LongestWait, j.granted.Sub(j.arrived))
 	}
@@ -201,20 +201,20 @@
 }
 
 // window is the part of the run that goodput is measured in.
-func (w *world) window() (from, to time.Time) {
-	m := w.trace.Header.Measure
+func (sim *simulation) window() (from, to time.Time) {
+	m := sim.trace.Header.Measure
 	if m.ToSecond == 0 {
-		return epoch, w.lastEvent
+		return epoch, sim.lastEvent
 	}
 	return epoch.Add(time.Duration(m.FromSecond) * time.Second), epoch.Add(time.Duration(m.ToSecond) * time.Second)
 }
 
 // goodput is the tokens a second, in the window, of requests that met their
 // target. A request's tokens are spread evenly from its first to its last.
-func (w *world) goodput() float64 {
-	from, to := w.window()
+func (sim *simulation) goodput() float64 {
+	from, to := sim.window()
 	tokens := 0.0
-	for _, j := range w.order {
+	for _, j := range sim.order {
 		if j.event.Outside || !j.attained() {
 			continue
 		}
@@ -225,25 +225,25 @@
 	return tokens / math.Max(to.Sub(from).Seconds(), 1)
 }
 
-// capacity is what the engine model gives in tokens a second with the trace's
+// capacity is what the engine model generates in tokens a second with the trace's
 // mean prompt and answer at the strictest target between tokens: the batch b
 // for which step + b*perRequest + b*(prompt/answer)*perPromptToken = target.
-func (w *world) capacity() float64 {
+func (sim *simulation) capacity() float64 {
 	prompt, answer := 0.0, 0.0
 	target := 0.048
-	for i := range w.trace.Events {
-		event := &w.trace.Events[i]
+	for i := range sim.trace.Events {
+		event := &sim.trace.Events[i]
 		if event.Fault != "" {
 			continue
 		}
 		prompt += float64(event.Prompt - event.DocumentTokens)
 		answer += float64(event.Answer)
 	}
-	m := &w.trace.Header.Engines
+	m := &sim.trace.Header.Engines
 	const micro = 1e-6
 	perRequest := micro * (float64(m.PerRequestMicros) + prompt/math.Max(answer, 1)*float64(m.PerPromptTokenMicros))
 	batch := math.Min((target-micro*float64(m.StepMicros))/perRequest, float64(m.MaxRunning))
-	return batch / target * float64(len(w.engineList))
+	return batch / target * float64(len(sim.engineList))
 }
 
 func quantile(values []time.Duration, q float64) time.Duration {
--- a/internal/proof/replay/world.go
+++ b/internal/proof/replay/simulation.go
@@ -14,20 +14,21 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// The constants of the world.
+// The constants of a simulation.
 const (
-	// networkDelay is the way from an owner to an engine.
+	// networkDelay is the delay of a message from an owner to an engine.
 	networkDelay = time.Millisecond
-	// reportInterval and reportLag are the engines' load reports.
+	// reportInterval is how often engines report their load, for the policies that use it.
 	reportInterval = time.Second
-	// dialRefused is how long an owner takes to find that an engine is gone.
+	// dialRefused is how long it takes an owner to find that an engine is gone.
 	dialRefused = 2 * time.Millisecond
-	// stalledAfter is when an owner gives up an engine that sends nothing.
+	// stalledAfter is when an owner gives up on an engine that sends nothing.
 	stalledAfter = 20 * time.Second
 	// drainTime bounds the time after the last arrival.
 	drainTime = 10 * time.Minute
-	// retryPause is the mean pause of an owner before a retry.
-	retryPause = 20 * time.Millisecond
+	// retryBackoff is the mean wait of an owner before a retry.
+	retryBackoff = 20 * time.Millisecond
+	// progressBy is how many tokens an owner lets pass between two reports of progress.
 	progressBy = 16
 )
 
@@ -52,46 +53,52 @@
 	event   *Event
 	policy  settings.Policy
 	request admission.Request
-	shard   *shardWorld
+	shard   *simulatedShard
 	state   state
 	reason  admission.Reason
 
-	endpoint   *engineWorld
+	endpoint   *simulatedEngine
 	arrived    time.Time
 	granted    time.Time
 	firstToken time.Time
 	ended      time.Time
 	lastToken  time.Time
+	// tokens is the length of the answer so far, base what of it came from earlier attempts,
+	// reported what of it the policy knows.
 	tokens     int
 	base       int
 	reported   int
-	life       *request.Lifecycle
+	lifecycle  *request.Lifecycle
 	executions int
-	wasted     int
-	wastedRead int
-	returns    int
-	attempt    int
+	// wasted and wastedPrefill are the answer and prompt tokens that were processed in vain.
+	wasted        int
+	wastedPrefill int
+	// returns counts how often the caller has come back, attempt the attempts of this request.
+	returns int
+	attempt int
 }
 
-// shardWorld is one model's policy and engines.
-type shardWorld struct {
+// simulatedShard is one model's policy and engines.
+type simulatedShard struct {
 	model   string
 	policy  Policy
-	engines []*engineWorld
+	engines []*simulatedEngine
 	due     time.Time
 }
 
-// engineWorld is one engine of a replay.
-type engineWorld struct {
-	id      string
-	shard   *shardWorld
-	model   *emulator.Engine
-	config  schedule.Endpoint
+// simulatedEngine is one engine of a replay.
+type simulatedEngine struct {
+	id     string
+	shard  *simulatedShard
+	model  *emulator.Engine
+	config schedule.Endpoint
+	// out is set while an operator has taken the engine out of use, since outAt.
 	out     bool
 	outAt   time.Time
 	crashed bool
 	stepDue time.Time
-	lost    int
+	// lost counts the requests that crashes have cost.
+	lost int
 }
 
 // timer is something that happens at a time.
@@ -123,16 +130,16 @@
 	return t
 }
 
-// world is one run of a trace.
-type world struct {
+// simulation is one run of a trace.
+type simulation struct {
 	trace      *Trace
 	policyName string
 	timers     timerHeap
 	sequence   int
 	now        time.Time
-	shards     map[string]*shardWorld
-	engines    map[string]*engineWorld
-	engineList []*engineWorld
+	shards     map[string]*simulatedShard
+	engines    map[string]*simulatedEngine
+	engineList []*simulatedEngine
 	jobs       map[string]*job
 	order      []*job
 	random     *rand.Rand
@@ -150,10 +157,10 @@
 	Detail    string        `json:"detail"`
 }
 
-func newWorld(trace *Trace, policyName string) (*world, error) {
-	w := &world{
-		trace: trace, policyName: policyName, now: epoch, shards: make(map[string]*shardWorld),
-		engines: make(map[string]*engineWorld), jobs: make(map[string]*job),
+func newSimulation(trace *Trace, policyName string) (*simulation, error) {
+	sim := &simulation{
+		trace: trace, policyName: policyName, now: epoch, shards: make(map[string]*simulatedShard),
+		engines: make(map[string]*simulatedEngine), jobs: make(map[string]*job),
 		random: rand.New(rand.NewPCG(trace.Header.Seed, 2)),
 	}
 	tree := &trace.Header.Settings
@@ -162,53 +169,53 @@
 		if e.Model == "" {
 			continue
 		}
-		s, err := w.shardOf(e.Model)
+		s, err := sim.shardOf(e.Model)
 		if err != nil {
 			return nil, err
 		}
-		engine := &engineWorld{
+		engine := &simulatedEngine{
 			id: name, shard: s, model: emulator.New(trace.Header.Engines.config()),
 			config: schedule.Endpoint{ID: name, Zone: e.Zone, MaxInFlight: e.MaxInFlight, CacheTokens: e.CacheTokens, Engine: true},
 		}
 		s.engines = append(s.engines, engine)
-		w.engines[name] = engine
-		w.engineList = append(w.engineList, engine)
+		sim.engines[name] = engine
+		sim.engineList = append(sim.engineList, engine)
 	}
 	for i := range trace.Events {
 		event := &trace.Events[i]
 		at := epoch.Add(time.Duration(event.AtMillis) * time.Millisecond)
-		w.at(at, func(now time.Time) { w.happen(now, event, i) })
-		w.lastEvent = at
+		sim.at(at, func(now time.Time) { sim.happen(now, event, i) })
+		sim.lastEvent = at
 	}
-	for _, s := range w.shardList() {
-		s.policy.SetEndpoints(w.now, s.usable())
+	for _, s := range sim.shardList() {
+		s.policy.SetEndpoints(sim.now, s.usable())
 	}
-	w.at(epoch.Add(reportInterval), w.report)
-	return w, nil
+	sim.at(epoch.Add(reportInterval), sim.report)
+	return sim, nil
 }
 
-func (w *world) shardOf(model string) (*shardWorld, error) {
-	if s, ok := w.shards[model]; ok {
+func (sim *simulation) shardOf(model string) (*simulatedShard, error) {
+	if s, ok := sim.shards[model]; ok {
 		return s, nil
 	}
-	policy, err := NewPolicy(w.policyName, w.trace.Header.Seed)
+	policy, err := NewPolicy(sim.policyName, sim.trace.Header.Seed)
 	if err != nil {
 		return nil, err
 	}
 	if scheduler, ok := policy.(*schedule.Scheduler); ok {
-		scheduler.SetMaxWaiting(w.trace.Header.Settings.Models[model].MaxWaiting)
+		scheduler.SetMaxWaiting(sim.trace.Header.Settings.Models[model].MaxWaiting)
 	}
-	s := &shardWorld{model: model, policy: policy}
-	w.shards[model] = s
+	s := &simulatedShard{model: model, policy: policy}
+	sim.shards[model] = s
 	return s, nil
 }
 
-func (w *world) shardList() []*shardWorld {
-	var list []*shardWorld
-	for _, s := range w.shards {
+func (sim *simulation) shardList() []*simulatedShard {
+	var list []*simulatedShard
+	for _, s := range sim.shards {
 		list = append(list, s)
 	}
-	slices.SortFunc(list, func(a, b *shardWorld) int {
+	slices.SortFunc(list, func(a, b *simulatedShard) int {
 		if a.model < b.model {
 			return -1
 		}
@@ -219,7 +226,7 @@
 
 // usable lists the endpoints that settings have in. A crashed engine is still
 // in: nobody has said that it is gone.
-func (s *shardWorld) usable() []schedule.Endpoint {
+func (s *simulatedShard) usable() []schedule.Endpoint {
 	var list []schedule.Endpoint
 	for _, e := range s.engines {
 		if !e.out {
@@ -229,28 +236,28 @@
 	return list
 }
 
-func (w *world) at(at time.Time, run func(now time.Time)) {
-	w.sequence++
-	heap.Push(&w.timers, &timer{at: at, sequence: w.sequence, run: run})
+func (sim *simulation) at(at time.Time, run func(now time.Time)) {
+	sim.sequence++
+	heap.Push(&sim.timers, &timer{at: at, sequence: sim.sequence, run: run})
 }
 
-func (w *world) after(d time.Duration, run func(now time.Time)) { w.at(w.now.Add(d), run) }
+func (sim *simulation) after(d time.Duration, run func(now time.Time)) { sim.at(sim.now.Add(d), run) }
 
 // run goes through all events until every request has ended.
-func (w *world) run() {
-	end := w.lastEvent.Add(drainTime)
-	for len(w.timers) > 0 {
-		t := heap.Pop(&w.timers).(*timer)
-		if t.at.After(end) || (t.at.After(w.lastEvent) && w.idle()) {
+func (sim *simulation) run() {
+	end := sim.lastEvent.Add(drainTime)
+	for len(sim.timers) > 0 {
+		t := heap.Pop(&sim.timers).(*timer)
+		if t.at.After(end) || (t.at.After(sim.lastEvent) && sim.idle()) {
 			return
 		}
-		w.now = t.at
-		t.run(w.now)
+		sim.now = t.at
+		t.run(sim.now)
 	}
 }
 
-func (w *world) idle() bool {
-	for _, j := range w.order {
+func (sim *simulation) idle() bool {
+	for _, j := range sim.order {
 		if j.state == stateWaiting || j.state == stateSent {
 			return false
 		}
@@ -258,10 +265,10 @@
 	return true
 }
 
-func (w *world) happen(now time.Time, event *Event, number int) {
+func (sim *simulation) happen(now time.Time, event *Event, number int) {
 	if event.Fault != "" {
-		w.fault(now, event)
+		sim.fault(now, event)
 		return
 	}
-	w.arrive(now, event, fmt.Sprintf("r%d", number), 0)
+	sim.arrive(now, event, fmt.Sprintf("r%d", number), 0)
 }
--- a/internal/proof/standin/answer.go
+++ b/internal/proof/standin/answer.go
@@ -11,7 +11,7 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// answerText is the answer that a stand-in gives to a prompt: words that carry
+// answerText is the answer of a stand-in to a prompt: words that carry
 // a tag made from the prompt and their place, so that a missing, doubled or
 // foreign word shows.
 type answerText struct {
--- a/internal/proof/standin/platform.go
+++ b/internal/proof/standin/platform.go
@@ -209,7 +209,7 @@
 	httprelay.WriteJSON(w, status, tableclient.Conflict{Rows: rows})
 }
 
-// apply does a transaction if all its conditions hold; else it gives the rows
+// apply does a transaction if all its conditions hold; else it returns the rows
 // in the way.
 func (p *Platform) apply(t tableclient.Transaction) ([]tableclient.Row, bool) {
 	rows := []tableclient.Row{}
--- a/internal/proof/standin/service.go
+++ b/internal/proof/standin/service.go
@@ -79,7 +79,7 @@
 	return counts
 }
 
-// begin counts an execution and gives the faults to show.
+// begin counts an execution and returns the faults to show.
 func (s *Service) begin(id string) ServiceFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/request/lifecycle_test.go
+++ b/internal/request/lifecycle_test.go
@@ -191,9 +191,9 @@
 	}
 }
 
-// world is an endpoint's view of one request: what it really did. The property
+// endpointState is an endpoint's view of one request: what it really did. The property
 // test compares it with what the lifecycle reported to the caller.
-type world struct {
+type endpointState struct {
 	executions int
 	maybeRan   bool
 	// sent reports that the attempt under way has reached its endpoint.
@@ -211,7 +211,7 @@
 			MaxResumes: rapid.IntRange(0, 2).Draw(t, "resumes"),
 		}
 		life := NewLifecycle(rules)
-		var w world
+		var w endpointState
 		action := ActAsk
 		for range 60 {
 			if action == ActFinish {
@@ -234,7 +234,7 @@
 }
 
 // possible lists the events that can come while an action is under way.
-func (w *world) possible(action Action) []Event {
+func (w *endpointState) possible(action Action) []Event {
 	switch {
 	case action == ActAsk:
 		return []Event{EventCallerGone, EventGranted, EventGranted, EventGranted}
@@ -250,7 +250,7 @@
 
 // apply makes an event true. A broken attempt may or may not have run; the
 // worst is taken, that it did.
-func (w *world) apply(event Event) {
+func (w *endpointState) apply(event Event) {
 	switch event {
 	case EventGranted:
 		w.sent = false
@@ -265,7 +265,7 @@
 	w.maybeRan = w.executions > 0
 }
 
-func checkPromises(t *rapid.T, rules Rules, life *Lifecycle, w *world) {
+func checkPromises(t *rapid.T, rules Rules, life *Lifecycle, w *endpointState) {
 	if !rules.Repeatable && w.executions > 1 {
 		t.Fatalf("a request that may not be repeated ran %d times", w.executions)
 	}
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -29,7 +29,7 @@
 }
 
 // Encode writes a tree in the form that Decode reads. The same tree always
-// gives the same bytes.
+// has the same encoding.
 func Encode(tree *Tree) ([]byte, error) {
 	return strictjson.Encode(tree)
 }
