--- a/internal/daemon/api/service.go
+++ b/internal/daemon/api/service.go
@@ -191,6 +191,7 @@
 	control := http.NewResponseController(x.w)
 	buffer := make([]byte, heldBytes)
 	for part, readErr := head, error(nil); ; {
+		// The writers of tests have no deadlines; those of net/http do.
 		_ = control.SetWriteDeadline(time.Now().Add(x.server.parts.Timeouts.Write))
 		if _, err := x.w.Write(part); err != nil {
 			return callerLost(err)
--- a/internal/daemon/api/stream.go
+++ b/internal/daemon/api/stream.go
@@ -141,6 +141,7 @@
 		r.w.WriteHeader(http.StatusOK)
 		r.started = true
 	}
+	// The writers of tests have no deadlines; those of net/http do.
 	_ = r.control.SetWriteDeadline(time.Now().Add(r.server.parts.Timeouts.Write))
 	r.scratch = append(r.scratch[:0], "data: "...)
 	r.scratch = append(r.scratch, data...)
@@ -155,6 +156,7 @@
 // a transfer that ends without its proper end.
 func (r *streamRelay) breakOff(refusal *request.Refusal) {
 	if data, err := json.Marshal(newErrorBody(r.caller.id, refusal, nil)); err == nil {
+		// A failed write means that the caller is gone; its connection is cut below.
 		_ = r.write(string(data))
 	}
 	panic(http.ErrAbortHandler)
--- a/internal/daemon/fleet/fleet.go
+++ b/internal/daemon/fleet/fleet.go
@@ -8,6 +8,7 @@
 
 import (
 	"context"
+	"maps"
 	"net"
 	"sync"
 	"time"
@@ -241,11 +242,7 @@
 func (f *Fleet) Schedulers() map[string]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	schedulers := make(map[string]string, len(f.schedulers))
-	for name, host := range f.schedulers {
-		schedulers[name] = host
-	}
-	return schedulers
+	return maps.Clone(f.schedulers)
 }
 
 // Scheduler returns the host that a shard's requests go to.
--- a/internal/httprelay/body.go
+++ b/internal/httprelay/body.go
@@ -35,6 +35,7 @@
 	}
 	whole = int64(len(head)) < most
 	if whole {
+		// As above.
 		_ = control.SetReadDeadline(time.Time{})
 	}
 	return head, whole, nil
--- a/internal/logging/ring.go
+++ b/internal/logging/ring.go
@@ -80,6 +80,7 @@
 		// A log that can't be written has nowhere to say so.
 		_, _ = fmt.Fprintf(w, `{"level":"warning","msg":"log: lines left out","count":%d}`+"\n", n)
 	}
+	// As above.
 	_, _ = w.Write(line)
 }
 
--- a/internal/proof/replay/report.go
+++ b/internal/proof/replay/report.go
@@ -278,6 +278,7 @@
 		fmt.Fprintf(table, "%s\t%s\t%.2f%%\t%.1f%%\t%.1f%%\t%.2f%%\t%d\t%d\n", r.Trace, r.Policy, 100*r.Attainment, 100*r.Goodput, 100*r.Busy, 100*r.Wasted,
 			len(r.Violations), len(r.Missed))
 	}
+	// As above.
 	_ = table.Flush()
 	for _, r := range results {
 		for _, missed := range r.Missed {
--- a/internal/proof/standin/engine.go
+++ b/internal/proof/standin/engine.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"net"
 	"net/http"
 	"sync"
@@ -152,11 +153,7 @@
 func (e *Engine) Executions() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	counts := make(map[string]int, len(e.executions))
-	for id, n := range e.executions {
-		counts[id] = n
-	}
-	return counts
+	return maps.Clone(e.executions)
 }
 
 // LastBegun returns when the engine last began a request.
--- a/internal/proof/standin/service.go
+++ b/internal/proof/standin/service.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"io"
+	"maps"
 	"net"
 	"net/http"
 	"strconv"
@@ -72,11 +73,7 @@
 func (s *Service) Executions() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	counts := make(map[string]int, len(s.executions))
-	for id, n := range s.executions {
-		counts[id] = n
-	}
-	return counts
+	return maps.Clone(s.executions)
 }
 
 // begin counts an execution and returns the faults to show.
