--- a/internal/daemon/dispatch/dispatch.go
+++ b/internal/daemon/dispatch/dispatch.go
@@ -198,7 +198,7 @@
 	return picked
 }
 
-// announcement is what a scheduler that does not know the request must hear. The
+// announcement is the message to a scheduler that does not know the request. The
 // dispatcher's lock is held.
 func (t *Ticket) announcement() *shard.Message {
 	if t.endpoint == "" {
--- a/internal/daemon/poller/poller.go
+++ b/internal/daemon/poller/poller.go
@@ -73,7 +73,7 @@
 // any peer answered.
 type Peers func(ctx context.Context, newer uint64) (document change.Document, answered bool)
 
-// grace is how long a host that hears neither the platform nor a peer trusts its
+// grace is how long a host that reaches neither the platform nor a peer trusts its
 // settings.
 const grace = 30 * time.Second
 
@@ -126,7 +126,7 @@
 	lifetime.Every(done, f.parts.Interval, f.parts.Random, f.Poll)
 }
 
-// nudgeSpread is the time over which hosts that hear of a newer revision at once
+// nudgeSpread is the time over which hosts that learn of a newer revision at once
 // spread their reads.
 const nudgeSpread = 200 * time.Millisecond
 
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -75,7 +75,7 @@
 	// stopMargin is the time after the drain's limit for honest answers to what was cut. Not
 	// measured.
 	stopMargin = 300 * time.Millisecond
-	// maxIsolation is how long a host that hears neither the store nor a peer trusts its
+	// maxIsolation is how long a host that reaches neither the store nor a peer trusts its
 	// settings. Not measured; a cut host gets no callers anyway, and one that only lost the
 	// store goes on with what peers send.
 	maxIsolation = 30 * time.Second
@@ -103,7 +103,7 @@
 	bound     Addresses
 	clock     func() time.Time
 	leaving   atomic.Bool
-	// lastContact is when the host last heard the store or a peer, in ns since 1970.
+	// lastContact is when the host last received something from the store or a peer, in ns since 1970.
 	lastContact atomic.Int64
 	done        chan struct{}
 }
--- a/internal/front/gossip/gossip.go
+++ b/internal/front/gossip/gossip.go
@@ -37,7 +37,7 @@
 	Streams    []StreamCount
 }
 
-// Host is what gossip speaks for. Its methods may be called at once and must not block.
+// Host is the host that gossip exchanges messages for. Its methods may be called concurrently and must not block.
 type Host interface {
 	// State returns what the next heartbeat carries.
 	State() State
--- a/internal/front/peersync/settings.go
+++ b/internal/front/peersync/settings.go
@@ -69,7 +69,7 @@
 }
 
 // forwards reports whether this host sends a change on at once. What the store brought it
-// does. What a peer sent it does only if it reads the store itself: readers sometimes hear of
+// does. What a peer sent it does only if it reads the store itself: readers sometimes learn of
 // a change from each other first, and the heartbeat of the other may have been lost; if all
 // hosts sent it on, the bytes would grow with the square of the fleet.
 func (s *Settings) forwards(from string) bool {
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -4,7 +4,7 @@
 // package daemon/api, which speaks the chat protocol of language models instead.
 //
 // It owns one exchange for each open request. Package owner takes the request through its
-// attempts, package upstream sends it, and Health hears what the attempts show of endpoints.
+// attempts, package upstream sends it, and Health is notified of what the attempts show of endpoints.
 // How a deployment spells in headers what callers, hosts and endpoints say is up to a Dialect.
 package relay
 
@@ -23,7 +23,7 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// Health hears what requests show of endpoints. Its methods must not block.
+// Health is notified of what requests show of endpoints. Its methods must not block.
 type Health interface {
 	// Failed is called when an endpoint could not be reached, or was reached and broke the call
 	// or stayed silent.
--- a/internal/owner/attempt.go
+++ b/internal/owner/attempt.go
@@ -57,7 +57,7 @@
 
 // Sent is called once a connection is there: from now on bytes may reach the endpoint.
 func (a *Attempt) Sent() {
-	a.run.life.Apply(request.EventSent, request.Facts{})
+	a.run.lifecycle.Apply(request.EventSent, request.Facts{})
 	a.run.ticket.Started()
 	a.run.step("sent", "", nil)
 }
@@ -68,7 +68,7 @@
 	if a.state.Load() != attemptDelivered && !a.state.CompareAndSwap(attemptOpen, attemptDelivered) {
 		return false
 	}
-	a.run.life.Apply(request.EventDelivered, request.Facts{})
+	a.run.lifecycle.Apply(request.EventDelivered, request.Facts{})
 	return true
 }
 
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -109,7 +109,7 @@
 	defer cancel(nil)
 	defer o.cancelOnStop(cancel)()
 
-	r := &run{owner: o, job: job, life: request.NewLifecycle(job.Rules), arrived: job.Request.Arrived}
+	r := &run{owner: o, job: job, lifecycle: request.NewLifecycle(job.Rules), arrived: job.Request.Arrived}
 	o.parts.Budget.FirstTry(job.budgetGroup(), job.RetryBudget)
 	o.parts.Explained.Begin(explain.Record{
 		ID: job.Request.ID, Host: o.parts.Host, Workspace: job.Request.Workspace,
--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -20,10 +20,10 @@
 
 // run is the state of one job.
 type run struct {
-	owner   *Owner
-	job     *Job
-	life    *request.Lifecycle
-	arrived time.Time
+	owner     *Owner
+	job       *Job
+	lifecycle *request.Lifecycle
+	arrived   time.Time
 
 	// ticket, endpoint and what follows up to unprocessed are those of the last grant.
 	ticket      Ticket
@@ -55,7 +55,7 @@
 		case request.ActSend:
 			action = r.attempt(ctx, r.job.Attempt)
 		case request.ActResume:
-			r.owner.parts.Counters.Retried(r.life.Retry())
+			r.owner.parts.Counters.Retried(r.lifecycle.Retry())
 			action = r.attempt(ctx, r.job.Resume)
 		default:
 			r.release(admission.Cancelled)
@@ -67,7 +67,7 @@
 // ask gets a grant, after a back-off if this is a retry.
 func (r *run) ask(ctx context.Context) request.Action {
 	r.release(admission.Failed)
-	if r.life.Tries() > 0 || r.job.Request.Retry {
+	if r.lifecycle.Tries() > 0 || r.job.Request.Retry {
 		r.countRetry()
 		if !r.backOff(ctx) {
 			return r.giveUp(ctx)
@@ -84,7 +84,7 @@
 	if decision.Kind == admission.Refuse {
 		r.retryAfter = decision.RetryAfter
 		r.detail = "the scheduler gave the request up"
-		r.life.Refuse(request.Reason(decision.Reason))
+		r.lifecycle.Refuse(request.Reason(decision.Reason))
 		return request.ActFinish
 	}
 	r.ticket = ticket
@@ -95,7 +95,7 @@
 // countRetry counts a retry by its reason, and against the budget if an endpoint is to be
 // tried again because one failed.
 func (r *run) countRetry() {
-	retry := r.life.Retry()
+	retry := r.lifecycle.Retry()
 	r.owner.parts.Counters.Retried(retry)
 	if retry.SpendsBudget() {
 		r.owner.parts.Budget.Spend(r.job.budgetGroup())
@@ -105,24 +105,24 @@
 
 // backOff waits before a retry, and reports false if ctx ended.
 func (r *run) backOff(ctx context.Context) bool {
-	return lifetime.Sleep(ctx, backoff.Jitter(retryBackoff.Span(r.life.Tries()), 0, r.owner.parts.Random()))
+	return lifetime.Sleep(ctx, backoff.Jitter(retryBackoff.Span(r.lifecycle.Tries()), 0, r.owner.parts.Random()))
 }
 
 // checkGrant checks a grant against the newest knowledge of its endpoint, which may have been
-// ordered out since the decision.
+// taken out of use since the decision.
 func (r *run) checkGrant(decision admission.Decision) request.Action {
 	e, ok := r.owner.parts.Endpoints(decision.Endpoint)
 	if !ok || !decision.Usable(r.owner.parts.Clock()) {
 		r.release(admission.Unused)
-		// Whoever decided may not know of the order yet, and would grant it again.
+		// Whoever decided may not know that yet, and would grant it again.
 		r.job.Request.Avoid = append(r.job.Request.Avoid, decision.Endpoint)
-		return r.life.Apply(request.EventGrantVoid, r.facts(false))
+		return r.lifecycle.Apply(request.EventGrantVoid, r.facts(false))
 	}
 	r.endpointID, r.endpoint, r.fetchFrom = decision.Endpoint, e, decision.FetchFrom
 	r.unprocessed = decision.UnprocessedTokens
 	r.base = r.tokens
 	r.reportedAt = time.Time{}
-	return r.life.Apply(request.EventGranted, r.facts(false))
+	return r.lifecycle.Apply(request.EventGranted, r.facts(false))
 }
 
 // attempt makes one try and turns its result into the next action.
@@ -130,7 +130,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	a := &Attempt{
-		run: r, Number: r.life.Tries(), EndpointID: r.endpointID, Endpoint: r.endpoint, FetchFrom: r.fetchFrom,
+		run: r, Number: r.lifecycle.Tries(), EndpointID: r.endpointID, Endpoint: r.endpoint, FetchFrom: r.fetchFrom,
 		UnprocessedTokens: r.unprocessed,
 	}
 	done := make(chan struct{})
@@ -152,7 +152,7 @@
 	case errors.Is(cause, ErrSlowCaller), errors.Is(result.Err, ErrSlowCaller):
 		r.detail = "the caller did not read its answer"
 		r.waste(counters.WasteCallerGone)
-		r.life.Refuse(request.ReasonSlowCaller)
+		r.lifecycle.Refuse(request.ReasonSlowCaller)
 		return request.ActFinish
 	case errors.Is(cause, context.Canceled) || event == request.EventCallerGone:
 		r.waste(counters.WasteCallerGone)
@@ -170,9 +170,9 @@
 	r.step(eventNames[event], reason, nil)
 	if event == request.EventWhole {
 		r.release(admission.Answered)
-		return r.life.Apply(event, r.facts(false))
+		return r.lifecycle.Apply(event, r.facts(false))
 	}
-	action := r.life.Apply(event, r.facts(result.CanResume && r.job.Resume != nil))
+	action := r.lifecycle.Apply(event, r.facts(result.CanResume && r.job.Resume != nil))
 	if action == request.ActResume {
 		return action
 	}
@@ -189,11 +189,11 @@
 		r.job.Request.Avoid = nil
 	}
 	r.detail = "the endpoint failed"
-	if !r.life.Delivered() || next == request.ActFinish {
+	if !r.lifecycle.Delivered() || next == request.ActFinish {
 		r.waste(cause)
 	}
 	r.release(result)
-	if !r.life.Delivered() {
+	if !r.lifecycle.Delivered() {
 		r.tokens = 0
 	}
 }
@@ -213,12 +213,12 @@
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, ErrStopped):
 		r.detail = "the host stops"
-		r.life.Refuse(request.ReasonStopped)
+		r.lifecycle.Refuse(request.ReasonStopped)
 	case errors.Is(cause, ErrTimeLimit):
 		r.detail = "the request's time is over"
-		r.life.Refuse(request.ReasonTimeLimit)
+		r.lifecycle.Refuse(request.ReasonTimeLimit)
 	default:
-		return r.life.Apply(request.EventCallerGone, request.Facts{})
+		return r.lifecycle.Apply(request.EventCallerGone, request.Facts{})
 	}
 	return request.ActFinish
 }
@@ -260,23 +260,23 @@
 
 func (r *run) end() End {
 	end := End{
-		Outcome:    r.life.Outcome(),
+		Outcome:    r.lifecycle.Outcome(),
 		Endpoint:   r.endpointID,
 		Tokens:     r.tokens,
 		FirstToken: r.firstToken,
-		Tries:      r.life.Tries(),
-		Sends:      r.life.Sends(),
+		Tries:      r.lifecycle.Tries(),
+		Sends:      r.lifecycle.Sends(),
 	}
-	if !r.job.Rules.Repeatable && r.life.Sends() > 1 {
+	if !r.job.Rules.Repeatable && r.lifecycle.Sends() > 1 {
 		r.owner.parts.Counters.Resends.Inc()
 	}
 	switch end.Outcome {
 	case request.OutcomeRefused, request.OutcomeBroken:
 		end.Refusal = &request.Refusal{
-			Reason: r.life.Reason(), Ran: r.life.Ran(), Detail: r.detail, RetryAfter: r.retryAfter,
+			Reason: r.lifecycle.Reason(), Ran: r.lifecycle.Ran(), Detail: r.detail, RetryAfter: r.retryAfter,
 		}
-		r.owner.parts.Counters.Refused(r.life.Reason())
-		r.step("refused", string(r.life.Reason()), nil)
+		r.owner.parts.Counters.Refused(r.lifecycle.Reason())
+		r.step("refused", string(r.lifecycle.Reason()), nil)
 	case request.OutcomeCallerGone:
 		r.owner.parts.Counters.Refused(request.ReasonCallerGone)
 		r.step("caller gone", "", nil)
--- a/internal/proof/replay/policy.go
+++ b/internal/proof/replay/policy.go
@@ -28,7 +28,7 @@
 	Running() int
 }
 
-// reported is a policy that hears the engines' load reports.
+// reported is a policy that receives the engines' load reports.
 type reported interface {
 	Report(endpoint string, load emulator.Load)
 }
