--- a/internal/proof/pages/pages_test.go
+++ b/internal/proof/pages/pages_test.go
@@ -138,3 +138,30 @@
 	}
 	c.Check(found > 5, qt.IsTrue)
 }
+
+var (
+	makeCommand = regexp.MustCompile("(?m)(?:^|`)make ([a-z-]+)")
+	makeTarget  = regexp.MustCompile(`(?m)^([a-z-]+):`)
+)
+
+// TestMakeTargets checks that the targets that the pages name are in the Makefile, and that a page
+// names each.
+func TestMakeTargets(t *testing.T) {
+	c := qt.New(t)
+	makefile, err := os.ReadFile(filepath.Join(root, "Makefile"))
+	c.Assert(err, qt.IsNil)
+	named := make(map[string]bool)
+	for _, match := range makeTarget.FindAllStringSubmatch(string(makefile), -1) {
+		named[match[1]] = false
+	}
+	for path, text := range pages(c) {
+		for _, match := range makeCommand.FindAllStringSubmatch(text, -1) {
+			_, ok := named[match[1]]
+			c.Check(ok, qt.IsTrue, qt.Commentf("%s names make %s", path, match[1]))
+			named[match[1]] = true
+		}
+	}
+	for target, ok := range named {
+		c.Check(ok, qt.IsTrue, qt.Commentf("no page names make %s", target))
+	}
+}
