--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -151,7 +151,7 @@
 	defer engine.Close()
 	cluster := startCluster(c, 1)
 	address := strings.TrimPrefix(engine.URL, "http://")
-	c.Assert(cluster.Readdress("voyage-1", address), qt.IsNil)
+	c.Assert(cluster.SetEndpointAddress("voyage-1", address), qt.IsNil)
 	conn, err := net.Dial("tcp", cluster.Hosts()[0].Daemon.CallersAddress())
 	c.Assert(err, qt.IsNil)
 	defer conn.Close()
@@ -257,7 +257,7 @@
 	var lengths []time.Duration
 	for i := 0; b.Loop(); i++ {
 		begun := time.Now()
-		if err := cluster.Readdress("triage-1", fmt.Sprint("127.0.0.1:", 1+i%2)); err != nil {
+		if err := cluster.SetEndpointAddress("triage-1", fmt.Sprint("127.0.0.1:", 1+i%2)); err != nil {
 			b.Fatal(err)
 		}
 		lengths = append(lengths, time.Since(begun))
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -206,7 +206,7 @@
 	}
 	engine := cluster.Engines["voyage-1"]
 	until(c, "it works", func() bool { return len(engine.Executions()) > 10 })
-	c.Assert(cluster.Order("voyage-1", settings.StateOut), qt.IsNil)
+	c.Assert(cluster.SetEndpointState("voyage-1", settings.StateOut), qt.IsNil)
 	// An attempt that was checked just before the order came into force may
 	// still arrive; the requests open now are all that can be.
 	open := 0
@@ -275,7 +275,7 @@
 	c := qt.New(t)
 	cluster := startFleet(c, 2, 1)
 	settle(c, cluster)
-	c.Assert(cluster.Readdress("triage-1", "127.0.0.1:1"), qt.IsNil)
+	c.Assert(cluster.SetEndpointAddress("triage-1", "127.0.0.1:1"), qt.IsNil)
 	cluster.Platform.SetFaults(standin.PlatformFaults{Down: true})
 	c.Assert(cluster.AddHost(context.Background()), qt.IsNil)
 	hosts := cluster.Hosts()
@@ -298,7 +298,7 @@
 	c.Assert(err, qt.IsNil)
 	defer cluster.Close()
 	settle(c, cluster)
-	c.Assert(cluster.Readdress("triage-1", "127.0.0.1:1"), qt.IsNil)
+	c.Assert(cluster.SetEndpointAddress("triage-1", "127.0.0.1:1"), qt.IsNil)
 	for _, host := range cluster.Hosts() {
 		c.Assert(host.Daemon.Revision(), qt.Equals, uint64(2))
 	}
--- a/internal/proof/demo/order.go
+++ b/internal/proof/demo/change.go
@@ -22,9 +22,9 @@
 	Address string                 `json:"address,omitzero"`
 }
 
-// Order sets the state of an endpoint and waits until that is in force on every
+// SetEndpointState sets the state of an endpoint and waits until that is in force on every
 // host.
-func (c *Cluster) Order(endpoint string, state settings.EndpointState) error {
+func (c *Cluster) SetEndpointState(endpoint string, state settings.EndpointState) error {
 	if err := c.change(endpoint, endpointPatch{State: state}); err != nil {
 		return err
 	}
@@ -38,9 +38,9 @@
 	return nil
 }
 
-// Readdress moves an endpoint to another address and waits until that is in
+// SetEndpointAddress moves an endpoint to another address and waits until that is in
 // force on every host.
-func (c *Cluster) Readdress(endpoint, address string) error {
+func (c *Cluster) SetEndpointAddress(endpoint, address string) error {
 	if err := c.change(endpoint, endpointPatch{Address: address}); err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 	}
 }
 
-// change has a change of an endpoint accepted, as an operator would.
+// change changes an endpoint through the operators' interface of a host.
 func (c *Cluster) change(endpoint string, p endpointPatch) error {
 	text, err := json.Marshal(patch{map[string]endpointPatch{endpoint: p}})
 	if err != nil {
--- a/internal/proof/demo/cluster.go
+++ b/internal/proof/demo/cluster.go
@@ -96,7 +96,7 @@
 	next     int
 	revision uint64
 	client   *http.Client
-	// outSince is when each endpoint was ordered out, cut how many requests
+	// outSince is when each endpoint was taken out of use, cut how many requests
 	// planned stops did not let finish.
 	outSince map[string]time.Time
 	cut      int
--- a/internal/proof/demo/faults.go
+++ b/internal/proof/demo/faults.go
@@ -110,15 +110,15 @@
 		}
 		return fmt.Sprintf("the last host stopped as planned and cut %d requests", cut)
 	case EndpointOut:
-		if err := c.Order(victim, settings.StateOut); err != nil {
-			return "the order failed: " + err.Error()
+		if err := c.SetEndpointState(victim, settings.StateOut); err != nil {
+			return "the change failed: " + err.Error()
 		}
-		return victim + " was ordered out"
+		return victim + " was taken out of use"
 	}
 	return ""
 }
 
-// end puts things right again where the fault is one that passes.
+// end ends a fault that passes; others last.
 func (c *Cluster) end(fault Fault) error {
 	switch fault {
 	case EngineCrash:
--- a/internal/proof/demo/invariants.go
+++ b/internal/proof/demo/invariants.go
@@ -109,14 +109,14 @@
 	return found
 }
 
-// outTime is how long after an order an endpoint may still get work.
+// outTime is how long an endpoint may still get work after it was taken out of use.
 const outTime = 2 * time.Second
 
 func findLateWork(c *Cluster, _ *Report) []string {
 	var found []string
 	for endpoint, since := range c.outSince {
 		if late := c.Engines[endpoint].LastBegun().Sub(since); late > outTime {
-			found = append(found, fmt.Sprintf("%s began a request %s after it was ordered out", endpoint, late))
+			found = append(found, fmt.Sprintf("%s began a request %s after it was taken out of use", endpoint, late))
 		}
 	}
 	return found
--- a/internal/proof/replay/trace.go
+++ b/internal/proof/replay/trace.go
@@ -112,7 +112,7 @@
 	FaultRecover FaultKind = "recover"
 	FaultSlow    FaultKind = "slow"
 	FaultStall   FaultKind = "stall"
-	// FaultOut is an order: the endpoint gets no new work.
+	// FaultOut is a change of the settings: the endpoint gets no new work.
 	FaultOut FaultKind = "out"
 	FaultIn  FaultKind = "in"
 	// FaultFreeze stops all load reports, FaultThaw lets them go on.
