--- a/internal/daemon/fleet/links.go
+++ b/internal/daemon/fleet/links.go
@@ -10,9 +10,12 @@
 	if _, ok := f.links[host.Name]; ok || f.closed {
 		return
 	}
-	f.links[host.Name] = peer.Dial(f.parts.Config.Self.Name, host.Name, host.Address, f.parts.Config.Key, f.parts.Clock, peer.Events{
-		Up: f.linkUp, Down: f.linkDown, Leaving: f.linkLeaving, Decision: f.parts.Dispatcher.Deliver,
-		Revision: func() uint64 { return f.parts.Settings().Revision }, Newer: f.parts.Newer,
+	f.links[host.Name] = peer.Dial(peer.LinkParts{
+		Self: f.parts.Config.Self.Name, Host: host.Name, Address: host.Address, Key: f.parts.Config.Key, Clock: f.parts.Clock,
+		Events: peer.Events{
+			Up: f.linkUp, Down: f.linkDown, Leaving: f.linkLeaving, Decision: f.parts.Dispatcher.Deliver,
+			Revision: func() uint64 { return f.parts.Settings().Revision }, Newer: f.parts.Newer,
+		},
 	})
 }
 
--- a/internal/daemon/fx.go
+++ b/internal/daemon/fx.go
@@ -60,16 +60,27 @@
 	)
 }
 
-func newFleet(config hostconfig.Host, d *dispatch.Dispatcher, client *tableclient.Client, log *logrus.Logger,
-	document *documentSource, clock func() time.Time, random func() float64,
-) *fleet.Fleet {
+// fleetParts are what the fleet is made of.
+type fleetParts struct {
+	fx.In
+
+	Config     hostconfig.Host
+	Dispatcher *dispatch.Dispatcher
+	Client     *tableclient.Client
+	Log        *logrus.Logger
+	Document   *documentSource
+	Clock      func() time.Time
+	Random     func() float64
+}
+
+func newFleet(p fleetParts) *fleet.Fleet {
 	return fleet.New(fleet.Parts{
 		Config: fleet.Config{
-			Self:   membership.Host{Name: config.Name, Address: config.Peers, Zone: config.Zone},
-			Listen: config.Peers, Key: config.PeerKey, FirstPeers: config.FirstPeers,
+			Self:   membership.Host{Name: p.Config.Name, Address: p.Config.Peers, Zone: p.Config.Zone},
+			Listen: p.Config.Peers, Key: p.Config.PeerKey, FirstPeers: p.Config.FirstPeers,
 		},
-		Dispatcher: d, Platform: client, Log: logging.Part(log, "fleet"), Settings: document.get, Newer: document.newer,
-		Clock: clock, Random: random,
+		Dispatcher: p.Dispatcher, Platform: p.Client, Log: logging.Part(p.Log, "fleet"), Settings: p.Document.get,
+		Newer: p.Document.newer, Clock: p.Clock, Random: p.Random,
 	})
 }
 
@@ -114,16 +125,27 @@
 	return change.Document{}
 }
 
-func newOwner(config hostconfig.Host, d *dispatch.Dispatcher, s *settings.Holder, c *counters.Counters, ring *explain.Ring,
-	clock func() time.Time, random func() float64,
-) *owner.Owner {
+// ownerParts are what the owner is made of.
+type ownerParts struct {
+	fx.In
+
+	Config     hostconfig.Host
+	Dispatcher *dispatch.Dispatcher
+	Holder     *settings.Holder
+	Counters   *counters.Counters
+	Explained  *explain.Ring
+	Clock      func() time.Time
+	Random     func() float64
+}
+
+func newOwner(p ownerParts) *owner.Owner {
 	endpoints := func(id string) (settings.Endpoint, bool) {
-		e, ok := s.Current().Tree.Endpoints[id]
+		e, ok := p.Holder.Current().Tree.Endpoints[id]
 		return e, ok && e.State != settings.StateOut
 	}
 	return owner.New(owner.Parts{
-		Host: config.Name, Admitter: sharedQueue{d}, Endpoints: endpoints, Budget: retrybudget.NewClass(), Counters: c,
-		Explained: ring, Clock: clock, Random: random,
+		Host: p.Config.Name, Admitter: sharedQueue{p.Dispatcher}, Endpoints: endpoints, Budget: retrybudget.NewClass(),
+		Counters: p.Counters, Explained: p.Explained, Clock: p.Clock, Random: p.Random,
 	})
 }
 
--- a/internal/daemon/peer/link.go
+++ b/internal/daemon/peer/link.go
@@ -53,17 +53,23 @@
 	Decision func(host, shard string, decision admission.Decision)
 }
 
+// LinkParts are what a link works with.
+type LinkParts struct {
+	// Self is this host's name, Host and Address are the peer's, Key is the one that all share.
+	Self    string
+	Host    string
+	Address string
+	Key     string
+	Clock   func() time.Time
+	Events  Events
+}
+
 // Link is this host's connection, as an owner of requests, to the schedulers of
 // a peer.
 type Link struct {
-	self    string
-	host    string
-	address string
-	key     string
-	events  Events
-	clock   func() time.Time
-	done    chan struct{}
-	ended   chan struct{}
+	parts LinkParts
+	done  chan struct{}
+	ended chan struct{}
 
 	mu    sync.Mutex
 	open  bool
@@ -72,11 +78,8 @@
 
 // Dial starts a link. It connects, and connects again when it is lost, until
 // Close.
-func Dial(self, host, address, key string, clock func() time.Time, events Events) *Link {
-	l := &Link{
-		self: self, host: host, address: address, key: key, events: events, clock: clock,
-		done: make(chan struct{}), ended: make(chan struct{}),
-	}
+func Dial(parts LinkParts) *Link {
+	l := &Link{parts: parts, done: make(chan struct{}), ended: make(chan struct{})}
 	go l.run()
 	return l
 }
@@ -96,7 +99,7 @@
 		return
 	}
 	select {
-	case l.queue <- toForm(l.clock(), shardName, m):
+	case l.queue <- toForm(l.parts.Clock(), shardName, m):
 	default:
 		l.open = false
 		close(l.queue)
@@ -115,7 +118,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		l.events.Down(l.host)
+		l.parts.Events.Down(l.parts.Host)
 		if time.Since(begun) > steadyTime {
 			failures = 0
 		}
@@ -135,7 +138,7 @@
 // connect opens the link and serves it until it breaks.
 func (l *Link) connect(ctx context.Context) error {
 	dialer := net.Dialer{Timeout: dialTimeout}
-	raw, err := dialer.DialContext(ctx, "tcp", l.address)
+	raw, err := dialer.DialContext(ctx, "tcp", l.parts.Address)
 	if err != nil {
 		return merry.Wrap(err)
 	}
@@ -148,14 +151,14 @@
 	defer stream.Close()
 	watch := newWatchdog(raw)
 	defer watch.stop()
-	if err := greet(stream, l.self, l.key); err != nil {
+	if err := greet(stream, l.parts.Self, l.parts.Key); err != nil {
 		return err
 	}
 	queue := make(chan messageForm, queueLength)
 	l.mu.Lock()
 	l.queue, l.open = queue, true
 	l.mu.Unlock()
-	l.events.Up(l.host)
+	l.parts.Events.Up(l.parts.Host)
 	go l.write(stream, raw, queue)
 	return l.read(stream, watch)
 }
@@ -181,7 +184,7 @@
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
-		f := frame{Kind: kindHeartbeat, Revision: l.events.Revision()}
+		f := frame{Kind: kindHeartbeat, Revision: l.parts.Events.Revision()}
 		select {
 		case form, ok := <-queue:
 			if !ok {
@@ -223,16 +226,16 @@
 			return merry.Wrap(err)
 		}
 		watch.received()
-		now := l.clock()
+		now := l.parts.Clock()
 		switch f.Kind {
 		case kindDecisions:
 			for i := range f.Decisions {
-				l.events.Decision(l.host, f.Decisions[i].Shard, f.Decisions[i].decision(now))
+				l.parts.Events.Decision(l.parts.Host, f.Decisions[i].Shard, f.Decisions[i].decision(now))
 			}
 		case kindLeaving:
-			l.events.Leaving(l.host)
+			l.parts.Events.Leaving(l.parts.Host)
 		case kindHeartbeat:
-			l.events.Newer(f.Revision)
+			l.parts.Events.Newer(f.Revision)
 		}
 	}
 }
--- a/internal/daemon/schedule/schedule.go
+++ b/internal/daemon/schedule/schedule.go
@@ -33,48 +33,6 @@
 	Engine bool
 }
 
-// Options are the settings of one shard's policy. A zero value stands for the built-in one.
-type Options struct {
-	// MaxWaiting bounds the waiting requests of the shard.
-	MaxWaiting int
-	// GrantTime is how long a grant may stay unused.
-	GrantTime time.Duration
-	// PrefillAhead bounds the prefill work queued at an engine.
-	PrefillAhead time.Duration
-	// ZoneCost is the time that a request to another zone is taken to lose.
-	ZoneCost time.Duration
-}
-
-// The built-in options. Not measured but where said.
-const (
-	// defaultMaxWaiting is in requests: at 100 requests/s some 40 s, more than a caller waits.
-	defaultMaxWaiting = 4096
-	// defaultGrantTime is ample for a grant to reach its owner and be used: a round trip between
-	// hosts and a connection to the endpoint.
-	defaultGrantTime = 2 * time.Second
-	// defaultPrefillAhead keeps the next choice open: prompts queued at an engine can't be
-	// moved to another, or be overtaken by a higher tier.
-	defaultPrefillAhead = 250 * time.Millisecond
-	// defaultZoneCost is about the round trip between two availability zones of a region.
-	defaultZoneCost = time.Millisecond
-)
-
-func (o Options) withDefaults() Options {
-	if o.MaxWaiting == 0 {
-		o.MaxWaiting = defaultMaxWaiting
-	}
-	if o.GrantTime == 0 {
-		o.GrantTime = defaultGrantTime
-	}
-	if o.PrefillAhead == 0 {
-		o.PrefillAhead = defaultPrefillAhead
-	}
-	if o.ZoneCost == 0 {
-		o.ZoneCost = defaultZoneCost
-	}
-	return o
-}
-
 // Scheduler holds the waiting list and the open grants of one shard.
 type Scheduler struct {
 	options   Options
@@ -284,8 +242,8 @@
 }
 
 // tickInterval is how often Tick runs at least while anything waits, idleTickInterval while nothing
-// does. A tick scans the endpoints, so at 100 ms it is cheap, and a tenth of the shortest ejection
-// or wait that it ends. Not measured.
+// does: short against the ejections and waits, of a second and more, that a tick ends, and rare enough
+// for a scan of the endpoints. Not measured.
 const (
 	tickInterval     = 100 * time.Millisecond
 	idleTickInterval = time.Second
--- a/internal/front/fx.go
+++ b/internal/front/fx.go
@@ -115,11 +115,23 @@
 	return placement.New(d, logging.Part(log, "endpoints"), clock, l.loadChanged)
 }
 
-func newSettingsSink(deployment Deployment, holder *settings.Holder, placer *placement.Placer, c *counters.Counters, log *logrus.Logger, l *late) *peersync.Settings {
+// settingsParts are what the sink of the settings is made of.
+type settingsParts struct {
+	fx.In
+
+	Deployment Deployment
+	Holder     *settings.Holder
+	Placer     *placement.Placer
+	Counters   *counters.Counters
+	Log        *logrus.Logger
+	Late       *late
+}
+
+func newSettingsSink(p settingsParts) *peersync.Settings {
 	return peersync.NewSettings(peersync.SettingsParts{
-		Decode: deployment.Decode, Holder: holder, Counters: c, Log: logging.Part(log, "settings"),
-		InForce: func(tree *settings.Tree) { placer.SetBounds(placement.PriorityBoundsOf(tree)) },
-		Changed: l.revisionChanged, ReadsStore: l.readsStore,
+		Decode: p.Deployment.Decode, Holder: p.Holder, Counters: p.Counters, Log: logging.Part(p.Log, "settings"),
+		InForce: func(tree *settings.Tree) { p.Placer.SetBounds(placement.PriorityBoundsOf(tree)) },
+		Changed: p.Late.revisionChanged, ReadsStore: p.Late.readsStore,
 	})
 }
 
@@ -155,9 +167,12 @@
 		Placer: p.Placer, Holder: p.Holder, Directory: p.Directory, Settings: p.Settings, Endpoints: p.Endpoints,
 		ReadsStore: p.Late.readsStore, Log: logging.Part(p.Log, "endpoints"), Clock: p.Clock,
 	})
-	g := gossip.New(gossip.Config{
-		Name: p.Config.Name, Zone: p.Config.Zone, Address: p.Config.Peers, FirstPeers: p.Config.FirstPeers,
-	}, sync, logging.Part(p.Log, "peers"), p.Clock, p.Random, p.Counters.SentToPeers)
+	g := gossip.New(gossip.Parts{
+		Config: gossip.Config{
+			Name: p.Config.Name, Zone: p.Config.Zone, Address: p.Config.Peers, FirstPeers: p.Config.FirstPeers,
+		},
+		Host: sync, Log: logging.Part(p.Log, "peers"), Clock: p.Clock, Random: p.Random, Sent: p.Counters.SentToPeers,
+	})
 	p.Late.gossip.Store(g)
 	p.Late.sync.Store(sync)
 	return g
--- a/internal/front/gossip/gossip.go
+++ b/internal/front/gossip/gossip.go
@@ -63,15 +63,24 @@
 	FirstPeers []string
 }
 
+// Parts are what a Gossip works with.
+type Parts struct {
+	Config Config
+	Host   Host
+	Log    *logrus.Entry
+	Clock  func() time.Time
+	// Random returns numbers from 0 up to 1.
+	Random func() float64
+	// Sent counts the bytes that go to peers.
+	Sent func(kind counters.PeerTraffic, bytes int)
+}
+
 // Gossip is this host's part in the exchange. Its methods are safe for concurrent use.
 type Gossip struct {
-	config Config
-	host   Host
-	log    *logrus.Entry
-	clock  func() time.Time
-	random func() float64
-	// sent counts the bytes that go to peers.
-	sent        func(kind counters.PeerTraffic, bytes int)
+	parts Parts
+	// address is where peers reach this host: that of the configuration, with the port that was
+	// picked.
+	address     string
 	start       int64
 	incarnation uint32
 
@@ -97,17 +106,14 @@
 	syncing [topics]bool
 }
 
-// New returns a host's part that does not listen yet. Random returns numbers from 0 up to 1;
-// sent counts the bytes that go to peers.
-func New(config Config, host Host, log *logrus.Entry, clock func() time.Time, random func() float64,
-	sent func(kind counters.PeerTraffic, bytes int),
-) *Gossip {
+// New returns a host's part that does not listen yet.
+func New(parts Parts) *Gossip {
 	g := &Gossip{
-		config: config, host: host, log: log, clock: clock, random: random, sent: sent, start: clock().UnixNano(),
-		incarnation: uint32(random() * math.MaxUint32),
-		changed:     make(chan struct{}, 1), urgent: make(chan struct{}, 1), members: NewMembers(config.Name),
+		parts: parts, address: parts.Config.Address, start: parts.Clock().UnixNano(),
+		incarnation: uint32(parts.Random() * math.MaxUint32),
+		changed:     make(chan struct{}, 1), urgent: make(chan struct{}, 1), members: NewMembers(parts.Config.Name),
 	}
-	g.Contact(config.FirstPeers)
+	g.Contact(parts.Config.FirstPeers)
 	return g
 }
 
@@ -116,8 +122,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, address := range addresses {
-		if address != g.config.Address {
-			g.members.Contact(g.clock(), address)
+		if address != g.address {
+			g.members.Contact(g.parts.Clock(), address)
 		}
 	}
 }
@@ -158,26 +164,26 @@
 
 // Start listens for peers.
 func (g *Gossip) Start() error {
-	listener, err := net.Listen("tcp", g.config.Address)
+	listener, err := net.Listen("tcp", g.address)
 	if err != nil {
-		return merry.Prependf(err, "listen for peers on %s", g.config.Address)
+		return merry.Prependf(err, "listen for peers on %s", g.address)
 	}
-	g.config.Address = listener.Addr().String()
-	packets, err := net.ListenPacket("udp", g.config.Address)
+	g.address = listener.Addr().String()
+	packets, err := net.ListenPacket("udp", g.address)
 	if err != nil {
 		listener.Close()
-		return merry.Prependf(err, "listen for heartbeats on %s", g.config.Address)
+		return merry.Prependf(err, "listen for heartbeats on %s", g.address)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	g.listener, g.packets, g.cancel = listener, packets, cancel
 	// Serve ends when ctx is cancelled, and its error says only that.
-	go func() { _ = drpcserver.New(newSyncHandler(g.host, g.sent)).Serve(ctx, listener) }()
+	go func() { _ = drpcserver.New(newSyncHandler(g.parts.Host, g.parts.Sent)).Serve(ctx, listener) }()
 	go g.receive()
 	return nil
 }
 
 // Address returns where peers reach this host.
-func (g *Gossip) Address() string { return g.config.Address }
+func (g *Gossip) Address() string { return g.address }
 
 // Run sends heartbeats until done is closed.
 func (g *Gossip) Run(done <-chan struct{}) {
@@ -202,7 +208,7 @@
 		return false
 	}
 	// Spread over half an interval, so that hosts that started together do not send together.
-	idle := time.NewTimer(time.Duration((0.75 + 0.5*g.random()) * float64(idleInterval)))
+	idle := time.NewTimer(time.Duration((0.75 + 0.5*g.parts.Random()) * float64(idleInterval)))
 	defer idle.Stop()
 	select {
 	case <-g.changed:
@@ -218,12 +224,12 @@
 func (g *Gossip) expire() {
 	g.mu.Lock()
 	limit := silenceAllowed(g.members.Count())
-	lost := g.members.Expire(g.clock(), limit)
+	lost := g.members.Expire(g.parts.Clock(), limit)
 	hosts := g.members.Count() + 1
 	g.mu.Unlock()
 	for _, name := range lost {
-		g.host.Lost(name)
-		g.log.WithFields(logrus.Fields{"peer": name, "hosts": hosts, "silent_ms": limit.Milliseconds()}).Warn("peer lost")
+		g.parts.Host.Lost(name)
+		g.parts.Log.WithFields(logrus.Fields{"peer": name, "hosts": hosts, "silent_ms": limit.Milliseconds()}).Warn("peer lost")
 	}
 }
 
--- a/internal/front/gossip/gossip_test.go
+++ b/internal/front/gossip/gossip_test.go
@@ -160,7 +160,10 @@
 	n := &node{received: make(map[string]*Heartbeat), done: make(chan struct{})}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	n.gossip = New(Config{Name: name, Address: "127.0.0.1:0", FirstPeers: first}, n, logrus.NewEntry(log), time.Now, rand.Float64, n.count)
+	n.gossip = New(Parts{
+		Config: Config{Name: name, Address: "127.0.0.1:0", FirstPeers: first}, Host: n, Log: logrus.NewEntry(log),
+		Clock: time.Now, Random: rand.Float64, Sent: n.count,
+	})
 	c.Assert(n.gossip.Start(), qt.IsNil)
 	ended := make(chan struct{})
 	go func() {
@@ -268,7 +271,10 @@
 	c := qt.New(t)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	g := New(Config{Name: "a"}, &node{}, logrus.NewEntry(log), time.Now, func() float64 { return 0.5 }, func(counters.PeerTraffic, int) {})
+	g := New(Parts{
+		Config: Config{Name: "a"}, Host: &node{}, Log: logrus.NewEntry(log), Clock: time.Now,
+		Random: func() float64 { return 0.5 }, Sent: func(counters.PeerTraffic, int) {},
+	})
 	for n := range 300 {
 		g.members.Received(time.Now(), &Heartbeat{Incarnation: uint32(n + 1), Sequence: 1, Announcement: announcement(fmt.Sprintf("host-%d", n), 1)})
 	}
@@ -286,7 +292,10 @@
 		t.Run(name, func(t *testing.T) {
 			log := logrus.New()
 			log.SetOutput(io.Discard)
-			g := New(Config{Name: "a"}, &node{}, logrus.NewEntry(log), time.Now, func() float64 { return 0.5 }, func(counters.PeerTraffic, int) {})
+			g := New(Parts{
+				Config: Config{Name: "a"}, Host: &node{}, Log: logrus.NewEntry(log), Clock: time.Now,
+				Random: func() float64 { return 0.5 }, Sent: func(counters.PeerTraffic, int) {},
+			})
 			for n := range hosts {
 				g.members.Received(time.Now(), &Heartbeat{Incarnation: uint32(n + 1), Sequence: 1, Announcement: announcement(fmt.Sprintf("host-%d", n), 1)})
 			}
@@ -315,7 +324,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	g := New(Config{Name: "a"}, peer, logrus.NewEntry(log), time.Now, func() float64 { return 0.5 }, func(counters.PeerTraffic, int) {})
+	g := New(Parts{Config: Config{Name: "a"}, Host: peer, Log: logrus.NewEntry(log), Clock: time.Now, Random: func() float64 { return 0.5 }, Sent: func(counters.PeerTraffic, int) {}})
 	c.Check(g.beginSync(topicDirectory), qt.IsTrue)
 	c.Check(g.beginSync(topicDirectory), qt.IsFalse)
 	c.Check(g.beginSync(topicSettings), qt.IsTrue)
--- a/internal/front/gossip/heartbeat.go
+++ b/internal/front/gossip/heartbeat.go
@@ -15,7 +15,7 @@
 // heartbeat sends this host's state to all members, and announces this host to addresses
 // whose host is not known.
 func (g *Gossip) heartbeat() {
-	state := g.host.State()
+	state := g.parts.Host.State()
 	g.mu.Lock()
 	if g.leaving {
 		g.mu.Unlock()
@@ -24,7 +24,7 @@
 	heartbeat := g.newHeartbeat(state)
 	members := g.addresses()
 	announcement := g.newAnnouncement(true, 0)
-	targets := append(g.members.ToAnnounceTo(g.clock()), g.memberToAsk()...)
+	targets := append(g.members.ToAnnounceTo(g.parts.Clock()), g.memberToAsk()...)
 	g.mu.Unlock()
 	g.send(heartbeat, members)
 	g.send(announcement, targets)
@@ -33,11 +33,12 @@
 // memberToAsk returns the address of a member to ask for hosts that this one does not know,
 // if that is due. The lock is held.
 func (g *Gossip) memberToAsk() []string {
-	now := g.clock()
+	now := g.parts.Clock()
 	if now.Before(g.askAt) {
 		return nil
 	}
-	g.askAt = now.Add(time.Duration((0.5 + g.random()) * float64(askInterval)))
+	// Spread over one interval, so that hosts that started together do not ask together.
+	g.askAt = now.Add(time.Duration((0.5 + g.parts.Random()) * float64(askInterval)))
 	return g.someMembers(1)
 }
 
@@ -63,7 +64,7 @@
 	return &Heartbeat{
 		Incarnation: g.incarnation, Sequence: g.sequence, Settings: g.last.Settings, Directory: g.last.Directory, ReadsStore: g.last.ReadsStore,
 		Announcement: &Announcement{
-			Host: g.config.Name, Address: g.config.Address, Zone: g.config.Zone, Start: g.start, WantReply: wantReply,
+			Host: g.parts.Config.Name, Address: g.address, Zone: g.parts.Config.Zone, Start: g.start, WantReply: wantReply,
 			Hosts: g.members.Count() + 1, KnownAddresses: g.someMembers(addresses),
 		},
 	}
@@ -76,7 +77,7 @@
 		return nil
 	}
 	live := g.addresses()
-	first := int(g.random() * float64(len(live)))
+	first := int(g.parts.Random() * float64(len(live)))
 	rotated := slices.Concat(live[first:], live[:first])
 	return rotated[:min(most, len(rotated))]
 }
@@ -104,18 +105,18 @@
 	}
 	data, err := cbor.Marshal(h)
 	if err != nil {
-		g.log.WithError(err).Error("a heartbeat can't be encoded")
+		g.parts.Log.WithError(err).Error("a heartbeat can't be encoded")
 		return
 	}
 	kind := counters.PeerHeartbeats
 	if h.Announcement != nil {
 		kind = counters.PeerAnnouncements
 	}
-	g.sent(kind, len(data)*len(targets))
+	g.parts.Sent(kind, len(data)*len(targets))
 	for _, target := range targets {
 		address, err := net.ResolveUDPAddr("udp", target)
 		if err != nil {
-			g.log.WithError(err).WithField("address", target).Debug("a peer's address can't be used")
+			g.parts.Log.WithError(err).WithField("address", target).Debug("a peer's address can't be used")
 			continue
 		}
 		// The next heartbeat makes up for one that is lost.
@@ -137,7 +138,7 @@
 		}
 		var h Heartbeat
 		if err := cbor.Unmarshal(buffer[:n], &h); err != nil {
-			g.log.WithError(err).WithField("address", from.String()).Debug("a datagram is no heartbeat")
+			g.parts.Log.WithError(err).WithField("address", from.String()).Debug("a datagram is no heartbeat")
 			continue
 		}
 		g.received(&h, from.String())
@@ -147,9 +148,9 @@
 // received handles a heartbeat that came from an address.
 func (g *Gossip) received(h *Heartbeat, from string) {
 	g.mu.Lock()
-	member, isNew, counts := g.members.Received(g.clock(), h)
+	member, isNew, counts := g.members.Received(g.parts.Clock(), h)
 	if !counts && h.Announcement == nil && !g.members.Knows(h.Incarnation) {
-		g.members.Unknown(g.clock(), from)
+		g.members.Unknown(g.parts.Clock(), from)
 	}
 	hosts := g.members.Count() + 1
 	leaving := g.leaving
@@ -158,17 +159,17 @@
 		return
 	}
 	if h.Leaving {
-		g.host.Lost(member.Name)
-		g.log.WithFields(logrus.Fields{"peer": member.Name, "hosts": hosts}).Info("peer leaves")
+		g.parts.Host.Lost(member.Name)
+		g.parts.Log.WithFields(logrus.Fields{"peer": member.Name, "hosts": hosts}).Info("peer leaves")
 		return
 	}
 	if h.Announcement == nil {
-		g.host.Received(member.Name, h)
+		g.parts.Host.Received(member.Name, h)
 	} else if h.Announcement.WantReply && !leaving {
 		g.reply(h.Announcement)
 	}
 	if isNew {
-		g.log.WithFields(logrus.Fields{"peer": member.Name, "address": member.Address, "hosts": hosts}).Info("peer joined")
+		g.parts.Log.WithFields(logrus.Fields{"peer": member.Name, "address": member.Address, "hosts": hosts}).Info("peer joined")
 		g.Changed()
 	}
 	g.syncWith(member)
--- a/internal/front/gossip/registry.go
+++ b/internal/front/gossip/registry.go
@@ -32,7 +32,7 @@
 	if !lifetime.Sleep(ctx, settleTime) {
 		return
 	}
-	lifetime.Every(done, registerInterval, g.random, func(context.Context) { g.register(ctx, registry) })
+	lifetime.Every(done, registerInterval, g.parts.Random, func(context.Context) { g.register(ctx, registry) })
 }
 
 // register does one round of KeepRegistered. After an error the next round tries again.
@@ -42,12 +42,12 @@
 		return
 	}
 	if !g.registered.Load() {
-		if err := registry.Register(ctx, g.config.Name, g.config.Address); err != nil {
+		if err := registry.Register(ctx, g.parts.Config.Name, g.address); err != nil {
 			return
 		}
 		g.registered.Store(true)
 	}
-	g.Contact(g.config.FirstPeers)
+	g.Contact(g.parts.Config.FirstPeers)
 	addresses, err := registry.List(ctx)
 	if err != nil {
 		return
--- a/internal/front/gossip/sync.go
+++ b/internal/front/gossip/sync.go
@@ -43,7 +43,7 @@
 
 // syncWith fetches what a member has newer, unless the store brings it first.
 func (g *Gossip) syncWith(member Member) {
-	own := g.host.Revisions()
+	own := g.parts.Host.Revisions()
 	for t := range topics {
 		if t.isBehind(own, &member) && g.beginSync(t) {
 			go g.sync(t, member.Name, own)
@@ -76,16 +76,16 @@
 		time.Sleep(syncGrace)
 	}
 	member, ok := g.member(peer)
-	own := g.host.Revisions()
+	own := g.parts.Host.Revisions()
 	if !ok || !t.isBehind(own, &member) {
 		return
 	}
 	response, err := Sync(member.Address, t.request(own))
 	if err != nil {
-		g.log.WithError(err).WithField("peer", peer).Warn("newer revisions can't be fetched from a peer")
+		g.parts.Log.WithError(err).WithField("peer", peer).Warn("newer revisions can't be fetched from a peer")
 		return
 	}
-	g.host.Apply(peer, response)
+	g.parts.Host.Apply(peer, response)
 	g.Changed()
 }
 
