--- a/internal/front/gossip/gossip_test.go
+++ b/internal/front/gossip/gossip_test.go
@@ -287,7 +287,7 @@
 	c.Check(g.changed, qt.HasLen, 1, qt.Commentf("the change of loads still waits for its turn"))
 }
 
-func TestBeatsOfALargeFleetTellNoLoads(t *testing.T) {
+func TestHeartbeatsOfALargeFleetCarryNoLoads(t *testing.T) {
 	for name, hosts := range map[string]int{"small": 100, "large": 300} {
 		t.Run(name, func(t *testing.T) {
 			log := logrus.New()
@@ -332,9 +332,9 @@
 	c.Check(g.beginSync(topicDirectory), qt.IsTrue)
 }
 
-// TestOnlyStrangersAreIntroducedTo is a fleet of 297 hosts: nine tenths of what hosts sent
+// TestOnlyUnknownHostsAreAnnouncedTo is a fleet of 297 hosts: nine tenths of what hosts sent
 // each other were introductions, sent to all whenever one host was new.
-func TestOnlyStrangersAreIntroducedTo(t *testing.T) {
+func TestOnlyUnknownHostsAreAnnouncedTo(t *testing.T) {
 	c := qt.New(t)
 	a := startNode(c, "a")
 	b := startNode(c, "b", a.gossip.Address())
--- a/internal/front/peersync/peersync_test.go
+++ b/internal/front/peersync/peersync_test.go
@@ -67,9 +67,9 @@
 	s.Received(peer, &gossip.Heartbeat{Settings: state.Settings, Directory: state.Directory, Delta: state.Delta, Patch: state.Patch})
 }
 
-// TestAChangeOfTheSettingsGoesWithTheBeats is the sweep at 300 hosts: each fetched the
+// TestAChangeOfTheSettingsGoesWithTheHeartbeats is the sweep at 300 hosts: each fetched the
 // whole configuration from one of four readers, the last after 3.7 s (CONFIG).
-func TestAChangeOfTheSettingsGoesWithTheBeats(t *testing.T) {
+func TestAChangeOfTheSettingsGoesWithTheHeartbeats(t *testing.T) {
 	tests := map[string]struct {
 		// has is what the listening host knew before, received which of the reader's
 		// heartbeats after its second configuration it receives.
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestWhoTellsOfAChangeAtOnce(t *testing.T) {
+func TestWhoReportsAChangeAtOnce(t *testing.T) {
 	tests := map[string]struct {
 		reading bool
 		want    int
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestNewsArePacked(t *testing.T) {
+func TestResponsesAreCompressed(t *testing.T) {
 	whole := len(configuration(5))
 	tests := map[string]struct {
 		has []int
--- a/internal/front/placement/placement_test.go
+++ b/internal/front/placement/placement_test.go
@@ -145,7 +145,7 @@
 	qt.Check(t, NewView().choose(request, entries("e1")).Endpoint, qt.Equals, "e1")
 }
 
-func TestAllHostsFindTheSameHome(t *testing.T) {
+func TestAllHostsFindTheSamePreferredEndpoint(t *testing.T) {
 	for prefix := range uint64(100) {
 		first := NewView().choose(long(prefix*977), entries("e1", "e2", "e3", "e4", "e5")).Endpoint
 		second := NewView().choose(long(prefix*977), entries("e5", "e3", "e1", "e4", "e2")).Endpoint
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestLanes(t *testing.T) {
+func TestPartitions(t *testing.T) {
 	c := qt.New(t)
 	all := entries("e1", "e2", "e3", "e4", "e5", "e6", "e7", "e8", "e9")
 	for _, shortOpen := range []bool{false, true} {
@@ -180,7 +180,7 @@
 	c.Check(NewView().choose(alone, entries("e1")).Endpoint, qt.Equals, "e1")
 }
 
-func TestTheShortLaneOpensAndCloses(t *testing.T) {
+func TestTheShortPartitionOpensAndCloses(t *testing.T) {
 	c := qt.New(t)
 	b := NewView()
 	opened := 0
@@ -233,7 +233,7 @@
 	}
 }
 
-func TestPausesGrowAndEnd(t *testing.T) {
+func TestEjectionsGrowAndEnd(t *testing.T) {
 	c := qt.New(t)
 	b := NewView()
 	failed := func(after time.Duration) time.Time {
@@ -251,7 +251,7 @@
 	c.Check(b.ejections.byPeers, qt.HasLen, 0)
 }
 
-func TestRoomByUrgency(t *testing.T) {
+func TestAdmissionByUrgency(t *testing.T) {
 	bounds := PriorityBounds{LowestTier: 1, LeastUrgent: 2}
 	tests := map[string]struct {
 		tier, urgency, open int
@@ -316,7 +316,7 @@
 	}
 }
 
-func TestNoEndpointIsToldAtOnce(t *testing.T) {
+func TestNoEndpointIsRefusedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	s := newPlacer(func() time.Time { return start })
 	_, decision, err := s.Ask(context.Background(), "nothing", *short())
@@ -345,7 +345,7 @@
 	c.Check(loads, qt.HasLen, 0)
 }
 
-func TestANewReadIsToldInSomeBeats(t *testing.T) {
+func TestANewHolderIsReportedInSomeHeartbeats(t *testing.T) {
 	c := qt.New(t)
 	s := newPlacer(func() time.Time { return start })
 	for range 2 {
@@ -364,7 +364,7 @@
 	c.Check(decision.Endpoint, qt.Equals, "e2")
 }
 
-func TestOneBrokenCallAloneIsNoPause(t *testing.T) {
+func TestOneBrokenCallAloneIsNoEjection(t *testing.T) {
 	tests := map[string]struct {
 		prepare func(b *View)
 		want    bool
@@ -392,10 +392,10 @@
 	}
 }
 
-// TestTheStreamsOfAllHostsOpenALane is scale-2 of the grown Kochi site: each of 78 hosts
+// TestTheStreamsOfAllHostsOpenAPartition is scale-2 of the grown Kochi site: each of 78 hosts
 // saw two streams of short prompts a second, and the last was partitioned after 15 s,
 // when one stream in four was late.
-func TestTheStreamsOfAllHostsOpenALane(t *testing.T) {
+func TestTheStreamsOfAllHostsOpenAPartition(t *testing.T) {
 	type counts = map[keys.Service]StreamCount
 	count := func(late, all float64) counts { return counts{keys.OfService("llm"): {Late: late, All: all}} }
 	tests := map[string]struct {
@@ -422,7 +422,7 @@
 	}
 }
 
-func TestRecentStreamsAreTold(t *testing.T) {
+func TestRecentStreamsAreReported(t *testing.T) {
 	c := qt.New(t)
 	now := start
 	s := newPlacer(func() time.Time { return now })
