--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -39,3 +39,21 @@
 		})
 	}
 }
+
+func TestSpread(t *testing.T) {
+	tests := map[string]struct {
+		part, random float64
+		want         time.Duration
+	}{
+		"wide, lowest":   {1, 0, 500 * time.Millisecond},
+		"wide, middle":   {1, 0.5, time.Second},
+		"narrow, lowest": {0.5, 0, 750 * time.Millisecond},
+		"narrow, middle": {0.5, 0.5, time.Second},
+		"not at all":     {0, 0.9, time.Second},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			qt.Check(t, Spread(time.Second, test.part, test.random), qt.Equals, test.want)
+		})
+	}
+}
--- a/internal/daemon/tableclient/tableclient.go
+++ b/internal/daemon/tableclient/tableclient.go
@@ -105,13 +105,18 @@
 	failed func()
 }
 
+// The bounds of idle connections to the table service. Not measured.
+const (
+	// idleConnections is how many are kept: polls, changes, claims, and one to spare.
+	idleConnections = 4
+	// idleTimeout is how long one is kept.
+	idleTimeout = time.Minute
+)
+
 // New returns a client. Failed is called for each call without an answer.
 func New(address string, timeout time.Duration, failed func()) *Client {
-	return &Client{
-		base:   "http://" + address,
-		http:   &http.Client{Timeout: timeout, Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute}},
-		failed: failed,
-	}
+	transport := &http.Transport{MaxIdleConnsPerHost: idleConnections, IdleConnTimeout: idleTimeout}
+	return &Client{base: "http://" + address, http: &http.Client{Timeout: timeout, Transport: transport}, failed: failed}
 }
 
 // Close closes the idle connections.
--- a/internal/front/gossip/gossip.go
+++ b/internal/front/gossip/gossip.go
@@ -21,6 +21,7 @@
 	"github.com/sirupsen/logrus"
 	"storj.io/drpc/drpcserver"
 
+	"oxbowslip.dev/oxbowslip/internal/backoff"
 	"oxbowslip.dev/oxbowslip/internal/counters"
 )
 
@@ -207,8 +208,7 @@
 	case <-done:
 		return false
 	}
-	// Spread over half an interval, so that hosts that started together do not send together.
-	idle := time.NewTimer(time.Duration((0.75 + 0.5*g.parts.Random()) * float64(idleInterval)))
+	idle := time.NewTimer(backoff.Spread(idleInterval, idleSpread, g.parts.Random()))
 	defer idle.Stop()
 	select {
 	case <-g.changed:
--- a/internal/front/gossip/heartbeat.go
+++ b/internal/front/gossip/heartbeat.go
@@ -4,11 +4,11 @@
 	"errors"
 	"net"
 	"slices"
-	"time"
 
 	"github.com/fxamacker/cbor/v2"
 	"github.com/sirupsen/logrus"
 
+	"oxbowslip.dev/oxbowslip/internal/backoff"
 	"oxbowslip.dev/oxbowslip/internal/counters"
 )
 
@@ -37,8 +37,7 @@
 	if now.Before(g.askAt) {
 		return nil
 	}
-	// Spread over one interval, so that hosts that started together do not ask together.
-	g.askAt = now.Add(time.Duration((0.5 + g.parts.Random()) * float64(askInterval)))
+	g.askAt = now.Add(backoff.Spread(askInterval, askSpread, g.parts.Random()))
 	return g.someMembers(1)
 }
 
--- a/internal/front/gossip/rules.go
+++ b/internal/front/gossip/rules.go
@@ -13,6 +13,8 @@
 const (
 	// idleInterval is the mean time between heartbeats while nothing changes. Not measured.
 	idleInterval = time.Second
+	// idleSpread is the part of idleInterval over which heartbeats are spread. Not measured.
+	idleSpread = 0.5
 	// pacePerMember and minPace space the heartbeats that report changes: the more peers a
 	// host has, the less often it sends, so that its bytes do not grow with the square of
 	// the fleet. Not measured on their own; 8 ms let 300 hosts send every 2.4 s each.
@@ -72,6 +74,8 @@
 	// askInterval is the mean time between two questions to some member for hosts that this
 	// one does not know. Not measured.
 	askInterval = 3 * time.Second
+	// askSpread is the part of askInterval over which the questions are spread. Not measured.
+	askSpread = 1
 	// contactTimeout is how long an address is tried that no host names any more. Not
 	// measured.
 	contactTimeout = 10 * time.Minute
--- a/internal/lifetime/lifetime.go
+++ b/internal/lifetime/lifetime.go
@@ -5,6 +5,8 @@
 import (
 	"context"
 	"time"
+
+	"oxbowslip.dev/oxbowslip/internal/backoff"
 )
 
 // Context returns a context that ends when done is closed. The function ends it
@@ -33,15 +35,18 @@
 	}
 }
 
-// Every calls f at once and then again and again until done is closed, with
-// pauses of half to one and a half of the mean, which keeps many hosts apart.
-// Random returns numbers from 0 up to 1.
+// repeatSpread is the part of the mean time between two calls of Every over which they are
+// spread. Not measured.
+const repeatSpread = 1
+
+// Every calls f at once and then again and again until done is closed, half to one and a half
+// of the mean time apart. Random returns numbers from 0 up to 1.
 func Every(done <-chan struct{}, mean time.Duration, random func() float64, f func(ctx context.Context)) {
 	ctx, cancel := Context(done)
 	defer cancel()
 	for {
 		f(ctx)
-		timer := time.NewTimer(time.Duration((0.5 + random()) * float64(mean)))
+		timer := time.NewTimer(backoff.Spread(mean, repeatSpread, random()))
 		select {
 		case <-timer.C:
 		case <-done:
