--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -38,17 +38,9 @@
 
 // Daemon is one running host.
 type Daemon struct {
-	config    hostconfig.Host
+	parts     Parts
 	log       *logrus.Entry
-	holder    *settings.Holder
-	follower  *poller.Follower
-	owner     *owner.Owner
-	fleet     *fleet.Fleet
 	shards    *shard.Host
-	client    *httpclient.Client
-	platform  *tableclient.Client
-	counters  *counters.Counters
-	claims    *claims.Table
 	callers   *http.Server
 	operators *http.Server
 	listeners *listen.Group
@@ -91,8 +83,7 @@
 // New returns a daemon that has not started.
 func New(p Parts) *Daemon {
 	d := &Daemon{
-		config: p.Config, log: logging.Part(p.Log, "daemon"), holder: p.Holder, follower: p.Follower, owner: p.Owner, fleet: p.Fleet,
-		shards: p.Fleet.Shards(), client: p.Client, platform: p.Platform, counters: p.Counters, claims: p.Claims,
+		parts: p, log: logging.Part(p.Log, "daemon"), shards: p.Fleet.Shards(),
 		cutShort: make(chan struct{}), done: make(chan struct{}), ended: make(chan struct{}),
 	}
 	d.callers = api.New(api.Parts{
@@ -109,7 +100,7 @@
 	d.listeners = listen.New(d.log)
 	p.Counters.Gauge("oxbowslip_open_requests", func() float64 { return float64(p.Owner.Open()) })
 	p.Counters.Gauge("oxbowslip_takeovers", func() float64 { return float64(p.Fleet.Takeovers()) })
-	p.Counters.Gauge("oxbowslip_settings_revision", func() float64 { return float64(d.holder.Number()) })
+	p.Counters.Gauge("oxbowslip_settings_revision", func() float64 { return float64(d.parts.Holder.Number()) })
 	return d
 }
 
@@ -117,23 +108,23 @@
 // until they are there, the host is not ready.
 func (d *Daemon) Start(context.Context) error {
 	var err error
-	if d.callersAddress, err = d.listeners.Start(d.callers, d.config.Callers, "callers"); err != nil {
+	if d.callersAddress, err = d.listeners.Start(d.callers, d.parts.Config.Callers, "callers"); err != nil {
 		return err
 	}
-	if d.operatorsAddress, err = d.listeners.Start(d.operators, d.config.Operators, "operators"); err != nil {
+	if d.operatorsAddress, err = d.listeners.Start(d.operators, d.parts.Config.Operators, "operators"); err != nil {
 		d.listeners.Close()
 		return err
 	}
-	if err := d.fleet.Start(); err != nil {
+	if err := d.parts.Fleet.Start(); err != nil {
 		d.listeners.Close()
 		return err
 	}
-	go d.fleet.Run(d.done)
-	go d.follower.Run(d.done)
-	go d.claims.Run(d.done)
+	go d.parts.Fleet.Run(d.done)
+	go d.parts.Follower.Run(d.done)
+	go d.parts.Claims.Run(d.done)
 	go d.followEndpoints()
 	d.log.WithFields(logrus.Fields{
-		"host": d.config.Name, "callers": d.callersAddress, "operators": d.operatorsAddress,
+		"host": d.parts.Config.Name, "callers": d.callersAddress, "operators": d.operatorsAddress,
 	}).Info("started")
 	return nil
 }
@@ -142,25 +133,25 @@
 func (d *Daemon) CallersAddress() string { return d.callersAddress }
 
 // PeersAddress is where peers reach the host, or empty.
-func (d *Daemon) PeersAddress() string { return d.fleet.PeersAddress() }
+func (d *Daemon) PeersAddress() string { return d.parts.Fleet.PeersAddress() }
 
 // Takeovers counts the shards that came to this host from another.
-func (d *Daemon) Takeovers() int { return d.fleet.Takeovers() }
+func (d *Daemon) Takeovers() int { return d.parts.Fleet.Takeovers() }
 
 // Schedulers returns the host that schedules each shard, as this host sees it.
-func (d *Daemon) Schedulers() map[string]string { return d.fleet.Schedulers() }
+func (d *Daemon) Schedulers() map[string]string { return d.parts.Fleet.Schedulers() }
 
 // OperatorsAddress is where operators reach the host.
 func (d *Daemon) OperatorsAddress() string { return d.operatorsAddress }
 
 // Open counts the requests under way.
-func (d *Daemon) Open() int { return d.owner.Open() }
+func (d *Daemon) Open() int { return d.parts.Owner.Open() }
 
 // Revision is the number of the settings in force, or 0.
-func (d *Daemon) Revision() uint64 { return d.holder.Number() }
+func (d *Daemon) Revision() uint64 { return d.parts.Holder.Number() }
 
 // Counters returns the daemon's metrics.
-func (d *Daemon) Counters() *counters.Counters { return d.counters }
+func (d *Daemon) Counters() *counters.Counters { return d.parts.Counters }
 
 // Ready reports whether the host takes requests and says so to the balancer.
 func (d *Daemon) Ready() bool { return d.Status().Ready }
@@ -169,7 +160,7 @@
 // no connection is accepted, and what is in flight ends. When ctx or the limit
 // ends first, the rest get an honest error.
 func (d *Daemon) Stop(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, d.config.Drain.Limit)
+	ctx, cancel := context.WithTimeout(ctx, d.parts.Config.Drain.Limit)
 	defer cancel()
 	go func() {
 		select {
@@ -179,13 +170,13 @@
 		}
 	}()
 	d.draining.Store(true)
-	d.fleet.Leave()
-	d.log.WithField("open", d.owner.Open()).Info("draining")
+	d.parts.Fleet.Leave()
+	d.log.WithField("open", d.parts.Owner.Open()).Info("draining")
 	select {
-	case <-time.After(d.config.Drain.Notice):
+	case <-time.After(d.parts.Config.Drain.Notice):
 	case <-ctx.Done():
 	}
-	cut := lifetime.Finish(ctx, d.callers, d.owner.Drain, stopMargin/2)
+	cut := lifetime.Finish(ctx, d.callers, d.parts.Owner.Drain, stopMargin/2)
 	d.cut.Store(int64(cut))
 	d.log.WithField("cut", cut).Info("stopped")
 	d.close()
@@ -209,9 +200,9 @@
 	close(d.done)
 	<-d.ended
 	d.listeners.Close()
-	d.fleet.Close()
-	d.client.Close()
-	d.platform.Close()
+	d.parts.Fleet.Close()
+	d.parts.Client.Close()
+	d.parts.Platform.Close()
 }
 
 // Launch builds and starts a daemon. Stop the application to end it.
--- a/internal/daemon/shards.go
+++ b/internal/daemon/shards.go
@@ -11,10 +11,10 @@
 func (d *Daemon) followEndpoints() {
 	defer close(d.ended)
 	for {
-		changed := d.holder.Changed()
-		if revision := d.holder.Current(); revision != nil {
+		changed := d.parts.Holder.Changed()
+		if revision := d.parts.Holder.Current(); revision != nil {
 			d.shards.Configure(shardConfigs(revision.Tree))
-			d.fleet.Expect(d.shards.Names())
+			d.parts.Fleet.Expect(d.shards.Names())
 			d.configured.Store(revision.Number)
 		}
 		select {
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -11,7 +11,7 @@
 
 // tree returns the tree in force as operators see it.
 func (d *Daemon) tree() operator.SettingsAnswer {
-	document := d.follower.Document()
+	document := d.parts.Follower.Document()
 	return operator.SettingsAnswer{Revision: document.Revision, Tree: document.Data}
 }
 
@@ -28,11 +28,11 @@
 	switch {
 	case d.draining.Load():
 		return "the host is leaving"
-	case d.holder.Current() == nil && d.follower.Problem() != nil:
-		return "no settings yet: " + d.follower.Problem().Error()
+	case d.parts.Holder.Current() == nil && d.parts.Follower.Problem() != nil:
+		return "no settings yet: " + d.parts.Follower.Problem().Error()
 	case d.configured.Load() == 0:
 		return "no settings yet"
-	case d.follower.Stale():
+	case d.parts.Follower.Stale():
 		return "cut off from the platform and from all peers: the settings may be old"
 	}
 	return ""
@@ -42,9 +42,9 @@
 func (d *Daemon) Status() operator.Status {
 	problem := d.Problem()
 	status := operator.Status{
-		Host: d.config.Name, Zone: d.config.Zone, Version: version.Version, Revision: d.holder.Number(), Ready: problem == "",
-		Problem: problem, Open: d.owner.Open(), Now: time.Now(), Schedulers: d.fleet.Schedulers(),
-		Refusals: d.counters.RefusalsByReason(),
+		Host: d.parts.Config.Name, Zone: d.parts.Config.Zone, Version: version.Version, Revision: d.parts.Holder.Number(), Ready: problem == "",
+		Problem: problem, Open: d.parts.Owner.Open(), Now: time.Now(), Schedulers: d.parts.Fleet.Schedulers(),
+		Refusals: d.parts.Counters.RefusalsByReason(),
 	}
 	for _, name := range d.shards.Names() {
 		d.shards.Inspect(name, func(core *schedule.Scheduler) {
--- a/internal/front/directory/directory.go
+++ b/internal/front/directory/directory.go
@@ -152,13 +152,8 @@
 
 // Endpoint returns an endpoint, and whether it is known and takes new work.
 func (d *Directory) Endpoint(id string) (settings.Endpoint, bool) {
-	d.mu.RLock()
-	defer d.mu.RUnlock()
-	entry, ok := d.entries[id]
-	if !ok {
-		return settings.Endpoint{}, false
-	}
-	return entry.Endpoint, entry.Endpoint.State != settings.StateOut
+	endpoint, ok := d.Lookup(id)
+	return endpoint, ok && endpoint.State != settings.StateOut
 }
 
 // Lookup returns an endpoint, and whether it is known. It may take no new work.
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -83,17 +83,8 @@
 
 // Host is one running host.
 type Host struct {
-	config     hostconfig.Host
-	deployment Deployment
-	log        *logrus.Entry
-	counters   *counters.Counters
-	owner      *owner.Owner
-	client     *upstream.Client
-	settings   *settings.Holder
-	directory  *directory.Directory
-	placer     *placement.Placer
-	followers  *followers
-	gossip     *gossip.Gossip
+	parts Parts
+	log   *logrus.Entry
 
 	callers   *http.Server
 	readiness *http.Server
@@ -101,7 +92,6 @@
 	operators *http.Server
 	listeners *listen.Group
 	bound     Addresses
-	clock     func() time.Time
 	leaving   atomic.Bool
 	// lastContact is when the host last received something from the store or a peer, in ns since 1970.
 	lastContact atomic.Int64
@@ -131,11 +121,7 @@
 
 // New returns a host that has not started.
 func New(p Parts) *Host {
-	h := &Host{
-		config: p.Config, deployment: p.Deployment, log: logging.Part(p.Log, "host"), counters: p.Counters, owner: p.Owner,
-		client: p.Client, settings: p.Settings, directory: p.Directory, placer: p.Placer, followers: p.Followers, gossip: p.Gossip,
-		clock: p.Clock, done: make(chan struct{}),
-	}
+	h := &Host{parts: p, log: logging.Part(p.Log, "host"), done: make(chan struct{})}
 	h.listeners = listen.New(h.log)
 	h.lastContact.Store(p.Clock().UnixNano())
 	h.callers = &http.Server{
@@ -153,20 +139,20 @@
 
 func (h *Host) registerGauges() {
 	for name, read := range map[string]func() float64{
-		"oxbowslip_settings_revision":         func() float64 { return float64(h.settings.Number()) },
-		"oxbowslip_directory_revision":        func() float64 { return float64(h.directory.Revision()) },
-		"oxbowslip_endpoints":                 func() float64 { return float64(h.directory.CountServing()) },
-		"oxbowslip_hosts":                     func() float64 { return float64(h.gossip.Hosts()) },
-		"oxbowslip_open_requests":             func() float64 { return float64(h.owner.Open()) },
-		"oxbowslip_upstream_connections_made": func() float64 { return float64(h.client.Dials()) },
+		"oxbowslip_settings_revision":         func() float64 { return float64(h.parts.Settings.Number()) },
+		"oxbowslip_directory_revision":        func() float64 { return float64(h.parts.Directory.Revision()) },
+		"oxbowslip_endpoints":                 func() float64 { return float64(h.parts.Directory.CountServing()) },
+		"oxbowslip_hosts":                     func() float64 { return float64(h.parts.Gossip.Hosts()) },
+		"oxbowslip_open_requests":             func() float64 { return float64(h.parts.Owner.Open()) },
+		"oxbowslip_upstream_connections_made": func() float64 { return float64(h.parts.Client.Dials()) },
 	} {
-		h.counters.Gauge(name, read)
+		h.parts.Counters.Gauge(name, read)
 	}
 }
 
 func (h *Host) readinessHandler() http.Handler {
 	router := mux.NewRouter()
-	router.HandleFunc(h.deployment.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
+	router.HandleFunc(h.parts.Deployment.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if h.Problem() != "" {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -178,7 +164,7 @@
 
 func (h *Host) metricsHandler() http.Handler {
 	router := mux.NewRouter()
-	router.HandleFunc(h.deployment.MetricsPath, func(w http.ResponseWriter, _ *http.Request) { h.counters.Write(w) })
+	router.HandleFunc(h.parts.Deployment.MetricsPath, func(w http.ResponseWriter, _ *http.Request) { h.parts.Counters.Write(w) })
 	return router
 }
 
@@ -187,11 +173,11 @@
 	switch {
 	case h.leaving.Load():
 		return "the host is leaving"
-	case h.settings.Current() == nil:
+	case h.parts.Settings.Current() == nil:
 		return "no settings yet"
-	case h.directory.Revision() == 0:
+	case h.parts.Directory.Revision() == 0:
 		return "no endpoints yet"
-	case h.clock().UnixNano()-h.lastContact.Load() > int64(maxIsolation):
+	case h.parts.Clock().UnixNano()-h.lastContact.Load() > int64(maxIsolation):
 		return "cut off from the store and from all peers: the settings may be old"
 	}
 	return ""
@@ -199,10 +185,10 @@
 
 // expire drops old state, and notes whether the host is in contact with anyone.
 func (h *Host) expire(context.Context) {
-	h.client.CloseExpired()
-	h.placer.Expire()
-	if h.followers.healthy() || h.gossip.Hosts() > 1 {
-		h.lastContact.Store(h.clock().UnixNano())
+	h.parts.Client.CloseExpired()
+	h.parts.Placer.Expire()
+	if h.parts.Followers.healthy() || h.parts.Gossip.Hosts() > 1 {
+		h.lastContact.Store(h.parts.Clock().UnixNano())
 	}
 }
 
@@ -219,30 +205,30 @@
 // those that are 0 in its file.
 func (h *Host) Addresses() Addresses {
 	bound := h.bound
-	bound.Peers = h.gossip.Address()
+	bound.Peers = h.parts.Gossip.Address()
 	return bound
 }
 
 // Start listens and begins to follow the store. It does not wait for the store: until there
 // are settings and endpoints, the host is not ready.
 func (h *Host) Start(context.Context) error {
-	if h.config.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(heapPart * float64(h.config.MemoryMB) * (1 << 20)))
+	if h.parts.Config.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(heapPart * float64(h.parts.Config.MemoryMB) * (1 << 20)))
 	}
 	if err := h.listen(); err != nil {
 		return err
 	}
-	if err := h.gossip.Start(); err != nil {
+	if err := h.parts.Gossip.Start(); err != nil {
 		return err
 	}
-	go h.gossip.Run(h.done)
-	go h.gossip.KeepRegistered(h.done, h.deployment.Registry)
-	h.followers.run(h.done)
+	go h.parts.Gossip.Run(h.done)
+	go h.parts.Gossip.KeepRegistered(h.done, h.parts.Deployment.Registry)
+	h.parts.Followers.run(h.done)
 	go lifetime.Every(h.done, expireInterval, randomNumber, h.expire)
 	h.log.WithFields(logrus.Fields{
-		"host": h.config.Name, "zone": h.config.Zone, "callers": h.bound.Callers, "readiness": h.bound.Readiness,
-		"peers": h.gossip.Address(), "store": h.config.Platform.Address,
-		"first_peers": h.config.FirstPeers, "memory_mb": h.config.MemoryMB,
+		"host": h.parts.Config.Name, "zone": h.parts.Config.Zone, "callers": h.bound.Callers, "readiness": h.bound.Readiness,
+		"peers": h.parts.Gossip.Address(), "store": h.parts.Config.Platform.Address,
+		"first_peers": h.parts.Config.FirstPeers, "memory_mb": h.parts.Config.MemoryMB,
 	}).Info("started")
 	return nil
 }
@@ -255,10 +241,10 @@
 		what    string
 		bound   *string
 	}{
-		{h.callers, h.config.Callers, "callers", &h.bound.Callers},
-		{h.readiness, h.config.Readiness, "readiness", &h.bound.Readiness},
-		{h.metrics, h.config.Metrics, "metrics", &h.bound.Metrics},
-		{h.operators, h.config.Operators, "operators", &h.bound.Operators},
+		{h.callers, h.parts.Config.Callers, "callers", &h.bound.Callers},
+		{h.readiness, h.parts.Config.Readiness, "readiness", &h.bound.Readiness},
+		{h.metrics, h.parts.Config.Metrics, "metrics", &h.bound.Metrics},
+		{h.operators, h.parts.Config.Operators, "operators", &h.bound.Operators},
 	} {
 		var err error
 		if *l.bound, err = h.listeners.Start(l.server, l.address, l.what); err != nil {
@@ -271,7 +257,7 @@
 // Reload applies the host's file as it was read again. Only the addresses of first peers can
 // change while the host runs.
 func (h *Host) Reload(config hostconfig.Host) {
-	h.gossip.Contact(config.FirstPeers)
+	h.parts.Gossip.Contact(config.FirstPeers)
 	h.log.WithFields(logrus.Fields{"first_peers": config.FirstPeers, "store": config.Platform.Address}).Info("settings file read again")
 }
 
@@ -279,15 +265,15 @@
 // accepted, and what is in flight ends. Once the drain's limit has passed, the rest get an
 // honest error. It blocks until then.
 func (h *Host) Stop(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, h.config.Drain.Limit)
+	ctx, cancel := context.WithTimeout(ctx, h.parts.Config.Drain.Limit)
 	defer cancel()
 	h.leaving.Store(true)
-	h.log.WithField("open", h.owner.Open()).Info("leaving")
+	h.log.WithField("open", h.parts.Owner.Open()).Info("leaving")
 	go h.unregister()
 	// When ctx ends first, Finish cuts the rest at once.
-	lifetime.Sleep(ctx, h.config.Drain.Notice)
-	cut := lifetime.Finish(ctx, h.callers, h.owner.Drain, stopMargin)
-	h.gossip.Leave()
+	lifetime.Sleep(ctx, h.parts.Config.Drain.Notice)
+	cut := lifetime.Finish(ctx, h.callers, h.parts.Owner.Drain, stopMargin)
+	h.parts.Gossip.Leave()
 	h.close()
 	h.log.WithField("cut", cut).Info("stopped")
 	return nil
@@ -295,22 +281,22 @@
 
 // unregister removes this host's address from the registry.
 func (h *Host) unregister() {
-	if !h.gossip.Registered() {
+	if !h.parts.Gossip.Registered() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), stopMargin)
 	defer cancel()
-	if err := h.deployment.Registry.Unregister(ctx, h.config.Name); err != nil {
+	if err := h.parts.Deployment.Registry.Unregister(ctx, h.parts.Config.Name); err != nil {
 		h.log.WithError(err).Warn("the host's address stays registered")
 	}
 }
 
 func (h *Host) close() {
 	close(h.done)
-	h.gossip.Close()
+	h.parts.Gossip.Close()
 	h.listeners.Close()
-	h.client.Close()
+	h.parts.Client.Close()
 }
 
 // Endpoints returns the number of endpoints that take new work, as far as this host knows.
-func (h *Host) Endpoints() int { return h.directory.CountServing() }
+func (h *Host) Endpoints() int { return h.parts.Directory.CountServing() }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -18,16 +18,16 @@
 	}{
 		"all well":           {func(*Host) {}, ""},
 		"leaving":            {func(h *Host) { h.leaving.Store(true) }, "the host is leaving"},
-		"no settings":        {func(h *Host) { h.settings = settings.NewHolder() }, "no settings yet"},
-		"no endpoints":       {func(h *Host) { h.directory = directory.New() }, "no endpoints yet"},
+		"no settings":        {func(h *Host) { h.parts.Settings = settings.NewHolder() }, "no settings yet"},
+		"no endpoints":       {func(h *Host) { h.parts.Directory = directory.New() }, "no endpoints yet"},
 		"cut off for a bit":  {func(h *Host) { h.lastContact.Store(now.Add(-maxIsolation).UnixNano()) }, ""},
 		"cut off for longer": {func(h *Host) { h.lastContact.Store(now.Add(-maxIsolation - 1).UnixNano()) }, "cut off from the store and from all peers: the settings may be old"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			h := &Host{settings: settings.NewHolder(), directory: directory.New(), clock: func() time.Time { return now }}
-			h.settings.Offer(&settings.Revision{Number: 1, Tree: &settings.Tree{}})
-			h.directory.Apply(1, nil)
+			h := &Host{parts: Parts{Settings: settings.NewHolder(), Directory: directory.New(), Clock: func() time.Time { return now }}}
+			h.parts.Settings.Offer(&settings.Revision{Number: 1, Tree: &settings.Tree{}})
+			h.parts.Directory.Apply(1, nil)
 			h.lastContact.Store(now.UnixNano())
 			test.prepare(h)
 			qt.Check(t, h.Problem(), qt.Equals, test.want)
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -29,7 +29,7 @@
 
 // tree returns the tree in force as operators see it.
 func (h *Host) tree() operator.SettingsAnswer {
-	current := h.settings.Current()
+	current := h.parts.Settings.Current()
 	if current == nil {
 		return operator.SettingsAnswer{}
 	}
@@ -45,11 +45,11 @@
 func (h *Host) Status() operator.Status {
 	problem := h.Problem()
 	status := operator.Status{
-		Host: h.config.Name, Zone: h.config.Zone, Revision: h.settings.Number(), Ready: problem == "", Problem: problem,
-		Open: h.owner.Open(), Now: time.Now(), Refusals: h.counters.RefusalsByReason(),
-		Hosts: h.gossip.Hosts(), Directory: h.directory.Revision(), Endpoints: h.directory.CountServing(),
+		Host: h.parts.Config.Name, Zone: h.parts.Config.Zone, Revision: h.parts.Settings.Number(), Ready: problem == "", Problem: problem,
+		Open: h.parts.Owner.Open(), Now: time.Now(), Refusals: h.parts.Counters.RefusalsByReason(),
+		Hosts: h.parts.Gossip.Hosts(), Directory: h.parts.Directory.Revision(), Endpoints: h.parts.Directory.CountServing(),
 	}
-	_, ejected := h.placer.Snapshot()
+	_, ejected := h.parts.Placer.Snapshot()
 	for endpoint := range ejected {
 		status.Ejected = append(status.Ejected, endpoint)
 	}
