--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -101,7 +101,7 @@
 	high := make(chan answer, 1)
 	go func() { high <- postTo(c, cluster.Hosts()[1], "itinerary", chatBody(false)) }()
 	until(c, "the high one waits", func() bool { return cluster.Hosts()[1].Daemon.Open() == 1 })
-	until(c, "the high one is heard", func() bool { return waiting(cluster, "voyage") >= 20 })
+	until(c, "the requests of the high one wait", func() bool { return waiting(cluster, "voyage") >= 20 })
 	engine.SetFaults(standin.EngineFaults{})
 	got := <-high
 	c.Assert(got.status, qt.Equals, http.StatusOK)
--- a/internal/daemon/schedule/room.go
+++ b/internal/daemon/schedule/room.go
@@ -23,7 +23,7 @@
 		return "", true
 	}
 	if now.Before(s.heldUntil) && r.Tier < Tiers-1 {
-		// Lower tiers of owners that were not heard from yet may have to go first.
+		// Lower tiers of owners that have announced nothing yet may have to go first.
 		return "", true
 	}
 	if s.makeRoom(now, r) {
--- a/internal/front/gossip/gossip_test.go
+++ b/internal/front/gossip/gossip_test.go
@@ -79,7 +79,7 @@
 	c.Check(m.ToAnnounceTo(start.Add(time.Hour)), qt.HasLen, 0, qt.Commentf("addresses that nobody names are forgotten"))
 }
 
-// node is a host that records what it hears.
+// node is a host that records what it receives.
 type node struct {
 	gossip *Gossip
 	done   chan struct{}
--- a/internal/front/peersync/peersync_test.go
+++ b/internal/front/peersync/peersync_test.go
@@ -108,7 +108,7 @@
 		reading bool
 		want    int
 	}{
-		"a reader that hears of it before the store answers": {true, 1},
+		"a reader that learns of it before the store answers": {true, 1},
 		"a host that does not read the store":                {false, 0},
 	}
 	for name, test := range tests {
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -41,7 +41,7 @@
 }
 
 // WorkspaceOf returns the workspace that a caller's key belongs to. All hashes
-// are compared, each in constant time, so that timing tells nothing.
+// are compared, each in constant time, so that timing reveals nothing.
 func (t *Tree) WorkspaceOf(key string) (string, bool) {
 	hash := []byte(HashKey(key))
 	found := ""
