--- a/internal/front/peersync/peersync_test.go
+++ b/internal/front/peersync/peersync_test.go
@@ -109,7 +109,7 @@
 		want    int
 	}{
 		"a reader that learns of it before the store answers": {true, 1},
-		"a host that does not read the store":                {false, 0},
+		"a host that does not read the store":                 {false, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
