--- a/internal/daemon/api/api.go
+++ b/internal/daemon/api/api.go
@@ -36,10 +36,15 @@
 	HeaderWorkspace      = "X-Workspace"
 )
 
+// The limits of calls. Not measured.
 const (
+	// readHeaderTime bounds how long a caller may send its headers: slow networks pass, idle
+	// connections that hold memory do not.
 	readHeaderTime = 10 * time.Second
+	// maxHeaderBytes bounds the headers of a call in memory.
 	maxHeaderBytes = 32 << 10
-	maxIDLength    = 128
+	// maxIDLength bounds a caller's request ID in bytes, which stands in logs and explanations.
+	maxIDLength = 128
 )
 
 // Claims reserves an idempotency key for one request, so that no other host runs
@@ -263,7 +268,8 @@
 	}
 }
 
-// maxResumes bounds how often one stream is taken up at its engine.
+// maxResumes bounds how often one stream is resumed at its engine: a connection that breaks
+// more often is not the exception for which resuming is there. Not measured.
 const maxResumes = 3
 
 func rules(p *settings.Policy) request.Rules {
--- a/internal/daemon/api/chat.go
+++ b/internal/daemon/api/chat.go
@@ -21,12 +21,14 @@
 )
 
 const (
+	// maxAnswerBytes bounds a whole answer, which is held in memory. Not measured.
 	maxAnswerBytes = 16 << 20
-	chatPath       = "/v1/chat/completions"
-	streamsPath    = "/v1/streams/"
-	chatIDPrefix   = "chatcmpl-"
-	jsonType       = "application/json"
-	eventType      = "text/event-stream"
+
+	chatPath     = "/v1/chat/completions"
+	streamsPath  = "/v1/streams/"
+	chatIDPrefix = "chatcmpl-"
+	jsonType     = "application/json"
+	eventType    = "text/event-stream"
 )
 
 // chat answers one chat request.
@@ -231,7 +233,7 @@
 	})
 }
 
-// resumePause is the time for a connection that broke to come back.
+// resumePause is the time for a connection that broke to come back. Not measured.
 const resumePause = 20 * time.Millisecond
 
 func (x *chatExchange) relay(ctx context.Context, a *owner.Attempt, call httpclient.Call) owner.Result {
--- a/internal/daemon/claims/claims.go
+++ b/internal/daemon/claims/claims.go
@@ -20,15 +20,16 @@
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
 
+// The limits of claims. Not measured.
 const (
 	// gather is how long claims wait for others to share their transaction.
 	gather = 5 * time.Millisecond
-	// maxBatch bounds the claims of one transaction.
+	// maxBatch bounds the claims of one transaction, each with three conditions and a write.
 	maxBatch = 64
 	// maxWaiting bounds the claims that wait. More are refused at once, so that
 	// a burst of keys can't build a queue before the platform.
 	maxWaiting = 1024
-	// maxAttempts bounds the transactions for one claim.
+	// maxAttempts bounds the transactions for one claim; each can lose its answer.
 	maxAttempts = 3
 )
 
@@ -36,7 +37,7 @@
 var ErrUnavailable = merry.Sentinel("idempotency key can't be claimed")
 
 // day is the length of a key's bucket. A key is remembered for one to three
-// days.
+// days: long against any caller's retries. Not measured.
 const day = 24 * time.Hour
 
 // value is the value of a claim's row.
@@ -84,7 +85,8 @@
 	rounds int
 }
 
-// giveBackRounds is how often an orphan is looked for.
+// giveBackRounds is how often an orphan is looked for: its row may be written late, by a
+// transaction whose answer was lost. Not measured.
 const giveBackRounds = 3
 
 // New returns a table. Run must be running for claims to be taken.
@@ -148,7 +150,9 @@
 	}
 }
 
-// giveBackEvery is how often orphaned claims are given back.
+// giveBackEvery is how often claims are given back whose outcome was not known; those of refused
+// requests are given back at once. Not measured: until then a caller that repeats its request is
+// refused as if the first one still ran.
 const giveBackEvery = 5 * time.Second
 
 // batch gathers the claims that share a transaction. Two claims of the same key
--- a/internal/daemon/commit/commit.go
+++ b/internal/daemon/commit/commit.go
@@ -40,11 +40,14 @@
 	return "conflicts with a change that was accepted since"
 }
 
+// The limits of one change. Not measured.
 const (
 	// maxRaces bounds the transactions that may lose against other operators.
 	maxRaces = 8
 	// maxLookups bounds the tries to find out what became of a lost answer.
-	maxLookups  = 5
+	maxLookups = 5
+	// lookupPause is the time between them: a transaction whose answer was lost may still be
+	// on its way.
 	lookupPause = 200 * time.Millisecond
 	// snapshotEvery is how many changes a new host reads at most after the
 	// snapshot.
--- a/internal/daemon/fleet/fleet.go
+++ b/internal/daemon/fleet/fleet.go
@@ -28,13 +28,15 @@
 )
 
 // takeoverHold is how long a host that takes over a shard waits for the other
-// owners before it grants: until then it does not know what they have running.
+// owners before it grants: until then it does not know what they have running. Not measured: a
+// round trip and the first back-offs of a link (100 and 200 ms) fit in it.
 const takeoverHold = 600 * time.Millisecond
 
-// listInterval is the mean time between two reads of the platform's list.
+// listInterval is the mean time between two reads of the platform's list. Not measured: the list
+// lags by itself, and links report a dead host sooner.
 const listInterval = 2 * time.Second
 
-// repeatInterval is the mean time between two repeats of what waits.
+// repeatInterval is the mean time between two repeats of what waits. Not measured.
 const repeatInterval = time.Second
 
 // Config is who a host is among its peers.
@@ -98,7 +100,8 @@
 	return f
 }
 
-// maxAsked bounds the peers that are asked for settings at a time.
+// maxAsked bounds the peers that are asked for settings at a time, so that a platform that is away
+// does not make every host ask every other. Not measured.
 const maxAsked = 3
 
 // Settings asks a few peers, picked at random, for settings newer than a
--- a/internal/daemon/httpclient/httpclient.go
+++ b/internal/daemon/httpclient/httpclient.go
@@ -18,11 +18,17 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
+// The limits of connections to endpoints. Not measured.
 const (
-	dialTimeout  = time.Second
-	idleTimeout  = 30 * time.Second
-	idlePerHost  = 64
-	headerLimit  = 64 << 10
+	// dialTimeout bounds making a connection.
+	dialTimeout = time.Second
+	// idleTimeout is how long a connection is kept without a call.
+	idleTimeout = 30 * time.Second
+	// idlePerHost is how many idle connections to one endpoint are kept.
+	idlePerHost = 64
+	// headerLimit bounds the headers of an answer, in bytes.
+	headerLimit = 64 << 10
+	// writeBufSize and readBufSize are the buffers of one connection, in bytes.
 	writeBufSize = 8 << 10
 	readBufSize  = 8 << 10
 )
--- a/internal/daemon/peer/server.go
+++ b/internal/daemon/peer/server.go
@@ -17,7 +17,7 @@
 )
 
 // ownerGrace is how long an owner whose link is lost may stay away before its
-// requests are dropped.
+// requests are dropped. Not measured: two silence limits, time for a link to be made again.
 const ownerGrace = 2 * time.Second
 
 // Server is this host's side, as a scheduler, of the links from owners.
--- a/internal/daemon/peer/wire.go
+++ b/internal/daemon/peer/wire.go
@@ -128,6 +128,7 @@
 	return cbor.Unmarshal(data, message)
 }
 
+// nonceBytes is the length of a challenge: 128 bits are not guessed or seen twice.
 const nonceBytes = 16
 
 func newNonce() []byte {
--- a/internal/daemon/poller/poller.go
+++ b/internal/daemon/poller/poller.go
@@ -74,7 +74,7 @@
 type Peers func(ctx context.Context, newer uint64) (document change.Document, answered bool)
 
 // grace is how long a host that reaches neither the platform nor a peer trusts its
-// settings.
+// settings. Not measured; the same as maxIsolation of package front.
 const grace = 30 * time.Second
 
 // Parts are what a follower works with.
@@ -127,7 +127,7 @@
 }
 
 // nudgeSpread is the time over which hosts that learn of a newer revision at once
-// spread their reads.
+// spread their reads. Not measured.
 const nudgeSpread = 200 * time.Millisecond
 
 // Nudge reports that a peer has a revision. If it is newer, the platform is asked
--- a/internal/daemon/prefix/prefix.go
+++ b/internal/daemon/prefix/prefix.go
@@ -8,15 +8,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BytesPerToken is the assumed length of a token in a prompt's text.
+// BytesPerToken is the assumed length of a token in a prompt's text: about right for English. A
+// wrong one shifts all estimates alike.
 const BytesPerToken = 4
 
-// TokensPerPart is how much longer each part is than the one before.
+// TokensPerPart is how much longer each part is than the one before. Not measured.
 const TokensPerPart = 256
 
 const bytesPerPart = TokensPerPart * BytesPerToken
 
-// maxParts bounds the parts of one prompt.
+// maxParts bounds the parts of one prompt, 16,384 tokens; what is longer is not compared. Not
+// measured.
 const maxParts = 64
 
 // Tokens estimates the tokens of a prompt's text.
--- a/internal/daemon/tableclient/tableclient.go
+++ b/internal/daemon/tableclient/tableclient.go
@@ -96,6 +96,7 @@
 	PathHosts        = "/v1/hosts"
 )
 
+// maxAnswerBytes bounds an answer in memory. Not measured; a snapshot of the settings is the largest.
 const maxAnswerBytes = 64 << 20
 
 // Client talks to the platform.
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -10,10 +10,12 @@
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-// Bounds of what is kept.
+// Bounds of what is kept, in memory of a host. Not measured.
 const (
+	// maxRecords is the number of requests.
 	maxRecords = 4096
-	maxSteps   = 32
+	// maxSteps is the number of steps of one request: a few for each try.
+	maxSteps = 32
 )
 
 // Step is one thing that happened to a request.
--- a/internal/front/follow/follow.go
+++ b/internal/front/follow/follow.go
@@ -70,7 +70,7 @@
 var storeBackoff = backoff.Doubling{First: 150 * time.Millisecond, Longest: time.Second}
 
 const (
-	// leastBackoff is the part of storeBackoff that is always waited.
+	// leastBackoff is the part of storeBackoff that is always waited. Not measured.
 	leastBackoff = 0.5
 	// spacing is the least time between a change and the next call: changes that come close
 	// together are read in one call. Measured with 71 hosts, together with the readers of
--- a/internal/front/gossip/rules.go
+++ b/internal/front/gossip/rules.go
@@ -93,7 +93,8 @@
 	// directory, a change reached all of 300 hosts within the bound of 2 s (before 2.8 to
 	// 4.0 s; docs/incidents).
 	maxSnapshots = 4
-	// maxDatagram is the size in bytes of the largest datagram that is read.
+	// maxDatagram is the size in bytes of the largest datagram that is read. Heartbeats that are
+	// sent stay far below (TestHeartbeatBytes).
 	maxDatagram = 16 << 10
 )
 
--- a/internal/front/pack/pack.go
+++ b/internal/front/pack/pack.go
@@ -15,9 +15,10 @@
 var ErrDamaged = merry.Sentinel("packed document is damaged or was made on another base")
 
 const (
-	// baseID identifies the dictionary of a patch in its frame.
+	// baseID identifies the dictionary of a patch in its frame. All versions use the same.
 	baseID = 1
-	// maxDocument bounds an unpacked document, in bytes.
+	// maxDocument bounds an unpacked document, in bytes, so that a damaged frame can't fill the
+	// memory. Not measured.
 	maxDocument = 64 << 20
 )
 
--- a/internal/front/relay/silence.go
+++ b/internal/front/relay/silence.go
@@ -16,6 +16,7 @@
 	// silentPauses): 0.80 -> 0.82 and 0.67 -> 0.68; standard days within noise.
 	plainTargets = 2
 	// silentPauses is how many targets for pauses a stream may stay silent between events.
+	// Measured with plainTargets (see there).
 	silentPauses = 4
 	// streamTargets is how many targets for the first event a stream may take to begin, beside
 	// the time to process the prompts before it. Measured (c22b4af, sum of worth of six days):
--- a/internal/logread/logread.go
+++ b/internal/logread/logread.go
@@ -67,6 +67,7 @@
 // up to 8 s.
 const before = 10 * time.Second
 
+// maxLineBytes bounds a line of a log; one that is longer ends the reading with an error.
 const maxLineBytes = 1 << 20
 
 // Read finds the story of a request in logs, one JSON object a line. Other lines are
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -115,6 +115,7 @@
 	}
 }
 
+// readHeaderTime bounds how long an operator may send the headers of a call. Not measured.
 const readHeaderTime = 10 * time.Second
 
 // HTTP returns the HTTP server. Health, readiness and metrics need no key.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -239,7 +239,8 @@
 	MaxPause time.Duration
 }
 
-// builtIn is what holds where the tree says nothing.
+// builtIn is what holds where the tree has no value. The targets are those of the users
+// (docs/DEVELOPERS.md, latency); the rest is not measured.
 var builtIn = Policy{
 	Enabled:         true,
 	Tier:            2,
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -12,7 +12,7 @@
 )
 
 // maxTotalShare bounds the guaranteed shares of all classes together, so that
-// most of the capacity always follows the tiers.
+// most of the capacity always follows the tiers. Not measured.
 const maxTotalShare = 0.5
 
 // Decode reads a tree and checks it whole. The error is a *strictjson.Error
