--- a/internal/proof/replay/owner.go
+++ b/internal/proof/replay/owner.go
@@ -103,17 +103,23 @@
 	if s.due.After(now) && !next.Before(s.due) {
 		return
 	}
-	s.due = next
-	sim.at(next, func(now time.Time) {
-		if !s.due.Equal(now) {
-			return
-		}
-		s.due = time.Time{}
+	sim.wake(&s.due, next, func(now time.Time) {
 		s.policy.Tick(now)
 		sim.settle(now, s)
 	})
 }
 
+// wake runs a function at a time, unless due has been set to another time by then.
+func (sim *simulation) wake(due *time.Time, at time.Time, run func(now time.Time)) {
+	*due = at
+	sim.at(at, func(now time.Time) {
+		if due.Equal(now) {
+			*due = time.Time{}
+			run(now)
+		}
+	})
+}
+
 func (sim *simulation) decide(now time.Time, s *simulatedShard, d *admission.Decision) {
 	j := sim.jobs[d.ID]
 	sim.checkDecision(now, s, j, d)
@@ -175,12 +181,7 @@
 	if !ok || next.Equal(e.stepDue) {
 		return
 	}
-	e.stepDue = next
-	sim.at(next, func(now time.Time) {
-		if !e.stepDue.Equal(now) {
-			return
-		}
-		e.stepDue = time.Time{}
+	sim.wake(&e.stepDue, next, func(now time.Time) {
 		for _, event := range slices.Clone(e.model.Step(now)) {
 			sim.engineEvent(now, e, event)
 		}
