--- a/internal/front/gossip/gossip_test.go
+++ b/internal/front/gossip/gossip_test.go
@@ -90,14 +90,14 @@
 	received map[string]*Heartbeat
 	lost     []string
 	taken    []string
-	// introductions counts what was sent.
-	introductions atomic.Int32
+	// announcements counts what was sent.
+	announcements atomic.Int32
 }
 
 // count is called with each send.
 func (n *node) count(kind counters.PeerTraffic, _ int) {
 	if kind == counters.PeerAnnouncements {
-		n.introductions.Add(1)
+		n.announcements.Add(1)
 	}
 }
 
@@ -333,19 +333,19 @@
 }
 
 // TestOnlyUnknownHostsAreAnnouncedTo is a fleet of 297 hosts: nine tenths of what hosts sent
-// each other were introductions, sent to all whenever one host was new.
+// each other were announcements, sent to all whenever one host was new.
 func TestOnlyUnknownHostsAreAnnouncedTo(t *testing.T) {
 	c := qt.New(t)
 	a := startNode(c, "a")
 	b := startNode(c, "b", a.gossip.Address())
 	eventually(c, "both hosts", func() bool { return a.gossip.Hosts() == 2 && b.gossip.Hosts() == 2 })
-	sent := b.introductions.Load()
+	sent := b.announcements.Load()
 	late := startNode(c, "late", a.gossip.Address())
 	for _, n := range []*node{a, b, late} {
 		eventually(c, "three hosts", func() bool { return n.gossip.Hosts() == 3 })
 	}
 	// b introduces itself to the new host: by itself or asked, and at most both.
-	c.Check(b.introductions.Load()-sent <= 2, qt.IsTrue, qt.Commentf("%d introductions", b.introductions.Load()-sent))
+	c.Check(b.announcements.Load()-sent <= 2, qt.IsTrue, qt.Commentf("%d announcements", b.announcements.Load()-sent))
 }
 
 // TestAnUnknownSenderIsAsked is the loss of an announcement: without it, the heartbeats of its
@@ -362,7 +362,7 @@
 	eventually(c, "b is known again", func() bool { return a.gossip.Hosts() == 2 })
 }
 
-func TestStrangers(t *testing.T) {
+func TestUnknownSenders(t *testing.T) {
 	tests := map[string]struct {
 		prepare func(m *Members)
 		want    []string
--- a/internal/proof/names/names_test.go
+++ b/internal/proof/names/names_test.go
@@ -60,14 +60,14 @@
 	return words
 }
 
-// TestWithdrawnWords fails on a name or comment that uses a word which the glossary withdraws.
+// TestWithdrawnWords fails on a name or comment, in tests too, that uses a word which the glossary withdraws.
 // Texts in quotes may: they are encoded or printed, and stay as they are.
 func TestWithdrawnWords(t *testing.T) {
 	c := qt.New(t)
 	words := withdrawn(c)
 	for _, folder := range []string{"cmd", "internal", "platform"} {
 		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, entry fs.DirEntry, err error) error {
-			if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
+			if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "names_test.go") {
 				return err
 			}
 			source, err := os.ReadFile(path)
