--- a/internal/daemon/membership/membership.go
+++ b/internal/daemon/membership/membership.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// Suspect notes whether a peer can't be reached, and reports whether that is
-// news.
+// Suspect notes whether a peer can't be reached, and reports whether that has
+// changed.
 func (v *View) Suspect(name string, suspect bool) bool {
 	if v.suspects[name] == suspect {
 		return false
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,11 +1,11 @@
 // Package front is one host of oxbowslip-front: the daemon for a deployment whose settings
 // and endpoints come from a store that it does not own, and whose calls are routed by host
-// name and path. It wires the parts together (fx.go) and takes them through start, reload
-// and planned stop.
+// name and path. It wires the parts together (fx.go), starts them, reloads the host's file and
+// stops as planned.
 //
 // The packages below it serve this program only: relay (callers), placement (which endpoint),
 // upstream (connections to endpoints), directory (endpoints), follow (the store), gossip and
-// peersync (other hosts), retries in package retrybudget. What is particular to one deployment
+// peersync (other hosts). What is particular to one deployment
 // comes in as a Deployment; package platform has the one of the users.
 package front
 
@@ -60,7 +60,8 @@
 	// idleTimeout is how long a caller's connection may rest.
 	idleTimeout = time.Minute
 	// headerTimeout is how long a caller may take to send a request's head.
-	headerTimeout  = 5 * time.Second
+	headerTimeout = 5 * time.Second
+	// maxHeaderBytes bounds the head of a request in memory.
 	maxHeaderBytes = 64 << 10
 )
 
--- a/internal/front/placement/affinity.go
+++ b/internal/front/placement/affinity.go
@@ -37,7 +37,7 @@
 // with the last time.
 type holderTable map[keys.Prefix]map[keys.Endpoint]time.Time
 
-// Note records a holder, and reports whether it is news.
+// Note records a holder, and reports whether it is new.
 func (t holderTable) Note(now time.Time, h Holder) bool {
 	endpoints, ok := t[h.Prefix]
 	if !ok {
--- a/internal/front/placement/ejection.go
+++ b/internal/front/placement/ejection.go
@@ -89,8 +89,8 @@
 	return failed
 }
 
-// EjectByPeer records a peer's report that an endpoint is ejected, and reports whether it is
-// news.
+// EjectByPeer records a peer's report that an endpoint is ejected, and reports whether
+// this host did not know.
 func (t *ejectionTable) EjectByPeer(endpoint keys.Endpoint, until time.Time) bool {
 	if !until.After(t.byPeers[endpoint].Add(sameEjection)) {
 		return false
--- a/internal/front/placement/placement.go
+++ b/internal/front/placement/placement.go
@@ -115,7 +115,7 @@
 }
 
 // noteOwnHolder notes a prefix that an endpoint is sent, to be reported to peers if it is
-// news. The lock is held.
+// new. The lock is held.
 func (p *Placer) noteOwnHolder(now time.Time, h Holder) {
 	if p.view.holders.Note(now, h) {
 		p.newHolders = append(p.newHolders, newHolder{holder: h, reports: holderReports})
