--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,7 @@
 // Package daemon is one host of oxbowslipd, the daemon with an interface of its own for language
 // models and plain services, settings that operators change through it, and one queue a shard for
-// the whole fleet. It wires the parts together (fx.go), starts them and stops as planned. The packages below it serve this program only; oxbowslip-front is package front.
+// the whole fleet. It wires the parts together (fx.go), starts them and stops as
+// planned. The packages below it serve this program only; oxbowslip-front is package front.
 package daemon
 
 import (
--- a/internal/daemon/peer/server_test.go
+++ b/internal/daemon/peer/server_test.go
@@ -9,10 +9,10 @@
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-// TestAnEndedSessionIsWaitedFor is the likely cause of a place that stayed taken after a partition (TestCut, once,
-// beside other load): a session that the server itself had ended could still apply an owner's
-// message after the owner's next link had dropped its requests. If the request had ended
-// meanwhile, nothing would ever free its place.
+// TestAnEndedSessionIsWaitedFor is the likely cause of a slot that stayed taken after a partition
+// (TestCut, once, beside other load): a session that the server itself had ended could still apply
+// an owner's message after the owner's next link had dropped its requests. If the request had ended
+// meanwhile, nothing would ever free its slot.
 func TestAnEndedSessionIsWaitedFor(t *testing.T) {
 	tests := map[string]struct {
 		// end ends the first session of the owner.
@@ -46,7 +46,7 @@
 }
 
 // TestAnOwnerThatFellBehindIsDropped failed while only links that the owner itself ended
-// counted: an owner that fell too far behind and never came back kept its places for good.
+// counted: an owner that fell too far behind and never came back kept its slots for good.
 func TestAnOwnerThatFellBehindIsDropped(t *testing.T) {
 	c := qt.New(t)
 	dropped := make(chan string, 1)
--- a/internal/front/gossip/gossip.go
+++ b/internal/front/gossip/gossip.go
@@ -38,7 +38,8 @@
 	Streams    []StreamCount
 }
 
-// Host is the host that gossip exchanges messages for. Its methods may be called concurrently and must not block.
+// Host is the host that gossip exchanges messages for. Its methods may be called concurrently
+// and must not block.
 type Host interface {
 	// State returns what the next heartbeat carries.
 	State() State
