--- a/internal/daemon/peer/server.go
+++ b/internal/daemon/peer/server.go
@@ -24,21 +24,22 @@
 type Server struct {
 	parts ServerParts
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// sessions holds the newest session of each owner, until none of its messages can be
+	// applied any more.
 	sessions map[string]*session
-	// ending holds, by owner, the sessions that this server has ended itself while
-	// messages that came before may still be applied.
-	ending  map[string]*session
-	leaving bool
-	cancel  context.CancelFunc
-	ended   chan struct{}
+	leaving  bool
+	cancel   context.CancelFunc
+	ended    chan struct{}
 }
 
 // session is one owner's open link.
 type session struct {
 	owner string
 	queue chan decisionForm
-	leave chan struct{}
+	// closed is set once the queue is closed, which breaks the link.
+	closed bool
+	leave  chan struct{}
 	// ended is closed when no more of the owner's messages come from this link.
 	ended chan struct{}
 }
@@ -59,12 +60,7 @@
 
 // NewServer returns a server that does not listen yet.
 func NewServer(parts ServerParts) *Server {
-	return &Server{
-		parts:    parts,
-		sessions: make(map[string]*session),
-		ending:   make(map[string]*session),
-		ended:    make(chan struct{}),
-	}
+	return &Server{parts: parts, sessions: make(map[string]*session), ended: make(chan struct{})}
 }
 
 // Serve accepts links in the background until Close.
@@ -94,35 +90,29 @@
 	}
 }
 
-// Owners counts the open links.
-func (s *Server) Owners() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.sessions)
-}
-
 // Deliver sends a decision to an owner. Without a link it is dropped: the owner
 // announces its requests when it comes back, or another scheduler has them.
 func (s *Server) Deliver(shardName string, d admission.Decision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	session, ok := s.sessions[d.Owner]
-	if !ok {
+	if !ok || session.closed {
 		return
 	}
 	select {
 	case session.queue <- decisionToForm(s.parts.Clock(), shardName, &d):
 	default:
 		// An owner that is so far behind is as good as gone.
-		s.end(session)
+		session.close()
 	}
 }
 
-// end breaks the link of a session in use. The caller holds mu.
-func (s *Server) end(session *session) {
-	delete(s.sessions, session.owner)
-	s.ending[session.owner] = session
-	close(session.queue)
+// close breaks the link if it is open. The server's lock is held.
+func (s *session) close() {
+	if !s.closed {
+		s.closed = true
+		close(s.queue)
+	}
 }
 
 // HandleRPC serves one link.
@@ -172,16 +162,15 @@
 	return hello.Host, nil
 }
 
-// enter makes a session, and ends the owner's old one if there is one. No message of
+// enter makes a session, and closes the owner's old one if there is one. No message of
 // the old one is applied after its ended is closed.
 func (s *Server) enter(owner string) (entered, old *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if current, ok := s.sessions[owner]; ok {
-		s.end(current)
+	old, ok := s.sessions[owner]
+	if ok {
+		old.close()
 	}
-	old = s.ending[owner]
-	delete(s.ending, owner)
 	session := &session{
 		owner: owner, queue: make(chan decisionForm, queueLength), leave: make(chan struct{}), ended: make(chan struct{}),
 	}
@@ -197,16 +186,11 @@
 func (s *Server) leave(ended *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	switch ended {
-	case s.sessions[ended.owner]:
-		delete(s.sessions, ended.owner)
-		close(ended.queue)
-	case s.ending[ended.owner]:
-		delete(s.ending, ended.owner)
-	default:
-		// The owner has a newer link.
+	if s.sessions[ended.owner] != ended {
 		return
 	}
+	delete(s.sessions, ended.owner)
+	ended.close()
 	time.AfterFunc(ownerGrace, func() {
 		s.mu.Lock()
 		_, back := s.sessions[ended.owner]
@@ -224,7 +208,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if session, ok := s.sessions[owner]; ok {
-		s.end(session)
+		session.close()
 	}
 }
 
