--- a/internal/daemon/api/api.go
+++ b/internal/daemon/api/api.go
@@ -133,7 +133,7 @@
 			return
 		}
 		s.parts.Counters.Refused(f.reason)
-		writeRefusal(w, c.id, &request.Refusal{Reason: f.reason, Ran: request.RanNo, Detail: f.detail}, f.known)
+		writeRefusal(w, c.id, request.Refuse(f.reason, f.detail), f.known)
 	}
 }
 
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -20,7 +20,7 @@
 	if d.configured.Load() > 0 {
 		return nil
 	}
-	return &request.Refusal{Reason: request.ReasonNotReady, Ran: request.RanNo, Detail: d.Problem()}
+	return request.Refuse(request.ReasonNotReady, d.Problem())
 }
 
 // Problem returns why the host is not ready, or is empty.
--- a/internal/front/relay/exchange.go
+++ b/internal/front/relay/exchange.go
@@ -43,11 +43,11 @@
 	call, err := x.server.parts.Dialect.Read(x.r)
 	x.call = call
 	if err != nil {
-		return refuse(request.ReasonBadRequest, err.Error())
+		return request.Refuse(request.ReasonBadRequest, err.Error())
 	}
 	current := x.server.parts.Settings.Current()
 	if current == nil {
-		refusal := refuse(request.ReasonNotReady, "this host knows no settings yet")
+		refusal := request.Refuse(request.ReasonNotReady, "this host knows no settings yet")
 		refusal.RetryAfter = notReadyRetry
 		return refusal
 	}
@@ -75,18 +75,18 @@
 	host, _, _ := strings.Cut(x.r.Host, ":")
 	route, ok := tree.RouteFor(host, x.r.URL.Path)
 	if !ok {
-		return refuse(request.ReasonUnknownRoute, "no route for "+host+x.r.URL.Path)
+		return request.Refuse(request.ReasonUnknownRoute, "no route for "+host+x.r.URL.Path)
 	}
 	x.route = route
 	if !route.Public && len(tree.Workspaces) > 0 {
 		x.workspace, ok = tree.WorkspaceOf(x.call.Key)
 		if !ok {
-			return refuse(request.ReasonUnknownKey, "this key belongs to no workspace")
+			return request.Refuse(request.ReasonUnknownKey, "this key belongs to no workspace")
 		}
 	}
 	x.policy, ok = tree.RoutePolicy(x.workspace, route.Class)
 	if !ok {
-		return refuse(request.ReasonUnknownRoute, "no class "+route.Class)
+		return request.Refuse(request.ReasonUnknownRoute, "no class "+route.Class)
 	}
 	x.service = route.Pick(x.server.parts.Random())
 	return nil
--- a/internal/front/relay/refuse.go
+++ b/internal/front/relay/refuse.go
@@ -87,8 +87,3 @@
 	// A failed write means that the caller is gone; nobody is left to be told.
 	_, _ = w.Write(data)
 }
-
-// refuse returns a refusal of a request that did not run.
-func refuse(reason request.Reason, detail string) *request.Refusal {
-	return &request.Refusal{Reason: reason, Ran: request.RanNo, Detail: detail}
-}
--- a/internal/httprelay/body.go
+++ b/internal/httprelay/body.go
@@ -21,7 +21,7 @@
 // deadline.
 func ReadHead(w http.ResponseWriter, r *http.Request, limit, most int64, timeout time.Duration) (head []byte, whole bool, refusal *request.Refusal) {
 	if r.ContentLength > limit {
-		return nil, false, refuse(request.ReasonBodyTooLarge, "the body is larger than this class allows")
+		return nil, false, request.Refuse(request.ReasonBodyTooLarge, "the body is larger than this class allows")
 	}
 	control := http.NewResponseController(w)
 	// The writers of tests have no deadlines; those of net/http do.
@@ -45,13 +45,9 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return refuse(request.ReasonBodyTooLarge, "the body is larger than this class allows")
+		return request.Refuse(request.ReasonBodyTooLarge, "the body is larger than this class allows")
 	case IsTimeout(err):
-		return refuse(request.ReasonSlowCaller, "the body took too long to arrive")
+		return request.Refuse(request.ReasonSlowCaller, "the body took too long to arrive")
 	}
-	return refuse(request.ReasonBadRequest, "the body could not be read whole")
-}
-
-func refuse(reason request.Reason, detail string) *request.Refusal {
-	return &request.Refusal{Reason: reason, Ran: request.RanNo, Detail: detail}
+	return request.Refuse(request.ReasonBadRequest, "the body could not be read whole")
 }
--- a/internal/request/reason.go
+++ b/internal/request/reason.go
@@ -97,6 +97,11 @@
 	RetryAfter time.Duration
 }
 
+// Refuse returns the refusal of a request that did not run.
+func Refuse(reason Reason, detail string) *Refusal {
+	return &Refusal{Reason: reason, Ran: RanNo, Detail: detail}
+}
+
 // Error returns the reason, whether the request ran, and the detail.
 func (r *Refusal) Error() string {
 	return string(r.Reason) + " (ran: " + string(r.Ran) + "): " + r.Detail
