--- a/internal/operator/changes.go
+++ b/internal/operator/changes.go
@@ -50,7 +50,7 @@
 const maxChangeBytes = 4 << 20
 
 func (s *Server) showSettings(w http.ResponseWriter, _ *http.Request) {
-	tree := s.tree()
+	tree := s.parts.Tree()
 	if tree.Revision == 0 {
 		httprelay.WriteJSON(w, http.StatusServiceUnavailable, Problem{Error: "no settings are in force yet"})
 		return
@@ -61,7 +61,7 @@
 func (s *Server) showChange(w http.ResponseWriter, r *http.Request) {
 	// The route allows digits only; a number that is too large names nothing.
 	revision, _ := strconv.ParseUint(mux.Vars(r)["revision"], 10, 64)
-	c, err := s.changes.Find(r.Context(), revision)
+	c, err := s.parts.Changes.Find(r.Context(), revision)
 	switch {
 	case errors.Is(err, ErrNoChange):
 		httprelay.WriteJSON(w, http.StatusNotFound, Problem{Error: "no such change"})
@@ -86,7 +86,7 @@
 		return
 	}
 	c := settings.Change{ID: request.ID, Base: request.Base, Patch: request.Patch, Who: who(r)}
-	revision, err := s.changes.Accept(r.Context(), c)
+	revision, err := s.parts.Changes.Accept(r.Context(), c)
 	status, result := changeAnswer(revision, err)
 	httprelay.WriteJSON(w, status, result)
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -52,7 +52,7 @@
 	Problem  string        `json:"problem,omitzero"`
 	Open     int           `json:"open"`
 	Shards   []ShardStatus `json:"shards"`
-	// Schedulers returns the host that schedules each shard, as this host sees it.
+	// Schedulers is the host that schedules each shard, as this host sees it.
 	Schedulers map[string]string `json:"schedulers"`
 	// Refusals counts refusals by reason since the start; those at 0 are left
 	// out.
@@ -73,16 +73,7 @@
 }
 
 // Server answers operators.
-type Server struct {
-	keys     []hostconfig.OperatorKey
-	counters *counters.Counters
-	ring     *explain.Ring
-	settings *settings.Holder
-	changes  Changes
-	tree     func() SettingsAnswer
-	status   func() Status
-	recorded *record.Ring
-}
+type Server struct{ parts Parts }
 
 // Changes accepts changes of the settings and reads accepted ones. A host whose settings
 // are changed elsewhere refuses all.
@@ -108,12 +99,7 @@
 }
 
 // New returns a server for operators that does not listen yet.
-func New(p Parts) *Server {
-	return &Server{
-		keys: p.Keys, counters: p.Counters, ring: p.Explained, settings: p.Settings, changes: p.Changes, tree: p.Tree,
-		status: p.Status, recorded: p.Recorded,
-	}
-}
+func New(parts Parts) *Server { return &Server{parts: parts} }
 
 // readHeaderTime bounds how long an operator may send the headers of a call. Not measured.
 const readHeaderTime = 10 * time.Second
@@ -163,9 +149,9 @@
 func (s *Server) find(key string) *hostconfig.OperatorKey {
 	hash := []byte(settings.HashKey(key))
 	var found *hostconfig.OperatorKey
-	for i := range s.keys {
-		if subtle.ConstantTimeCompare(hash, []byte(s.keys[i].SHA256)) == 1 {
-			found = &s.keys[i]
+	for i := range s.parts.Keys {
+		if subtle.ConstantTimeCompare(hash, []byte(s.parts.Keys[i].SHA256)) == 1 {
+			found = &s.parts.Keys[i]
 		}
 	}
 	return found
@@ -178,7 +164,7 @@
 }
 
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
-	status := s.status()
+	status := s.parts.Status()
 	code := http.StatusOK
 	if !status.Ready {
 		code = http.StatusServiceUnavailable
@@ -191,11 +177,11 @@
 
 func (s *Server) metrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-	s.counters.Write(w)
+	s.parts.Counters.Write(w)
 }
 
 func (s *Server) showStatus(w http.ResponseWriter, _ *http.Request) {
-	httprelay.WriteJSON(w, http.StatusOK, s.status())
+	httprelay.WriteJSON(w, http.StatusOK, s.parts.Status())
 }
 
 func (s *Server) showRecorded(w http.ResponseWriter, r *http.Request) {
@@ -204,12 +190,12 @@
 		httprelay.WriteJSON(w, http.StatusBadRequest, Problem{Error: "say after=TIME (RFC 3339)"})
 		return
 	}
-	httprelay.WriteJSON(w, http.StatusOK, s.recorded.Since(after))
+	httprelay.WriteJSON(w, http.StatusOK, s.parts.Recorded.Since(after))
 }
 
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
 	id := mux.Vars(r)["id"]
-	record, ok := s.ring.Get(id)
+	record, ok := s.parts.Explained.Get(id)
 	if !ok {
 		httprelay.WriteJSON(w, http.StatusNotFound, Problem{Error: "this host does not remember request " + id})
 		return
@@ -218,7 +204,7 @@
 }
 
 func (s *Server) effective(w http.ResponseWriter, r *http.Request) {
-	revision := s.settings.Current()
+	revision := s.parts.Settings.Current()
 	if revision == nil {
 		httprelay.WriteJSON(w, http.StatusServiceUnavailable, Problem{Error: "no settings are in force yet"})
 		return
