--- a/internal/daemon/schedule/health.go
+++ b/internal/daemon/schedule/health.go
@@ -182,14 +182,15 @@
 
 // EndpointState is what a scheduler has learned of an endpoint.
 type EndpointState struct {
-	ID       string  `json:"id"`
-	InFlight int     `json:"in_flight"`
-	Limit    float64 `json:"limit"`
+	ID       string
+	InFlight int
+	Limit    float64
 	// Between is the mean time between tokens.
-	Between time.Duration `json:"between"`
+	Between time.Duration
 	// Ejected is why the endpoint gets no work now, or empty.
-	Ejected EjectReason `json:"ejected,omitzero"`
-	Probing bool        `json:"probing,omitzero"`
+	Ejected EjectReason
+	// Probing is set while one request tests whether the endpoint works again.
+	Probing bool
 }
 
 // Endpoints returns what was learned of each endpoint, in the order of the
--- a/internal/daemon/schedule/schedule.go
+++ b/internal/daemon/schedule/schedule.go
@@ -86,9 +86,6 @@
 // Waiting counts the requests that wait.
 func (s *Scheduler) Waiting() int { return s.waiting }
 
-// WaitingIn counts the requests of a tier that wait.
-func (s *Scheduler) WaitingIn(tier int) int { return s.tiers[tier].count }
-
 // Running counts the open grants.
 func (s *Scheduler) Running() int { return len(s.items) - s.waiting }
 
--- a/internal/proof/replay/generate.go
+++ b/internal/proof/replay/generate.go
@@ -17,7 +17,7 @@
 	Name    string `json:"name"`
 	Seed    uint64 `json:"seed"`
 	Seconds int    `json:"seconds"`
-	// EngineCounts returns the engines of each model.
+	// EngineCounts is the number of engines of each model.
 	EngineCounts map[string]int    `json:"engine_counts"`
 	Settings     settings.Tree     `json:"settings"`
 	Callers      map[string]Caller `json:"callers,omitzero"`
