--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -18,6 +18,12 @@
 // latency targets of both users (150 ms and more), so that a retry can still meet them.
 var retryBackoff = backoff.Doubling{First: 20 * time.Millisecond, Longest: 2 * time.Second}
 
+// RetryWait returns the wait before a retry of a request that was tried a number of times.
+// Random is a number from 0 up to 1.
+func RetryWait(tries int, random float64) time.Duration {
+	return backoff.Jitter(retryBackoff.Span(tries), 0, random)
+}
+
 // run is the state of one job.
 type run struct {
 	owner     *Owner
@@ -105,7 +111,7 @@
 
 // backOff waits before a retry, and reports false if ctx ended.
 func (r *run) backOff(ctx context.Context) bool {
-	return lifetime.Sleep(ctx, backoff.Jitter(retryBackoff.Span(r.lifecycle.Tries()), 0, r.owner.parts.Random()))
+	return lifetime.Sleep(ctx, RetryWait(r.lifecycle.Tries(), r.owner.parts.Random()))
 }
 
 // checkGrant checks a grant against the newest knowledge of its endpoint, which may have been
--- a/internal/proof/replay/owner.go
+++ b/internal/proof/replay/owner.go
@@ -8,6 +8,7 @@
 
 	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/daemon/prefix"
+	"oxbowslip.dev/oxbowslip/internal/owner"
 	"oxbowslip.dev/oxbowslip/internal/proof/emulator"
 	"oxbowslip.dev/oxbowslip/internal/request"
 	"oxbowslip.dev/oxbowslip/internal/settings"
@@ -274,8 +275,7 @@
 
 func (sim *simulation) resubmit(j *job) {
 	j.request.Retry = true
-	pause := time.Duration(sim.random.Float64() * float64(retryBackoff) * float64(int(1)<<j.lifecycle.Tries()))
-	sim.after(pause, func(now time.Time) {
+	sim.after(owner.RetryWait(j.lifecycle.Tries(), sim.random.Float64()), func(now time.Time) {
 		if j.state != stateWaiting {
 			return
 		}
--- a/internal/proof/replay/simulation.go
+++ b/internal/proof/replay/simulation.go
@@ -26,8 +26,6 @@
 	stalledAfter = 20 * time.Second
 	// drainTime bounds the time after the last arrival.
 	drainTime = 10 * time.Minute
-	// retryBackoff is the mean wait of an owner before a retry.
-	retryBackoff = 20 * time.Millisecond
 	// progressBy is how many tokens an owner lets pass between two reports of progress.
 	progressBy = 16
 )
