--- a/internal/proof/decisions/decisions_test.go
+++ b/internal/proof/decisions/decisions_test.go
@@ -5,17 +5,15 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
-	"io/fs"
-	"os"
 	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
 
 	qt "github.com/frankban/quicktest"
-)
 
-const root = "../../.."
+	"oxbowslip.dev/oxbowslip/internal/proof/sources"
+)
 
 // packages are those whose rules and constants the page lists, by name. The packages in
 // complete have all of their constants on it.
@@ -36,7 +34,7 @@
 
 func parse(c *qt.C, folder string) *declared {
 	d := &declared{names: make(map[string]bool), figures: make(map[string]bool)}
-	paths, err := filepath.Glob(filepath.Join(root, folder, "*.go"))
+	paths, err := filepath.Glob(filepath.Join(sources.Root(c), folder, "*.go"))
 	c.Assert(err, qt.IsNil)
 	for _, path := range paths {
 		if strings.HasSuffix(path, "_test.go") {
@@ -113,27 +111,25 @@
 // that it names every constant of the packages.
 func TestDecisions(t *testing.T) {
 	c := qt.New(t)
-	page, err := os.ReadFile(filepath.Join(root, "docs", "decisions.md"))
-	c.Assert(err, qt.IsNil)
-	sources := make(map[string]*declared)
+	declarations := make(map[string]*declared)
 	for name, folder := range packages {
-		sources[name] = parse(c, folder)
+		declarations[name] = parse(c, folder)
 	}
-	tests := testNames(c)
+	tests := testNames(t)
 	listed := make(map[string]bool)
-	for _, match := range quoted.FindAllStringSubmatch(string(page), -1) {
+	for _, match := range quoted.FindAllStringSubmatch(sources.Read(t, "docs/decisions.md"), -1) {
 		text := match[1]
 		listed[text] = true
 		if testName.MatchString(text) {
 			c.Check(tests[text], qt.IsTrue, qt.Commentf("there is no test %s", text))
 		}
 		name := qualified.FindStringSubmatch(text)
-		if name == nil || sources[name[1]] == nil || name[2] == "Rules" {
+		if name == nil || declarations[name[1]] == nil || name[2] == "Rules" {
 			continue
 		}
-		c.Check(sources[name[1]].names[name[2]], qt.IsTrue, qt.Commentf("there is no %s", text))
+		c.Check(declarations[name[1]].names[name[2]], qt.IsTrue, qt.Commentf("there is no %s", text))
 	}
-	for name, source := range sources {
+	for name, source := range declarations {
 		for figure := range source.figures {
 			c.Check(listed[name+"."+figure], qt.IsTrue, qt.Commentf("the page lacks %s.%s", name, figure))
 		}
@@ -141,19 +137,16 @@
 }
 
 // testNames returns the names of all tests.
-func testNames(c *qt.C) map[string]bool {
+func testNames(t *testing.T) map[string]bool {
 	names := make(map[string]bool)
 	declaration := regexp.MustCompile(`(?m)^func (Test\w+)\(`)
-	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
-		if err != nil || entry.IsDir() || !strings.HasSuffix(path, "_test.go") {
-			return err
+	for path, source := range sources.ReadAll(t, ".", ".go") {
+		if !strings.HasSuffix(path, "_test.go") {
+			continue
 		}
-		source, err := os.ReadFile(path)
-		for _, match := range declaration.FindAllStringSubmatch(string(source), -1) {
+		for _, match := range declaration.FindAllStringSubmatch(source, -1) {
 			names[match[1]] = true
 		}
-		return err
-	})
-	c.Assert(err, qt.IsNil)
+	}
 	return names
 }
--- a/internal/proof/names/names_test.go
+++ b/internal/proof/names/names_test.go
@@ -4,27 +4,22 @@
 import (
 	"go/scanner"
 	"go/token"
-	"io/fs"
-	"os"
-	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
 	"unicode"
 
 	qt "github.com/frankban/quicktest"
-)
 
-const root = "../../.."
+	"oxbowslip.dev/oxbowslip/internal/proof/sources"
+)
 
 // withdrawnRow matches a row of the glossary's table of withdrawn words: `word` | instead.
 var withdrawnRow = regexp.MustCompile("^\\| `([a-z ]+)` \\|")
 
 // withdrawn reads the words that the glossary withdraws.
 func withdrawn(c *qt.C) map[string]bool {
-	page, err := os.ReadFile(filepath.Join(root, "docs", "glossary.md"))
-	c.Assert(err, qt.IsNil)
-	_, table, found := strings.Cut(string(page), "## Withdrawn")
+	_, table, found := strings.Cut(sources.Read(c, "docs/glossary.md"), "## Withdrawn")
 	c.Assert(found, qt.IsTrue)
 	words := make(map[string]bool)
 	for line := range strings.Lines(table) {
@@ -66,29 +61,31 @@
 	c := qt.New(t)
 	words := withdrawn(c)
 	for _, folder := range []string{"cmd", "internal", "platform"} {
-		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, entry fs.DirEntry, err error) error {
-			if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "names_test.go") {
-				return err
+		for path, source := range sources.ReadAll(t, folder, ".go") {
+			// This file has the words as examples.
+			if strings.HasSuffix(path, "names_test.go") {
+				continue
 			}
-			source, err := os.ReadFile(path)
-			c.Assert(err, qt.IsNil)
-			files := token.NewFileSet()
-			file := files.AddFile(path, -1, len(source))
-			var s scanner.Scanner
-			s.Init(file, source, nil, scanner.ScanComments)
-			for pos, kind, text := s.Scan(); kind != token.EOF; pos, kind, text = s.Scan() {
-				if kind != token.IDENT && kind != token.COMMENT {
-					continue
-				}
-				for _, word := range wordsOf(text) {
-					if words[word] {
-						c.Errorf("%s: %q is withdrawn", files.Position(pos), word)
-					}
-				}
+			checkWords(c, words, path, []byte(source))
+		}
+	}
+}
+
+// checkWords reports the withdrawn words in the names and comments of a file.
+func checkWords(c *qt.C, words map[string]bool, path string, source []byte) {
+	files := token.NewFileSet()
+	file := files.AddFile(path, -1, len(source))
+	var s scanner.Scanner
+	s.Init(file, source, nil, scanner.ScanComments)
+	for pos, kind, text := s.Scan(); kind != token.EOF; pos, kind, text = s.Scan() {
+		if kind != token.IDENT && kind != token.COMMENT {
+			continue
+		}
+		for _, word := range wordsOf(text) {
+			if words[word] {
+				c.Errorf("%s: %q is withdrawn", files.Position(pos), word)
 			}
-			return nil
-		})
-		c.Assert(err, qt.IsNil)
+		}
 	}
 }
 
--- a/internal/proof/pages/pages_test.go
+++ b/internal/proof/pages/pages_test.go
@@ -2,7 +2,6 @@
 package pages
 
 import (
-	"io/fs"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -10,44 +9,25 @@
 	"testing"
 
 	qt "github.com/frankban/quicktest"
-)
 
-const root = "../../.."
+	"oxbowslip.dev/oxbowslip/internal/proof/sources"
+)
 
 // pages returns the text of README, CHANGELOG and all pages below docs/, by path from the root.
-func pages(c *qt.C) map[string]string {
-	texts := make(map[string]string)
-	read := func(path string) {
-		text, err := os.ReadFile(filepath.Join(root, path))
-		c.Assert(err, qt.IsNil)
-		texts[path] = string(text)
+func pages(t *testing.T) map[string]string {
+	texts := sources.ReadAll(t, "docs", ".md")
+	for _, path := range []string{"README.md", "CHANGELOG.md"} {
+		texts[path] = sources.Read(t, path)
 	}
-	read("README.md")
-	read("CHANGELOG.md")
-	err := filepath.WalkDir(filepath.Join(root, "docs"), func(path string, _ fs.DirEntry, err error) error {
-		if err == nil && filepath.Ext(path) == ".md" {
-			relative, err := filepath.Rel(root, path)
-			c.Assert(err, qt.IsNil)
-			read(relative)
-		}
-		return err
-	})
-	c.Assert(err, qt.IsNil)
 	return texts
 }
 
-// sources returns the text of all Go files, tests included.
-func sources(c *qt.C) string {
+// code returns the text of all Go files, tests included.
+func code(t *testing.T) string {
 	var all strings.Builder
-	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
-		if err == nil && filepath.Ext(path) == ".go" {
-			text, err := os.ReadFile(path)
-			c.Assert(err, qt.IsNil)
-			all.Write(text)
-		}
-		return err
-	})
-	c.Assert(err, qt.IsNil)
+	for _, text := range sources.ReadAll(t, ".", ".go") {
+		all.WriteString(text)
+	}
 	return all.String()
 }
 
@@ -69,7 +49,7 @@
 // TestLinks checks that each relative link leads to a file, and to a heading of it.
 func TestLinks(t *testing.T) {
 	c := qt.New(t)
-	all := pages(c)
+	all := pages(t)
 	for path, text := range all {
 		for _, match := range link.FindAllStringSubmatch(text, -1) {
 			if strings.Contains(match[1], "://") {
@@ -79,7 +59,7 @@
 			if match[1] != "" {
 				target = filepath.Join(filepath.Dir(path), match[1])
 			}
-			_, err := os.Stat(filepath.Join(root, target))
+			_, err := os.Stat(filepath.Join(sources.Root(t), target))
 			c.Check(err, qt.IsNil, qt.Commentf("%s links to %s", path, match[1]))
 			if match[2] != "" {
 				c.Check(slugs(all[target])[match[2]], qt.IsTrue, qt.Commentf("%s links to %s#%s", path, match[1], match[2]))
@@ -95,12 +75,12 @@
 // incidents, is left out.
 func TestPaths(t *testing.T) {
 	c := qt.New(t)
-	for path, text := range pages(c) {
+	for path, text := range pages(t) {
 		if path == "CHANGELOG.md" || strings.Contains(path, "incidents") {
 			continue
 		}
 		for _, match := range goPath.FindAllStringSubmatch(text, -1) {
-			_, err := os.Stat(filepath.Join(root, match[2]))
+			_, err := os.Stat(filepath.Join(sources.Root(t), match[2]))
 			c.Check(err, qt.IsNil, qt.Commentf("%s names %s", path, match[2]))
 		}
 	}
@@ -111,10 +91,10 @@
 // TestTests checks that the tests that the pages name exist.
 func TestTests(t *testing.T) {
 	c := qt.New(t)
-	code := sources(c)
-	for path, text := range pages(c) {
+	goCode := code(t)
+	for path, text := range pages(t) {
 		for _, match := range testName.FindAllStringSubmatch(text, -1) {
-			c.Check(strings.Contains(code, "func "+match[1]+"("), qt.IsTrue, qt.Commentf("%s names %s", path, match[1]))
+			c.Check(strings.Contains(goCode, "func "+match[1]+"("), qt.IsTrue, qt.Commentf("%s names %s", path, match[1]))
 		}
 	}
 }
@@ -125,15 +105,15 @@
 // TestLogLines checks that the log lines that operators are told to look for are in the code.
 func TestLogLines(t *testing.T) {
 	c := qt.New(t)
-	code := sources(c)
+	goCode := code(t)
 	found := 0
-	for path, text := range pages(c) {
+	for path, text := range pages(t) {
 		if strings.Contains(path, "incidents") || path == "CHANGELOG.md" {
 			continue
 		}
 		for _, match := range logLine.FindAllStringSubmatch(text, -1) {
 			found++
-			c.Check(strings.Contains(code, `"`+match[1]) || strings.Contains(code, match[1]+`"`), qt.IsTrue, qt.Commentf("%s names the line %q", path, match[1]))
+			c.Check(strings.Contains(goCode, `"`+match[1]) || strings.Contains(goCode, match[1]+`"`), qt.IsTrue, qt.Commentf("%s names the line %q", path, match[1]))
 		}
 	}
 	c.Check(found > 5, qt.IsTrue)
@@ -148,13 +128,11 @@
 // names each.
 func TestMakeTargets(t *testing.T) {
 	c := qt.New(t)
-	makefile, err := os.ReadFile(filepath.Join(root, "Makefile"))
-	c.Assert(err, qt.IsNil)
 	named := make(map[string]bool)
-	for _, match := range makeTarget.FindAllStringSubmatch(string(makefile), -1) {
+	for _, match := range makeTarget.FindAllStringSubmatch(sources.Read(t, "Makefile"), -1) {
 		named[match[1]] = false
 	}
-	for path, text := range pages(c) {
+	for path, text := range pages(t) {
 		for _, match := range makeCommand.FindAllStringSubmatch(text, -1) {
 			_, ok := named[match[1]]
 			c.Check(ok, qt.IsTrue, qt.Commentf("%s names make %s", path, match[1]))
--- /dev/null
+++ b/internal/proof/sources/sources.go
@@ -0,0 +1,54 @@
+// Package sources reads the repository's own files, for tests that hold pages and code to each
+// other. Only tests import this package.
+package sources
+
+import (
+	"io/fs"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// Root returns the path of the repository from the folder of the calling test: the nearest folder
+// above it with a go.mod.
+func Root(t testing.TB) string {
+	t.Helper()
+	for root := "."; ; root = filepath.Join(root, "..") {
+		if _, err := os.Stat(filepath.Join(root, "go.mod")); err == nil {
+			return root
+		}
+		if absolute, err := filepath.Abs(root); err != nil || absolute == filepath.Dir(absolute) {
+			t.Fatal("no go.mod above this folder")
+		}
+	}
+}
+
+// Read returns the text of a file, by its path from the root.
+func Read(t testing.TB, path string) string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(Root(t), path))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// ReadAll returns the texts of all files below a folder with an extension such as ".go", by path
+// from the root. The folder is a path from the root too.
+func ReadAll(t testing.TB, folder, extension string) map[string]string {
+	t.Helper()
+	root := Root(t)
+	texts := make(map[string]string)
+	err := filepath.WalkDir(filepath.Join(root, folder), func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || filepath.Ext(path) != extension {
+			return err
+		}
+		path, err = filepath.Rel(root, path)
+		texts[path] = Read(t, path)
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return texts
+}
