--- a/internal/daemon/peer/golden_test.go
+++ b/internal/daemon/peer/golden_test.go
@@ -1,12 +1,10 @@
 package peer
 
 import (
-	"reflect"
 	"testing"
 	"time"
 
 	qt "github.com/frankban/quicktest"
-	"github.com/fxamacker/cbor/v2"
 
 	"oxbowslip.dev/oxbowslip/internal/admission"
 	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
@@ -63,15 +61,7 @@
 // send, and decodes what they sent.
 func TestGoldenFrames(t *testing.T) {
 	for name, f := range frames() {
-		t.Run(name, func(t *testing.T) {
-			c := qt.New(t)
-			data, err := cbor.Marshal(f)
-			c.Assert(err, qt.IsNil)
-			old := golden.Bytes(t, name+".cbor.hex", data)
-			var decoded frame
-			c.Assert(cbor.Unmarshal(old, &decoded), qt.IsNil)
-			c.Check(reflect.DeepEqual(&decoded, f), qt.IsTrue)
-		})
+		t.Run(name, func(t *testing.T) { golden.Message(t, name, f) })
 	}
 }
 
--- a/internal/front/gossip/golden_test.go
+++ b/internal/front/gossip/golden_test.go
@@ -1,12 +1,10 @@
 package gossip
 
 import (
-	"reflect"
 	"testing"
 	"time"
 
 	qt "github.com/frankban/quicktest"
-	"github.com/fxamacker/cbor/v2"
 
 	"oxbowslip.dev/oxbowslip/internal/front/keys"
 	"oxbowslip.dev/oxbowslip/internal/proof/golden"
@@ -44,15 +42,7 @@
 // 4c58500 send, and decodes what they sent.
 func TestGoldenMessages(t *testing.T) {
 	for name, message := range messages() {
-		t.Run(name, func(t *testing.T) {
-			c := qt.New(t)
-			data, err := cbor.Marshal(message)
-			c.Assert(err, qt.IsNil)
-			old := golden.Bytes(t, name+".cbor.hex", data)
-			decoded := reflect.New(reflect.TypeOf(message).Elem())
-			c.Assert(cbor.Unmarshal(old, decoded.Interface()), qt.IsNil)
-			c.Check(reflect.DeepEqual(decoded.Interface(), message), qt.IsTrue)
-		})
+		t.Run(name, func(t *testing.T) { golden.Message(t, name, message) })
 	}
 }
 
--- a/internal/proof/golden/golden.go
+++ b/internal/proof/golden/golden.go
@@ -8,20 +8,28 @@
 	"encoding/hex"
 	"encoding/json"
 	"flag"
+	"fmt"
 	"maps"
+	"net/http"
+	"net/http/httptest"
 	"os"
 	"path/filepath"
 	"reflect"
 	"slices"
 	"strings"
 	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
 // update rewrites the files instead of comparing. It is for adding a case; a change to an
 // existing file means that older versions no longer understand this one.
 var update = flag.Bool("golden.update", false, "write the golden files instead of comparing with them")
 
-// lineBytes is the number of bytes on one line of a file written by Bytes, chosen so that
+// lineBytes is the number of bytes on one line of a file of hex, chosen so that
 // a line fits an 80-column diff.
 const lineBytes = 32
 
@@ -42,9 +50,9 @@
 	}
 }
 
-// Bytes compares binary data with the file testdata/golden/NAME, which holds it in hex,
+// compareHex compares binary data with the file testdata/golden/NAME, which holds it in hex,
 // and returns the data of the file.
-func Bytes(t testing.TB, name string, got []byte) []byte {
+func compareHex(t testing.TB, name string, got []byte) []byte {
 	t.Helper()
 	Text(t, name, toHex(got))
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -79,6 +87,45 @@
 	}
 }
 
+// Message compares the encoded form of a message between hosts, given as a pointer, with the file
+// testdata/golden/NAME.cbor.hex, and checks that the file decodes into the same message.
+func Message(t testing.TB, name string, message any) {
+	t.Helper()
+	data, err := cbor.Marshal(message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	old := compareHex(t, name+".cbor.hex", data)
+	decoded := reflect.New(reflect.TypeOf(message).Elem()).Interface()
+	if err := cbor.Unmarshal(old, decoded); err != nil {
+		t.Fatalf("%s: %v", name, err)
+	}
+	if !reflect.DeepEqual(decoded, message) {
+		t.Errorf("%s: decoded\n%+v\nwant\n%+v", name, decoded, message)
+	}
+}
+
+// Refusals compares the status, headers and body of each refusal, as an interface for callers
+// writes them for the request "id-1", with the file testdata/golden/refusals.txt.
+func Refusals(t testing.TB, write func(w http.ResponseWriter, refusal *request.Refusal)) {
+	t.Helper()
+	var text strings.Builder
+	for _, reason := range request.Reasons {
+		for _, ran := range []request.Ran{request.RanNo, request.RanUnknown} {
+			for _, after := range []time.Duration{0, 1500 * time.Millisecond} {
+				w := httptest.NewRecorder()
+				write(w, &request.Refusal{Reason: reason, Ran: ran, Detail: "detail", RetryAfter: after})
+				fmt.Fprintf(&text, "%s %s %s: %d\n", reason, ran, after, w.Code)
+				if err := w.Header().Write(&text); err != nil {
+					t.Fatal(err)
+				}
+				text.WriteString("\n" + w.Body.String() + "\n\n")
+			}
+		}
+	}
+	Text(t, "refusals.txt", text.String())
+}
+
 // SchemaFields lists the names of all properties in a JSON Schema, so that a test can
 // check that its example sets each of them.
 func SchemaFields(t testing.TB, schema []byte) []string {
