--- a/internal/front/placement/placement_test.go
+++ b/internal/front/placement/placement_test.go
@@ -99,7 +99,7 @@
 		},
 		"a long prompt goes to its preferred endpoint past some work": {
 			func(b *View) {
-				b.holders.Note(start, Holder{Prefix: 7, Endpoint: keys.OfEndpoint(preferred)})
+				b.holders.Record(start, Holder{Prefix: 7, Endpoint: keys.OfEndpoint(preferred)})
 				b.loads.Begin(preferred, 20_000)
 			}, long(7), preferred,
 		},
@@ -111,7 +111,7 @@
 		},
 		"a long prompt goes where it was sent": {
 			func(b *View) {
-				b.holders.Note(start, Holder{Prefix: 7, Endpoint: keys.OfEndpoint(other)})
+				b.holders.Record(start, Holder{Prefix: 7, Endpoint: keys.OfEndpoint(other)})
 			}, long(7), other,
 		},
 		"a preferred endpoint far behind is left": {
@@ -119,21 +119,21 @@
 		},
 		"an ejected preferred endpoint is left": {
 			func(b *View) {
-				b.ejections.Failed(start, preferred, false)
+				b.ejections.RecordFailure(start, preferred, false)
 				b.loads.Begin(third(preferred, other), 60_000)
 			}, long(7), other,
 		},
 		"a preferred endpoint that a peer ejected is left": {
 			func(b *View) {
-				b.ejections.EjectByPeer(keys.OfEndpoint(preferred), start.Add(time.Second))
+				b.ejections.RecordPeerEjection(keys.OfEndpoint(preferred), start.Add(time.Second))
 				b.loads.Begin(third(preferred, other), 60_000)
 			}, long(7), other,
 		},
 		"all paused: one is used all the same": {
 			func(b *View) {
-				b.ejections.Failed(start, "e1", false)
-				b.ejections.Failed(start, "e2", false)
-				b.ejections.Failed(start, "e3", false)
+				b.ejections.RecordFailure(start, "e1", false)
+				b.ejections.RecordFailure(start, "e2", false)
+				b.ejections.RecordFailure(start, "e3", false)
 				b.loads.Begin("e1", 0)
 				b.loads.Begin("e2", 0)
 			}, short(), "e3",
@@ -264,10 +264,10 @@
 		t.Run(name, func(t *testing.T) {
 			b := NewView()
 			for i, id := range test.held {
-				b.holders.Note(start.Add(time.Duration(i)), Holder{Prefix: 7, Endpoint: keys.OfEndpoint(id)})
+				b.holders.Record(start.Add(time.Duration(i)), Holder{Prefix: 7, Endpoint: keys.OfEndpoint(id)})
 			}
 			for _, id := range test.ejected {
-				b.ejections.Failed(start, id, false)
+				b.ejections.RecordFailure(start, id, false)
 			}
 			q := query{prefix: 7, holders: b.holders[7]}
 			qt.Check(t, b.fetchFrom(start, &q, test.to, three), qt.Equals, test.want)
@@ -279,16 +279,16 @@
 	c := qt.New(t)
 	b := NewView()
 	failed := func(after time.Duration) time.Time {
-		return b.ejections.Failed(start.Add(after), "e1", false).Until
+		return b.ejections.RecordFailure(start.Add(after), "e1", false).Until
 	}
 	c.Check(failed(0), qt.Equals, start.Add(time.Second))
 	c.Check(failed(time.Millisecond), qt.Equals, start.Add(time.Second), qt.Commentf("failures under way together are one"))
 	c.Check(failed(2*time.Second), qt.Equals, start.Add(4*time.Second))
-	c.Check(b.ejections.Answered("e1"), qt.IsTrue)
-	c.Check(b.ejections.Answered("e1"), qt.IsFalse)
+	c.Check(b.ejections.RecordSuccess("e1"), qt.IsTrue)
+	c.Check(b.ejections.RecordSuccess("e1"), qt.IsFalse)
 	c.Check(failed(9*time.Second), qt.Equals, start.Add(10*time.Second))
 	c.Check(b.ejections.Ejected(start.Add(20*time.Second)), qt.HasLen, 0)
-	b.ejections.EjectByPeer(keys.OfEndpoint("e1"), start.Add(time.Second))
+	b.ejections.RecordPeerEjection(keys.OfEndpoint("e1"), start.Add(time.Second))
 	b.Expire(start.Add(time.Second))
 	c.Check(b.ejections.byPeers, qt.HasLen, 0)
 }
@@ -334,7 +334,7 @@
 		t.Run(name, func(t *testing.T) {
 			request := short()
 			request.Urgency, request.FirstToken = test.urgency, time.Second
-			qt.Check(t, bounds.admitsChoice(request, &Choice{Slots: slots, First: test.first}), qt.Equals, test.want)
+			qt.Check(t, bounds.admitsChoice(request, &Choice{Slots: slots, PredictedFirstEvent: test.first}), qt.Equals, test.want)
 		})
 	}
 }
@@ -357,7 +357,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			qt.Check(t, retryAfter(start, test.reason, &Choice{First: test.first, Free: start.Add(7 * time.Second)}, test.random), qt.Equals, test.want)
+			qt.Check(t, retryAfter(start, test.reason, &Choice{PredictedFirstEvent: test.first, AvailableAt: start.Add(7 * time.Second)}, test.random), qt.Equals, test.want)
 		})
 	}
 }
@@ -495,7 +495,7 @@
 				limits.Note(pushback.Instance{ID: id}, pushback.Limit{IsSet: true, PerSecond: perSecond}, time.Now())
 			}
 			if test.ejected != "" {
-				s.Failed(test.ejected, false, errors.New("refused"))
+				s.RecordFailure(test.ejected, false, errors.New("refused"))
 			}
 			request := short()
 			request.FirstToken = 3 * time.Second
@@ -688,19 +688,19 @@
 		prepare func(b *View)
 		want    bool
 	}{
-		"alone":        {func(b *View) { b.ejections.Failed(start, "e1", true) }, false},
-		"two together": {func(b *View) { b.ejections.Failed(start, "e1", true); b.ejections.Failed(start, "e1", true) }, true},
+		"alone":        {func(b *View) { b.ejections.RecordFailure(start, "e1", true) }, false},
+		"two together": {func(b *View) { b.ejections.RecordFailure(start, "e1", true); b.ejections.RecordFailure(start, "e1", true) }, true},
 		"two, far apart": {func(b *View) {
-			b.ejections.Failed(start.Add(-time.Minute), "e1", true)
-			b.ejections.Failed(start, "e1", true)
+			b.ejections.RecordFailure(start.Add(-time.Minute), "e1", true)
+			b.ejections.RecordFailure(start, "e1", true)
 		}, false},
 		"two, an answer between": {func(b *View) {
-			b.ejections.Failed(start, "e1", true)
-			b.ejections.Answered("e1")
-			b.ejections.Failed(start, "e1", true)
+			b.ejections.RecordFailure(start, "e1", true)
+			b.ejections.RecordSuccess("e1")
+			b.ejections.RecordFailure(start, "e1", true)
 		}, false},
-		"not reached":              {func(b *View) { b.ejections.Failed(start, "e1", false) }, true},
-		"broken, then unreachable": {func(b *View) { b.ejections.Failed(start, "e1", true); b.ejections.Failed(start, "e1", false) }, true},
+		"not reached":              {func(b *View) { b.ejections.RecordFailure(start, "e1", false) }, true},
+		"broken, then unreachable": {func(b *View) { b.ejections.RecordFailure(start, "e1", true); b.ejections.RecordFailure(start, "e1", false) }, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -751,7 +751,7 @@
 		t.Run(name, func(t *testing.T) {
 			v := NewView()
 			if test.holder != "" {
-				v.holders.Note(start, Holder{Prefix: 7, Endpoint: keys.OfEndpoint(test.holder)})
+				v.holders.Record(start, Holder{Prefix: 7, Endpoint: keys.OfEndpoint(test.holder)})
 			}
 			q := v.newQuery(start, "llm", long(7), three, three)
 			qt.Check(t, v.weigh(q, three[0]).Tokens, qt.Equals, test.unread)
@@ -870,9 +870,9 @@
 	p := New(d, nil, pushback.NewRejections(time.Now), pushback.NewFailures(time.Now), nil, logrus.NewEntry(log), func() time.Time { return start }, func() float64 { return 0 }, func() {})
 	key := keys.OfEndpoint("e1")
 	p.SetPeer("peer", PeerReport{Holders: []Holder{{Prefix: 7, Endpoint: key}}, Ejected: map[keys.Endpoint]time.Time{key: start.Add(time.Minute)}})
-	p.Failed("e1", false, errors.New("refused"))
+	p.RecordFailure("e1", false, errors.New("refused"))
 	c.Check(p.view.ejections.isEjected(start, "e1"), qt.IsTrue)
-	p.Restarted("e1")
+	p.ResetEndpoint("e1")
 	c.Check(p.view.ejections.isEjected(start, "e1"), qt.IsFalse)
 	c.Check(p.view.holders[7], qt.HasLen, 0)
 }
--- a/internal/front/relay/stream.go
+++ b/internal/front/relay/stream.go
@@ -92,7 +92,7 @@
 		return &owner.Result{Event: request.EventCallerGone, Err: err}
 	}
 	if x.stream.passed(x.server.parts.Clock.Now(), eventID(event)) {
-		x.stream.beside = x.server.parts.Health.Unread(a.EndpointID)
+		x.stream.beside = x.server.parts.Health.UnprocessedTokens(a.EndpointID)
 	}
 	a.Tokens(x.stream.events)
 	return nil
