--- a/internal/front/placement/admit.go
+++ b/internal/front/placement/admit.go
@@ -8,31 +8,30 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// Under overload the least urgent requests wait a little and are refused first. The rule: the less urgent
-// a request, by its class and then by its workspace's tier, the smaller the part of an engine's slots up to
-// which it is admitted; and it is not admitted where its answer would begin so late that callers give up.
-// Requests of the most urgent classes and calls of plain services are always admitted: engines order those
-// themselves by the priority they are sent.
+// Under overload the least urgent requests wait briefly and are refused first. The less urgent a request is, by its
+// class and then by its workspace's tier, the smaller the share of an engine's slots up to which it is admitted. A
+// request is not admitted either if its response would begin after callers abandon it. Requests of the most urgent
+// classes and calls of services without prompts are always admitted: engines order them by the priority sent with them.
 
 const (
-	// leastUrgentSlots is the part of an engine's slots up to which the least urgent requests of the lowest tier are
-	// admitted. More urgent ones are admitted up to a part between it and all. It lies above one half because the users
-	// price a refusal while half of the slots are free.
-	leastUrgentSlots = 0.56
-	// hopelessTargets is how many targets the first event may be predicted to take. Callers on the users'
-	// platform give up a stream after four.
-	hopelessTargets = 4
+	// leastUrgentShare is the share of an engine's slots up to which the least urgent requests of the lowest tier are
+	// admitted; more urgent requests are admitted up to a share between it and 1. It is above one half because a
+	// refusal while half of the slots are free is penalized.
+	leastUrgentShare = 0.56
+	// maxFirstEventTargets is the maximum predicted time to the first event, in multiples of its target. Callers
+	// abandon a stream after four.
+	maxFirstEventTargets = 4
 )
 
-// PriorityBounds are the ends of the order of requests, by the settings in force.
+// PriorityBounds holds the ends of the priority order of requests in the settings.
 type PriorityBounds struct {
-	// LowestTier is the highest number of a tier that a request can have.
+	// LowestTier is the highest tier number that a request can have.
 	LowestTier int
-	// LeastUrgent is the highest number of an urgency within a tier.
+	// LeastUrgent is the highest urgency number within a tier.
 	LeastUrgent int
 }
 
-// PriorityBoundsOf finds the ends of the order in a tree.
+// PriorityBoundsOf returns the bounds of a settings tree.
 func PriorityBoundsOf(tree *settings.Tree) PriorityBounds {
 	var bounds PriorityBounds
 	for _, workspace := range tree.Workspaces {
@@ -51,105 +50,104 @@
 	return bounds
 }
 
-// isLeast reports whether a request is among the first to wait. Such a request waits for
-// the endpoint that holds its prefix: processing the prefix elsewhere would take scarce
-// capacity from the others.
-func (b *PriorityBounds) isLeast(request *admission.Request) bool {
+// isLeastUrgent reports whether a request is among the first to wait. Such a request waits for the endpoint that holds
+// its prefix: processing the prefix elsewhere would take scarce capacity from other requests.
+func (b *PriorityBounds) isLeastUrgent(request *admission.Request) bool {
 	return request.Tier >= b.LowestTier && request.Urgency >= b.LeastUrgent
 }
 
-// grade returns how little urgent a request is, from 0 to 1.
-func (b *PriorityBounds) grade(request *admission.Request) float64 {
+// relativeRank returns the rank of a request relative to the last rank: 0 is the most urgent, 1 the least.
+func (b *PriorityBounds) relativeRank(request *admission.Request) float64 {
 	return float64(b.rank(request)) / float64(max(b.LeastUrgent*(b.LowestTier+1)+b.LowestTier, 1))
 }
 
-// rank orders requests by the urgency of their class, then by the tier of their workspace; 0 is the first.
+// rank orders requests by the urgency of their class, then by the tier of their workspace; 0 is the most urgent.
 func (b *PriorityBounds) rank(request *admission.Request) int {
 	return min(request.Urgency, b.LeastUrgent)*(b.LowestTier+1) + min(request.Tier, b.LowestTier)
 }
 
-// isBounded reports whether a request may be refused for lack of room.
-func (b *PriorityBounds) isBounded(request *admission.Request) bool {
+// isSheddable reports whether a request may be refused for lack of room.
+func (b *PriorityBounds) isSheddable(request *admission.Request) bool {
 	return request.PromptTokens > 0 && b.LeastUrgent > 0 && request.Urgency > 0
 }
 
-// admits reports whether a request is admitted to an endpoint with a number of slots and of
-// open requests. Zero slots means that their number is not known.
+// admits reports whether a request is admitted to an endpoint with a number of slots and of open requests. Zero slots
+// means that the number of slots is unknown.
 func (b *PriorityBounds) admits(request *admission.Request, slots, open int) bool {
-	if !b.isBounded(request) || slots == 0 {
+	if !b.isSheddable(request) || slots == 0 {
 		return true
 	}
-	part := 1 - (1-leastUrgentSlots)*b.grade(request)
+	part := 1 - (1-leastUrgentShare)*b.relativeRank(request)
 	return open < int(part*float64(slots))
 }
 
-// admitsChoice reports whether a request is admitted to the endpoint that was chosen for it.
+// admitsChoice reports whether a request is admitted to the endpoint chosen for it.
 func (b *PriorityBounds) admitsChoice(request *admission.Request, choice *Choice) bool {
-	hopeless := request.FirstToken > 0 && choice.PredictedFirstEvent > hopelessTargets*request.FirstToken
-	return b.admits(request, choice.Slots, choice.Load.Requests) && (!hopeless || !b.isBounded(request))
+	hopeless := request.FirstToken > 0 && choice.PredictedFirstEvent > maxFirstEventTargets*request.FirstToken
+	return b.admits(request, choice.Slots, choice.Load.Requests) && (!hopeless || !b.isSheddable(request))
 }
 
-// admitting leaves out the endpoints that do not admit a request.
-func (v *View) admitting(bounds *PriorityBounds, request *admission.Request, endpoints []*directory.Entry) []*directory.Entry {
-	return keep(endpoints, func(e *directory.Entry) bool {
+// withRoom returns the endpoints that admit a request.
+func (v *View) withRoom(bounds *PriorityBounds, request *admission.Request, endpoints []*directory.Entry) []*directory.Entry {
+	return filter(endpoints, func(e *directory.Entry) bool {
 		return bounds.admits(request, e.Endpoint.MaxInFlight, v.loads.Total(e.ID).Requests)
 	})
 }
 
 const (
-	// waitPart bounds the wait for a slot to the latency target divided by it. The users credit a refusal only if it
-	// comes within a quarter of the target, so a sixth leaves time for the way back.
-	waitPart = 6
-	// maxWait bounds the wait where the target is long.
-	maxWait = 500 * time.Millisecond
-	// slotPoll is the time between two looks for a slot: short against the wait, long against the cost of a look
-	// (microseconds).
-	slotPoll = 20 * time.Millisecond
+	// slotWaitDivisor divides the latency target to bound the wait for a slot. A refusal only counts as timely within a
+	// quarter of the target, so a sixth leaves time for the response.
+	slotWaitDivisor = 6
+	// maxSlotWait bounds the wait if the target is long.
+	maxSlotWait = 500 * time.Millisecond
+	// slotPollInterval is the time between two checks for a free slot: short compared with the wait, long compared with
+	// the cost of a check (microseconds).
+	slotPollInterval = 20 * time.Millisecond
 )
 
-// waitFor returns how long a request may wait for a slot before it is refused.
-func waitFor(request *admission.Request) time.Duration {
-	return min(max(request.FirstToken, request.WholeAnswer)/waitPart, maxWait)
+// slotWait returns how long a request may wait for a slot before it is refused.
+func slotWait(request *admission.Request) time.Duration {
+	return min(max(request.FirstToken, request.WholeAnswer)/slotWaitDivisor, maxSlotWait)
 }
 
-// When a refused caller should come back: callers heed it only up to a third of the time that they have left.
+// Bounds of the Retry-After of a refusal. Callers follow it only up to a third of the time that they have left.
 const (
-	// leastRoomRetry and mostRoomRetry bound the time after which there should be room.
-	leastRoomRetry = 500 * time.Millisecond
-	mostRoomRetry  = 4 * time.Second
-	// roomRetrySpread is the part by which those refused together come back at different times.
+	// minRoomRetry and maxRoomRetry bound the time until room is expected.
+	minRoomRetry = 500 * time.Millisecond
+	maxRoomRetry = 4 * time.Second
+	// roomRetrySpread is the share by which the retry times of requests refused together vary.
 	roomRetrySpread = 0.5
-	// rejectedRetry is for a caller whose request was rejected by an endpoint that rejects all: it has a chance only
-	// once that is over.
-	rejectedRetry = time.Second
-	// noEndpointRetry is about the time in which an endpoint's entry comes back or a host
-	// learns of one.
+	// rejectionRetry is for a caller whose request was rejected by an endpoint that rejects every request: a retry can
+	// only succeed after that ends.
+	rejectionRetry = time.Second
+	// noEndpointRetry is about the time until an endpoint's entry returns or the host receives a new one.
 	noEndpointRetry = 500 * time.Millisecond
 )
 
-// retryAfter returns when to come back after a refusal: when what waits at the endpoint that was chosen
-// will be read, when the first endpoint has rested or has a permit left, and at once where there is none. Random is from 0 up to 1.
+// retryAfter returns when to retry after a refusal: after the prompts waiting at the chosen endpoint are processed,
+// after the first endpoint has rested or has a permit left, or after noEndpointRetry if there is no endpoint. Random is
+// in [0, 1).
 func retryAfter(now time.Time, reason admission.Reason, choice *Choice, random float64) time.Duration {
 	switch reason {
 	case admission.ReasonNoRoom:
 	case admission.ReasonResting:
 		return choice.AvailableAt.Sub(now)
 	case admission.ReasonLimited:
-		return spreadRetry(max(choice.AvailableAt.Sub(now), leastRoomRetry), random)
+		return spreadRetry(max(choice.AvailableAt.Sub(now), minRoomRetry), random)
 	default:
 		return noEndpointRetry
 	}
-	return spreadRetry(min(max(choice.PredictedFirstEvent, leastRoomRetry), mostRoomRetry), random)
+	return spreadRetry(min(max(choice.PredictedFirstEvent, minRoomRetry), maxRoomRetry), random)
 }
 
-// spreadRetry makes a time longer at random, so that those refused together do not come back together. Random is from 0 up
-// to 1.
+// spreadRetry adds a random time, so that callers refused together don't retry together. Random is in [0, 1).
 func spreadRetry(after time.Duration, random float64) time.Duration {
 	return time.Duration(float64(after) * (1 + roomRetrySpread*random))
 }
 
-// rejectedRetryAfter returns when to come back if the endpoint that was chosen rejects the request, which it is expected to
-// do with a share of all: at once while it takes most, since the next may be taken.
-func rejectedRetryAfter(share float64) time.Duration {
-	return time.Duration(share * float64(rejectedRetry))
+// rejectionRetryAfter returns when to retry if the chosen endpoint rejects the request, given the share of requests
+// that it is expected to reject. It is short if the endpoint accepts most requests, since the next one is likely to be
+// accepted.
+func rejectionRetryAfter(share float64) time.Duration {
+	return time.Duration(share * float64(rejectionRetry))
 }
--- a/internal/front/placement/affinity.go
+++ b/internal/front/placement/affinity.go
@@ -10,27 +10,26 @@
 	"oxbowslip.dev/oxbowslip/internal/front/keys"
 )
 
-// Affinity: a prompt whose beginning other prompts share is cheaper at an endpoint that has
-// that beginning in its cache. Hosts report to each other which endpoint was sent which prefix;
-// where nothing is known, a hash picks the same endpoint on every host.
+// Affinity: a prompt whose beginning is shared with other prompts is cheaper at an endpoint that has that beginning in
+// its cache. Hosts report to each other which endpoint was sent which prefix; for an unknown prefix, a hash selects the
+// same endpoint on every host.
 
-// minSharedPrefix is the length, in tokens, from which a shared prefix decides where a request goes. Shorter ones cost
-// less to process again than waiting for one endpoint. Depends on how fast engines process prompts (37 and 48 tokens a
-// ms there).
+// minSharedPrefix is the minimum length, in tokens, of a shared prefix that determines placement. Processing a shorter
+// one again costs less than waiting for one endpoint. It depends on the processing rate of engines (37 to 48 tokens per
+// ms).
 const minSharedPrefix = 1500
 
-// holderTimeout is how long an endpoint counts as holding a prefix after its last use. Engines drop the least recently
-// used parts, and one that was dropped costs one processing of the prefix.
+// holderTimeout is how long an endpoint counts as a holder of a prefix after its last use. Engines evict the least
+// recently used prefixes, and a wrong guess costs one processing of the prefix.
 const holderTimeout = time.Minute
 
-// Holder is an endpoint that was sent a prompt with a prefix, and so has it in its cache.
+// Holder is an endpoint that was sent a prompt with a prefix, and so has the prefix in its cache.
 type Holder struct {
 	Prefix   keys.Prefix
 	Endpoint keys.Endpoint
 }
 
-// holderTable holds the endpoints that each prefix was sent to, by this host or a peer,
-// with the last time.
+// holderTable holds the endpoints to which this host or a peer has sent each prefix, with the time of the last use.
 type holderTable map[keys.Prefix]map[keys.Endpoint]time.Time
 
 // Record records a holder, and reports whether it is new.
@@ -45,14 +44,14 @@
 	return !known
 }
 
-// drop forgets that an endpoint holds anything.
-func (t holderTable) drop(endpoint keys.Endpoint) {
+// dropEndpoint removes all prefixes of an endpoint.
+func (t holderTable) dropEndpoint(endpoint keys.Endpoint) {
 	for _, endpoints := range t {
 		delete(endpoints, endpoint)
 	}
 }
 
-// expire forgets holders that were not used for long.
+// expire removes holders that were not used within holderTimeout.
 func (t holderTable) expire(now time.Time) {
 	for prefix, endpoints := range t {
 		for endpoint, at := range endpoints {
@@ -66,8 +65,8 @@
 	}
 }
 
-// sharedPrefix returns the hash and the length in tokens of the longest leading part of a
-// prompt that other requests share. The last part is the request's own.
+// sharedPrefix returns the hash and the length in tokens of the longest leading part of a prompt that other requests
+// share. The last part is specific to the request.
 func sharedPrefix(request *admission.Request) (hash uint64, tokens int) {
 	last := len(request.PrefixTokens) - 1
 	if last < 1 || len(request.Prefix) <= last {
@@ -76,12 +75,12 @@
 	return request.Prefix[last-1], request.PrefixTokens[last-1]
 }
 
-// rendezvous returns the ID of the endpoint with the highest hash for a key. All hosts find
-// the same without asking each other, and an endpoint that goes moves only its own keys.
+// rendezvous returns the ID of the endpoint with the highest hash for a key. All hosts select the same endpoint without
+// communication, and the removal of an endpoint moves only its own keys.
 func rendezvous(key uint64, endpoints []*directory.Entry) string {
 	best, highest := "", uint64(0)
 	for _, e := range endpoints {
-		hash := mix(key ^ xxhash.Sum64String(e.ID))
+		hash := mixBits(key ^ xxhash.Sum64String(e.ID))
 		if best == "" || hash > highest {
 			best, highest = e.ID, hash
 		}
@@ -89,8 +88,8 @@
 	return best
 }
 
-// mix spreads the bits of a hash (the finalizer of MurmurHash3).
-func mix(h uint64) uint64 {
+// mixBits spreads the bits of a hash (the finalizer of MurmurHash3).
+func mixBits(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	h ^= h >> 33
--- a/internal/front/placement/bench_test.go
+++ b/internal/front/placement/bench_test.go
@@ -7,7 +7,7 @@
 	"oxbowslip.dev/oxbowslip/internal/front/directory"
 )
 
-// BenchmarkChoose is the cost of choosing among the endpoints of a service.
+// BenchmarkChoose measures the choice among the endpoints of a service.
 func BenchmarkChoose(b *testing.B) {
 	for _, number := range []int{9, 112, 3500} {
 		b.Run(fmt.Sprint(number), func(b *testing.B) {
--- a/internal/front/placement/ejection.go
+++ b/internal/front/placement/ejection.go
@@ -7,61 +7,60 @@
 	"oxbowslip.dev/oxbowslip/internal/front/keys"
 )
 
-// An ejected endpoint gets no new work for a while, as long as others are left. The rule:
-// an endpoint that can't be reached is ejected at once; one that breaks a call is ejected
-// when it breaks another soon after, with no success in between.
+// An ejected endpoint gets no new work for a while, as long as others are left. An unreachable endpoint is ejected
+// immediately. An endpoint that breaks a call is ejected if it breaks another one within failureWindow and no call
+// succeeds in between.
 
-// ejectionBackoff is how long an endpoint is ejected; each ejection without a success in between lasts twice as long as
-// the one before. The first is about the time in which a server that crashed restarts on the users' sites, the longest
-// bounds how late a server that came back gets work.
+// ejectionBackoff is the length of an ejection, which doubles with each ejection without a success in between. The
+// first is about the time in which a crashed server restarts, and the longest bounds the delay before a recovered
+// server gets work.
 var ejectionBackoff = backoff.Doubling{First: time.Second, Longest: 8 * time.Second}
 
-// failureWindow is how close together two broken calls must be for an ejection. A single one is ignored because healthy
-// endpoints lose a call now and then, and moving their prefixes costs more than one retry.
+// failureWindow is the maximum time between two broken calls that cause an ejection. A single one is ignored because
+// healthy endpoints lose a call now and then, and moving their prefixes costs more than one retry.
 const failureWindow = 2 * time.Second
 
-// sameEjection is how far apart two reports of one ejection may be: each peer reports the time left, and the datagram
-// travels for a while. Well above the delay between zones (1 ms on the users' sites) and the pace of heartbeats (80
-// ms).
-const sameEjection = 100 * time.Millisecond
+// sameEjectionTolerance is the maximum difference between the ends of two reports of one ejection: each peer reports
+// the time left, and the datagram is delayed. It is well above the delay between zones (1 ms) and the heartbeat
+// interval (80 ms).
+const sameEjectionTolerance = 100 * time.Millisecond
 
-// suspect is an endpoint that failed since its last success.
-type suspect struct {
+// failingEndpoint is an endpoint that has failed since its last success.
+type failingEndpoint struct {
 	until time.Time
-	// ejections counts those so far, for the back-off.
+	// ejections counts the ejections since the last success, for the back-off.
 	ejections int
-	// brokenAt is when the last call broke.
+	// brokenAt is the time of the last broken call.
 	brokenAt time.Time
 }
 
-// ejectionTable holds the endpoints that get no new work, by this host's own calls and by
-// what its peers report.
+// ejectionTable holds the endpoints that are ejected because of this host's own calls or by its peers.
 type ejectionTable struct {
-	suspects map[string]*suspect
-	byPeers  map[keys.Endpoint]time.Time
+	failing map[string]*failingEndpoint
+	byPeers map[keys.Endpoint]time.Time
 }
 
 func newEjectionTable() ejectionTable {
-	return ejectionTable{suspects: make(map[string]*suspect), byPeers: make(map[keys.Endpoint]time.Time)}
+	return ejectionTable{failing: make(map[string]*failingEndpoint), byPeers: make(map[keys.Endpoint]time.Time)}
 }
 
-// Ejection is the outcome of a failure.
+// Ejection is the result of a failure.
 type Ejection struct {
-	// Until is when the endpoint may get new work again.
+	// Until is the end of the ejection.
 	Until time.Time
-	// Consecutive counts the ejections without a success in between, this one included.
+	// Consecutive counts the ejections since the last success, this one included.
 	Consecutive int
-	// IsNew is set if this failure caused it.
+	// IsNew is set if this failure caused the ejection.
 	IsNew bool
 }
 
-// RecordFailure counts a call that failed or stayed silent. Reached is set if the endpoint was
-// reached and then broke the call.
-func (t *ejectionTable) RecordFailure(now time.Time, endpoint string, reached bool) Ejection {
-	s, ok := t.suspects[endpoint]
+// Failed counts a call that failed or got no response. Reached is set if the endpoint was reached before the
+// call broke.
+func (t *ejectionTable) Failed(now time.Time, endpoint string, reached bool) Ejection {
+	s, ok := t.failing[endpoint]
 	if !ok {
-		s = new(suspect)
-		t.suspects[endpoint] = s
+		s = new(failingEndpoint)
+		t.failing[endpoint] = s
 	}
 	alone := now.Sub(s.brokenAt) > failureWindow
 	if reached {
@@ -71,7 +70,7 @@
 		return Ejection{Until: s.until, Consecutive: s.ejections}
 	}
 	if now.Before(s.until) {
-		// Calls that were in flight together fail together; that is one failure.
+		// Calls that were in flight together fail together and count as one failure.
 		return Ejection{Until: s.until, Consecutive: s.ejections}
 	}
 	s.until = now.Add(ejectionBackoff.Span(s.ejections))
@@ -79,34 +78,34 @@
 	return Ejection{Until: s.until, Consecutive: s.ejections, IsNew: true}
 }
 
-// RecordSuccess counts a whole answer. It reports whether the endpoint had failed before.
-func (t *ejectionTable) RecordSuccess(endpoint string) bool {
-	_, failed := t.suspects[endpoint]
-	delete(t.suspects, endpoint)
+// Answered counts a complete response. It reports whether the endpoint had failed before.
+func (t *ejectionTable) Answered(endpoint string) bool {
+	_, failed := t.failing[endpoint]
+	delete(t.failing, endpoint)
 	return failed
 }
 
-// drop forgets that an endpoint has failed.
-func (t *ejectionTable) drop(endpoint string) {
-	delete(t.suspects, endpoint)
+// reset removes the failures and ejections of an endpoint.
+func (t *ejectionTable) reset(endpoint string) {
+	delete(t.failing, endpoint)
 	delete(t.byPeers, keys.OfEndpoint(endpoint))
 }
 
-// RecordPeerEjection records a peer's report that an endpoint is ejected, and reports whether
-// this host did not know.
+// RecordPeerEjection records a peer's report of an ejected endpoint, and reports whether the ejection was unknown to
+// this host.
 func (t *ejectionTable) RecordPeerEjection(endpoint keys.Endpoint, until time.Time) bool {
-	if !until.After(t.byPeers[endpoint].Add(sameEjection)) {
+	if !until.After(t.byPeers[endpoint].Add(sameEjectionTolerance)) {
 		return false
 	}
 	t.byPeers[endpoint] = until
 	return true
 }
 
-// Ejected returns the endpoints that this host has ejected, with the end of each ejection.
-// Those of peers are left out, so that reports do not go round.
+// Ejected returns the endpoints ejected by this host, with the end of each ejection. Ejections by peers are excluded,
+// so that reports don't circulate.
 func (t *ejectionTable) Ejected(now time.Time) map[string]time.Time {
 	ejected := make(map[string]time.Time)
-	for endpoint, s := range t.suspects {
+	for endpoint, s := range t.failing {
 		if now.Before(s.until) {
 			ejected[endpoint] = s.until
 		}
@@ -116,11 +115,11 @@
 
 // isEjected reports whether this host or a peer has ejected an endpoint.
 func (t *ejectionTable) isEjected(now time.Time, endpoint string) bool {
-	s, ok := t.suspects[endpoint]
+	s, ok := t.failing[endpoint]
 	return (ok && now.Before(s.until)) || now.Before(t.byPeers[keys.OfEndpoint(endpoint)])
 }
 
-// expire forgets peers' ejections that are over.
+// expire removes peers' ejections that have expired.
 func (t *ejectionTable) expire(now time.Time) {
 	for endpoint, until := range t.byPeers {
 		if !now.Before(until) {
--- a/internal/front/placement/engines.go
+++ b/internal/front/placement/engines.go
@@ -6,8 +6,8 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// engineTable holds what is known of the engines of each service. It has an entry for a service once
-// this host or a peer has sent it something.
+// engineTable holds the learned figures of each service's engines. A service has an entry once this host or a peer has
+// sent it a request.
 type engineTable map[keys.Service]*engine.Service
 
 func (t engineTable) get(service keys.Service) *engine.Service {
@@ -19,21 +19,22 @@
 	return s
 }
 
-// setPeer replaces what a peer reports.
+// setPeer replaces a peer's reports.
 func (t engineTable) setPeer(peer string, reports map[keys.Service]engine.Report) {
 	for service, report := range reports {
 		t.get(service).SetPeer(peer, report)
 	}
 }
 
-// dropPeer forgets what a peer reported.
+// dropPeer removes a peer's reports.
 func (t engineTable) dropPeer(peer string) {
 	for _, s := range t {
 		s.DropPeer(peer)
 	}
 }
 
-// targetsOf returns the targets of the classes that a tree's routes have, without any workspace's own.
+// targetsOf returns the targets of the request classes that a tree's routes use. Values of single workspaces are
+// ignored.
 func targetsOf(tree *settings.Tree) map[keys.Class]engine.Targets {
 	targets := make(map[keys.Class]engine.Targets, len(tree.Routes))
 	for i := range tree.Routes {
--- a/internal/front/placement/load.go
+++ b/internal/front/placement/load.go
@@ -7,7 +7,7 @@
 	"oxbowslip.dev/oxbowslip/internal/front/keys"
 )
 
-// Load is the work that is in flight at an endpoint.
+// Load is the work in flight at an endpoint.
 type Load struct {
 	// Requests is the number of open requests.
 	Requests int
@@ -24,14 +24,14 @@
 	l.add(Load{Requests: -other.Requests, Tokens: -other.Tokens})
 }
 
-// peerLoadTimeout is how long a peer's report of its loads counts. Peers send a heartbeat about once a second at least,
-// so three are missed by then.
+// peerLoadTimeout is how long a peer's report of its loads is valid. Peers send a heartbeat at least about once a
+// second, so a report expires after three missed heartbeats.
 const peerLoadTimeout = 3 * time.Second
 
-// mostParts bounds the parts of a sum: 64 hold the loads of 64,000 endpoints.
-const mostParts = 64
+// maxParts bounds the parts of a sum: 64 parts hold the loads of 64,000 endpoints.
+const maxParts = 64
 
-// peerReport is the newest report of one peer.
+// peerReport is the latest report of one peer.
 type peerReport struct {
 	at    time.Time
 	loads map[keys.Endpoint]Load
@@ -41,22 +41,22 @@
 type loadTable struct {
 	own   map[string]*Load
 	peers map[string]peerReport
-	// peerTotals are the sums of the peers' loads.
+	// peerTotals holds the sum of the peers' loads at each endpoint.
 	peerTotals map[keys.Endpoint]Load
-	// sums are the loads of the other hosts of a large fleet, in parts. Those of hosts that report to each
-	// host are not among them.
+	// sums holds the loads of the other hosts of a large fleet, in parts, excluding the hosts that report to every host
+	// directly.
 	sums []partSum
 }
 
-// Part is one of several parts into which endpoints are divided by their keys, where one message can't hold
-// the loads of all.
+// Part identifies one of several parts into which endpoints are divided by their keys if one message can't hold the
+// loads of all.
 type Part struct {
-	// Number is from 0 up to Of.
+	// Number is in the range [0, Of).
 	Number, Of int
 }
 
-// IsValid reports whether there is such a part.
-func (p Part) IsValid() bool { return p.Number >= 0 && p.Number < p.Of && p.Of <= mostParts }
+// IsValid reports whether the part's number and the number of parts are in range.
+func (p Part) IsValid() bool { return p.Number >= 0 && p.Number < p.Of && p.Of <= maxParts }
 
 // Has reports whether an endpoint belongs to the part.
 func (p Part) Has(endpoint keys.Endpoint) bool {
@@ -73,8 +73,8 @@
 	return loadTable{own: make(map[string]*Load), peers: make(map[string]peerReport), peerTotals: make(map[keys.Endpoint]Load)}
 }
 
-// Begin counts a request that this host sends to an endpoint. Tokens is the part of its
-// prompt that the endpoint has to process.
+// Begin counts a request that this host sends to an endpoint. Tokens is the number of its prompt tokens that the
+// endpoint has to process.
 func (t *loadTable) Begin(endpoint string, tokens int) {
 	load, ok := t.own[endpoint]
 	if !ok {
@@ -84,14 +84,14 @@
 	load.add(Load{Requests: 1, Tokens: tokens})
 }
 
-// Processed counts prompt tokens that an endpoint has processed.
+// Processed subtracts prompt tokens that an endpoint has processed.
 func (t *loadTable) Processed(endpoint string, tokens int) {
 	if load, ok := t.own[endpoint]; ok {
 		load.Tokens -= tokens
 	}
 }
 
-// End counts the end of a request. Tokens is what of its prompt was not processed.
+// End subtracts a request that has ended. Tokens is the number of its prompt tokens that were not processed.
 func (t *loadTable) End(endpoint string, tokens int) {
 	load, ok := t.own[endpoint]
 	if !ok {
@@ -112,7 +112,7 @@
 	return loads
 }
 
-// SetPeer replaces the report of a peer.
+// SetPeer replaces a peer's report.
 func (t *loadTable) SetPeer(now time.Time, peer string, loads map[keys.Endpoint]Load) {
 	t.DropPeer(peer)
 	t.peers[peer] = peerReport{at: now, loads: loads}
@@ -123,7 +123,7 @@
 	}
 }
 
-// DropPeer forgets the report of a peer.
+// DropPeer removes a peer's report.
 func (t *loadTable) DropPeer(peer string) {
 	for key, load := range t.peers[peer].loads {
 		total := t.peerTotals[key]
@@ -136,7 +136,7 @@
 	delete(t.peers, peer)
 }
 
-// SetSum replaces the loads of all other hosts of a large fleet at the endpoints of a part.
+// SetSum replaces the loads of all other hosts of a large fleet at the endpoints of one part.
 func (t *loadTable) SetSum(now time.Time, part Part, loads map[keys.Endpoint]Load) {
 	if !part.IsValid() {
 		return
@@ -147,15 +147,15 @@
 	t.sums[part.Number] = partSum{at: now, loads: loads}
 }
 
-// summed returns the load of an endpoint from the other hosts of a large fleet.
-func (t *loadTable) summed(endpoint keys.Endpoint) Load {
+// fleetLoad returns the load of an endpoint caused by the other hosts of a large fleet.
+func (t *loadTable) fleetLoad(endpoint keys.Endpoint) Load {
 	if len(t.sums) == 0 {
 		return Load{}
 	}
 	return t.sums[int(endpoint)%len(t.sums)].loads[endpoint]
 }
 
-// expire forgets reports that are too old to count.
+// expire removes reports that have expired.
 func (t *loadTable) expire(now time.Time) {
 	old := 0
 	for i := range t.sums {
@@ -174,11 +174,11 @@
 	}
 }
 
-// Total returns the load of an endpoint from all hosts.
+// Total returns the load of an endpoint caused by all hosts.
 func (t *loadTable) Total(endpoint string) Load {
 	key := keys.OfEndpoint(endpoint)
 	total := t.peerTotals[key]
-	total.add(t.summed(key))
+	total.add(t.fleetLoad(key))
 	if own, ok := t.own[endpoint]; ok {
 		total.add(*own)
 	}
--- a/internal/front/placement/partition.go
+++ b/internal/front/placement/partition.go
@@ -9,19 +9,18 @@
 	"oxbowslip.dev/oxbowslip/internal/front/directory"
 )
 
-// Partitions keep prompts apart that harm each other: some endpoints of a service are for short
-// prompts, the others for all. How many is decided in package engine; which follows from a hash of the
-// endpoints' IDs, so that all hosts find the same, and hosts that differ in the number differ in few
-// endpoints.
+// Partitions separate prompts that harm each other: some endpoints of a service are reserved for short prompts, the
+// others take all. Package engine decides the number of reserved endpoints. A hash of the endpoints' IDs selects them,
+// so that all hosts reserve the same ones, and hosts that differ in the number differ in few endpoints.
 
-// shortSet is the endpoints of a service that are kept for short prompts, by ID.
+// shortSet holds the IDs of the endpoints of a service that are reserved for short prompts.
 type shortSet map[string]bool
 
-// shortSetOf picks a number of endpoints.
+// shortSetOf selects a number of endpoints by the hash of their IDs.
 func shortSetOf(endpoints []*directory.Entry, number int) shortSet {
 	ordered := slices.Clone(endpoints)
 	slices.SortFunc(ordered, func(a, b *directory.Entry) int {
-		return cmp.Compare(mix(xxhash.Sum64String(a.ID)), mix(xxhash.Sum64String(b.ID)))
+		return cmp.Compare(mixBits(xxhash.Sum64String(a.ID)), mixBits(xxhash.Sum64String(b.ID)))
 	})
 	set := make(shortSet, number)
 	for _, e := range ordered[:min(number, len(ordered))] {
@@ -30,9 +29,9 @@
 	return set
 }
 
-// cachedSet is the result of shortSetOf for one service.
+// cachedSet is a result of shortSetOf for one service.
 type cachedSet struct {
-	// endpoints is the list that it was found for. The directory makes a new list for each of its
+	// endpoints is the list from which the set was selected. The directory creates a new list for each of its
 	// revisions.
 	endpoints []*directory.Entry
 	number    int
@@ -52,9 +51,9 @@
 	return cached.set
 }
 
-// inPartition returns the candidates that are in the short set, or not in it, or all if there are none.
+// inPartition returns the candidates inside or outside of the short set, or all candidates if there is none.
 func inPartition(short bool, set shortSet, candidates []*directory.Entry) []*directory.Entry {
-	in := keep(candidates, func(e *directory.Entry) bool { return set[e.ID] == short })
+	in := filter(candidates, func(e *directory.Entry) bool { return set[e.ID] == short })
 	if len(in) == 0 {
 		return candidates
 	}
--- a/internal/front/placement/placement.go
+++ b/internal/front/placement/placement.go
@@ -1,13 +1,11 @@
-// Package placement chooses the endpoint for a request on the host that owns the request,
-// at once and without asking another host, and decides whether the request is admitted at
-// all. Only oxbowslip-front uses it; oxbowslipd asks the queue that all hosts share
-// (package schedule).
+// Package placement chooses the endpoint for a request on the host that owns the request, without asking another host,
+// and decides whether the request is admitted. Only oxbowslip-front uses it; oxbowslipd uses the queue that all hosts
+// share (package schedule).
 //
-// It owns what this host knows of the endpoints: the loads, ejections and prefixes of this
-// host, what is learned of engines, and what its peers report of theirs. It relies on package
-// directory for the endpoints of a service, and on package engine for predictions. View and the rules (admit.go, affinity.go, cost.go,
-// ejection.go, partition.go) do no input or output and take the time as a
-// parameter; Placer adds the lock, the clock, the wait for a slot and the log.
+// The package owns this host's view of the endpoints: the loads, ejections and prefixes of this host, the figures
+// learned about engines, and the reports of peers. It relies on package directory for the endpoints of a service and on
+// package engine for predictions. View and the rules (admit.go, affinity.go, cost.go, ejection.go, partition.go) do no
+// I/O and take the time as a parameter; Placer adds the lock, the clock, the wait for a slot and the log.
 package placement
 
 import (
@@ -29,25 +27,24 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// grantValidity is how long a grant may stay unused. The owner uses it at once, so it only covers a host that freezes
-// in between.
+// grantValidity is how long a grant may stay unused. The owner normally uses it immediately, so the bound only matters
+// if the host freezes in between.
 const grantValidity = 100 * time.Millisecond
 
-// holderReports is in how many reports to peers a new holder is listed, since a datagram may be lost. With 1 in 40
-// lost, as on a bad day of mfs-kochi, one holder in 64,000 goes unreported.
-const holderReports = 3
+// reportsPerHolder is the number of reports to peers that list a new holder, since a datagram may be lost. At a loss of
+// 1 datagram in 40, one holder in 64,000 goes unreported.
+const reportsPerHolder = 3
 
-// Placer grants endpoints to the requests of this host. It implements owner.Admitter and is
-// safe for concurrent use.
+// Placer grants endpoints to the requests of this host. It implements owner.Admitter and is safe for concurrent use.
 type Placer struct {
 	directory *directory.Directory
 	rests     *pushback.Rests
 	limiter   *ratelimit.Limiter
 	log       *logrus.Entry
 	clock     func() time.Time
-	// random returns numbers from 0 up to 1.
+	// random returns numbers in [0, 1).
 	random func() float64
-	// changed is called when this host's loads or ejections have changed.
+	// changed is called after a change of this host's loads or ejections.
 	changed func()
 
 	mu         sync.Mutex
@@ -57,21 +54,21 @@
 	newHolders []newHolder
 }
 
-// newHolder is a holder that is still to be reported a number of times.
+// newHolder is a holder that has yet to be listed in reportsLeft reports to peers.
 type newHolder struct {
-	holder  Holder
-	reports int
+	holder      Holder
+	reportsLeft int
 }
 
-// New returns a placer that has sent nothing. Changed is called, outside of any lock, when
-// this host's loads or ejections have changed; it must not block.
+// New returns a placer with no requests in flight. Changed is called without any lock held after a change of this
+// host's loads or ejections; it must not block.
 func New(d *directory.Directory, rests *pushback.Rests, rejections *pushback.Rejections, failures *pushback.Failures, limiter *ratelimit.Limiter, log *logrus.Entry, clock func() time.Time, random func() float64, changed func()) *Placer {
 	view := NewView()
 	view.random, view.rejections, view.failures = random, rejections, failures
 	return &Placer{directory: d, rests: rests, limiter: limiter, log: log, clock: clock, random: random, changed: changed, view: view}
 }
 
-// SetSettings takes what placement needs of the settings in force.
+// SetSettings applies the parts of the settings that placement uses.
 func (p *Placer) SetSettings(tree *settings.Tree) {
 	bounds, targets := PriorityBoundsOf(tree), targetsOf(tree)
 	p.mu.Lock()
@@ -79,19 +76,19 @@
 	p.bounds, p.targets = bounds, targets
 }
 
-// Ask returns a grant as soon as an endpoint of the service admits the request, or a
-// refusal: at once if the service has no endpoint, and after a short wait if none admits it.
-// It blocks for little longer than waitFor; the error is that of ctx.
+// Ask returns a grant as soon as an endpoint of the service admits the request. It refuses immediately if the service
+// has no endpoint, and after a short wait if no endpoint admits the request. It blocks for little longer than slotWait.
+// The error is that of ctx.
 func (p *Placer) Ask(ctx context.Context, service string, request admission.Request) (owner.Ticket, admission.Decision, error) {
 	asked := p.clock()
-	until := asked.Add(waitFor(&request))
+	until := asked.Add(slotWait(&request))
 	for {
 		choice, reason := p.choose(service, &request, p.clock().Before(until))
-		if reason == "" && choice.IsLimited && !p.acquire(ctx, service, &request, &choice, until) {
+		if reason == "" && choice.IsLimited && !p.acquirePermit(ctx, service, &request, &choice, until) {
 			if ctx.Err() != nil {
 				return nil, admission.Decision{}, ctx.Err()
 			}
-			// The endpoint has no permit left for now: another may be free.
+			// The endpoint has no permit left; another endpoint may have one.
 			continue
 		}
 		now := p.clock()
@@ -100,18 +97,18 @@
 			return p.newTicket(service, &request, &choice), p.grant(&request, &choice, now.Sub(asked), now), nil
 		}
 		if reason == admission.ReasonNoEndpoint || !now.Before(until) || choice.AvailableAt.After(until) {
-			p.refused(now, service, &request, reason)
+			p.recordRefusal(now, service, &request, reason)
 			return nil, p.refusal(&request, reason, &choice, now.Sub(asked)), nil
 		}
-		if !lifetime.Sleep(ctx, slotPoll) {
+		if !lifetime.Sleep(ctx, slotPollInterval) {
 			return nil, admission.Decision{}, ctx.Err()
 		}
 	}
 }
 
-// acquire gets a permit for an endpoint that was chosen and counts the request there. It waits for one only if no other
-// endpoint is left, until a time at most.
-func (p *Placer) acquire(ctx context.Context, service string, request *admission.Request, choice *Choice, until time.Time) bool {
+// acquirePermit gets a permit for a chosen endpoint and counts the request there. It waits for the permit only if no
+// other endpoint is left, and no longer than until.
+func (p *Placer) acquirePermit(ctx context.Context, service string, request *admission.Request, choice *Choice, until time.Time) bool {
 	wait := time.Duration(0)
 	if !choice.AvailableAt.IsZero() {
 		wait = until.Sub(p.clock())
@@ -123,19 +120,19 @@
 	choice.permit = permit
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.begin(p.clock(), service, request, choice)
+	p.recordGrant(p.clock(), service, request, choice)
 	return true
 }
 
-// rank orders requests that wait for a permit, as PriorityBounds does; 0 is the most urgent.
+// rank orders requests that wait for a permit, as PriorityBounds.rank does; 0 is the most urgent.
 func (p *Placer) rank(request *admission.Request) uint8 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return uint8(min(p.bounds.rank(request), math.MaxUint8))
 }
 
-// choose picks an endpoint, or returns the reason why there is none. It counts the request there, unless that needs a permit
-// first. MayAsk is set if there is time left to ask for one.
+// choose picks an endpoint, or returns the reason for a refusal. It counts the request at the endpoint, unless the
+// request needs a permit first. MayAsk is set if there is time left to ask for a permit.
 func (p *Placer) choose(service string, request *admission.Request, mayAsk bool) (Choice, admission.Reason) {
 	now := p.clock()
 	endpoints := p.directory.Serving(service)
@@ -156,38 +153,39 @@
 		return choice, admission.ReasonNoRoom
 	}
 	choice.AvailableAt = free
-	// A limit is the fleet's: what each host keeps to alone adds up to as many times of it as there are hosts.
+	// A limit applies to the whole fleet: if each host enforced it alone, n hosts would send n times as much.
 	if choice.IsLimited = p.limiter.IsLimited(choice.instance()); !choice.IsLimited {
-		p.begin(now, service, request, &choice)
+		p.recordGrant(now, service, request, &choice)
 	}
 	return choice, ""
 }
 
-// candidates returns those of the endpoints that may be chosen, or the reason why there is none. Free is when the first may
-// be if all others rest or have no permit left; a candidate is one to wait for then. The lock is held.
+// candidates returns the endpoints that may be chosen, or the reason for a refusal. If all endpoints rest or have no
+// permit left, free is the time at which the first becomes available, and a returned candidate is one to wait for. The
+// lock is held.
 func (p *Placer) candidates(now time.Time, request *admission.Request, endpoints []*directory.Entry, mayAsk bool) (candidates []*directory.Entry, free time.Time, reason admission.Reason) {
-	// An endpoint that wants no requests gets none, also where no other is left: it would only reject them.
+	// A resting endpoint gets no requests even if no other is left: it would reject them.
 	usable, rested := p.rests.Usable(endpoints)
 	if len(usable) == 0 {
 		return nil, rested, admission.ReasonResting
 	}
 	open, denied := p.limiter.Usable(usable, mayAsk)
-	// An ejected endpoint is tried before a request is refused: it may be ejected for a moment's slowness.
+	// An ejected endpoint is tried before a request is refused: it may have been ejected for a brief slowdown.
 	if len(open) == 0 {
-		if !mayAsk || denied.Next.Sub(now) > waitFor(request) {
+		if !mayAsk || denied.Next.Sub(now) > slotWait(request) {
 			return nil, denied.Next, admission.ReasonLimited
 		}
 		return []*directory.Entry{denied.Endpoint}, denied.Next, ""
 	}
 	candidates = p.view.candidates(now, request, open)
-	if !p.bounds.isLeast(request) {
-		candidates = p.view.admitting(&p.bounds, request, candidates)
+	if !p.bounds.isLeastUrgent(request) {
+		candidates = p.view.withRoom(&p.bounds, request, candidates)
 	}
 	return candidates, time.Time{}, ""
 }
 
-// begin counts a request at the endpoint that was chosen for it. The lock is held.
-func (p *Placer) begin(now time.Time, service string, request *admission.Request, choice *Choice) {
+// recordGrant counts a request at the endpoint chosen for it. The lock is held.
+func (p *Placer) recordGrant(now time.Time, service string, request *admission.Request, choice *Choice) {
 	p.rests.Granted(choice.Endpoint, choice.Version)
 	p.view.loads.Begin(choice.Endpoint, choice.Tokens)
 	if request.PromptTokens > 0 {
@@ -196,12 +194,11 @@
 		})
 	}
 	if choice.Prefix != 0 {
-		p.noteOwnHolder(now, Holder{Prefix: choice.Prefix, Endpoint: keys.OfEndpoint(choice.Endpoint)})
+		p.recordOwnHolder(now, Holder{Prefix: choice.Prefix, Endpoint: keys.OfEndpoint(choice.Endpoint)})
 	}
 }
 
-// decideSplit decides how many endpoints of a service are kept for short prompts, if that is due. The
-// lock is held.
+// decideSplit updates the number of endpoints reserved for short prompts, if an update is due. The lock is held.
 func (p *Placer) decideSplit(now time.Time, service string, endpoints []*directory.Entry) {
 	engines := p.view.engines.get(keys.OfService(service))
 	fleet := engine.Fleet{
@@ -212,7 +209,7 @@
 	}
 }
 
-// logSplit logs a split that has changed.
+// logSplit logs a changed split.
 func (p *Placer) logSplit(service string, engines *engine.Service) {
 	f := engines.Figures()
 	p.log.WithFields(logrus.Fields{
@@ -222,11 +219,11 @@
 	}).Info("endpoints kept for short prompts")
 }
 
-// noteOwnHolder notes a prefix that an endpoint is sent, to be reported to peers if it is
-// new. The lock is held.
-func (p *Placer) noteOwnHolder(now time.Time, h Holder) {
+// recordOwnHolder records an endpoint to which this host sends a prefix, and queues a new holder for reports to peers.
+// The lock is held.
+func (p *Placer) recordOwnHolder(now time.Time, h Holder) {
 	if p.view.holders.Record(now, h) {
-		p.newHolders = append(p.newHolders, newHolder{holder: h, reports: holderReports})
+		p.newHolders = append(p.newHolders, newHolder{holder: h, reportsLeft: reportsPerHolder})
 	}
 }
 
@@ -237,7 +234,7 @@
 	}
 	return admission.Decision{
 		Kind: admission.Grant, ID: request.ID, Owner: request.Owner, Endpoint: choice.Endpoint, FetchFrom: fetchFrom,
-		Reason: admission.ReasonPlaced, RetryAfter: rejectedRetryAfter(choice.RejectionShare), Until: now.Add(grantValidity), UnprocessedTokens: choice.Load.Tokens + choice.Tokens,
+		Reason: admission.ReasonPlaced, RetryAfter: rejectionRetryAfter(choice.RejectionShare), Until: now.Add(grantValidity), UnprocessedTokens: choice.Load.Tokens + choice.Tokens,
 		Figures: admission.Figures{
 			Waited: waited, InFlight: choice.Load.Requests, Ahead: choice.Load.Tokens, CachedTokens: choice.Cached, PredictedFirstToken: choice.PredictedFirstEvent,
 		},
@@ -252,8 +249,8 @@
 	}
 }
 
-// refused counts a request that found no room, or endpoints that rest.
-func (p *Placer) refused(now time.Time, service string, request *admission.Request, reason admission.Reason) {
+// recordRefusal counts a request that was refused for lack of room, or because all endpoints rest or are limited.
+func (p *Placer) recordRefusal(now time.Time, service string, request *admission.Request, reason admission.Reason) {
 	if reason == admission.ReasonNoEndpoint {
 		return
 	}
@@ -264,7 +261,7 @@
 	})
 }
 
-// HoldersToReport returns the holders for the next report to peers.
+// HoldersToReport returns the holders to list in the next report to peers.
 func (p *Placer) HoldersToReport() []Holder {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -272,7 +269,7 @@
 	left := p.newHolders[:0]
 	for _, n := range p.newHolders {
 		holders = append(holders, n.holder)
-		if n.reports--; n.reports > 0 {
+		if n.reportsLeft--; n.reportsLeft > 0 {
 			left = append(left, n)
 		}
 	}
@@ -280,15 +277,15 @@
 	return holders
 }
 
-// Snapshot returns a copy of the requests and unprocessed prompt tokens that this host has
-// in flight at each endpoint, and the endpoints it has ejected with the end of each ejection.
+// Snapshot returns a copy of the requests and unprocessed prompt tokens that this host has in flight at each endpoint,
+// and the endpoints that this host has ejected, with the end of each ejection.
 func (p *Placer) Snapshot() (loads map[string]Load, ejected map[string]time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.loads.Own(), p.view.ejections.Ejected(p.clock())
 }
 
-// EngineReports returns what this host has observed of engines, for peers.
+// EngineReports returns this host's observations of engines, for peers.
 func (p *Placer) EngineReports() EngineReports {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -300,14 +297,14 @@
 	return observed
 }
 
-// SetPeerEngineReports replaces what a peer has observed of engines.
+// SetPeerEngineReports replaces a peer's observations of engines.
 func (p *Placer) SetPeerEngineReports(peer string, observed EngineReports) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.view.engines.setPeer(peer, observed)
 }
 
-// SetPeer replaces the report of a peer.
+// SetPeer replaces a peer's report.
 func (p *Placer) SetPeer(peer string, report PeerReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -323,14 +320,14 @@
 	}
 }
 
-// Load returns the work of a service at all hosts lately.
+// Load returns the recent load of a service over all hosts.
 func (p *Placer) Load(service string) engine.Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.engines.get(keys.OfService(service)).Load(p.clock(), p.view.Hosts())
 }
 
-// DropPeer forgets the report of a peer that left.
+// DropPeer removes the reports of a peer that left.
 func (p *Placer) DropPeer(peer string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -338,18 +335,18 @@
 	p.view.engines.dropPeer(peer)
 }
 
-// Expire forgets what is too old to count. It is called about once a second.
+// Expire removes entries that have expired. It is called about once a second.
 func (p *Placer) Expire() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.view.Expire(p.clock())
 }
 
-// RecordFailure counts a call that failed or stayed silent, which may eject the endpoint. Reached
-// is set if the endpoint was reached and then broke the call.
+// RecordFailure counts a call that failed or got no response, which may eject the endpoint. Reached is set if the
+// endpoint was reached before the call broke.
 func (p *Placer) RecordFailure(endpoint string, reached bool, cause error) {
 	p.mu.Lock()
-	ejection := p.view.ejections.RecordFailure(p.clock(), endpoint, reached)
+	ejection := p.view.ejections.Failed(p.clock(), endpoint, reached)
 	p.mu.Unlock()
 	if !ejection.IsNew {
 		return
@@ -360,35 +357,35 @@
 	}).Warn("endpoint ejected")
 }
 
-// RecordSuccess counts a whole answer of an endpoint, which ends its ejection.
+// RecordSuccess counts a complete response of an endpoint, which ends its ejection.
 func (p *Placer) RecordSuccess(endpoint string) {
 	p.mu.Lock()
-	failed := p.view.ejections.RecordSuccess(endpoint)
+	failed := p.view.ejections.Answered(endpoint)
 	p.mu.Unlock()
 	if failed {
 		p.log.WithField("endpoint", endpoint).Info("endpoint answers again")
 	}
 }
 
-// ResetEndpoint forgets what is believed of an endpoint that has started again under its ID: it holds nothing, and did not
-// fail. The calls that it had break by themselves.
+// ResetEndpoint discards the prefixes, ejections, rejections and failures recorded for an endpoint that has restarted
+// under the same ID. Calls in flight to the previous instance fail by themselves.
 func (p *Placer) ResetEndpoint(endpoint string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.view.holders.drop(keys.OfEndpoint(endpoint))
-	p.view.ejections.drop(endpoint)
+	p.view.holders.dropEndpoint(keys.OfEndpoint(endpoint))
+	p.view.ejections.reset(endpoint)
 	p.view.rejections.Forget(keys.OfEndpoint(endpoint))
 	p.view.failures.Forget(keys.OfEndpoint(endpoint))
 }
 
-// RecordStream observes a whole stream.
+// RecordStream records the observations of a complete stream.
 func (p *Placer) RecordStream(service string, stream engine.Stream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.view.engines.get(keys.OfService(service)).Streamed(stream)
 }
 
-// UnprocessedTokens returns the prompt tokens that an endpoint has still to read for all hosts.
+// UnprocessedTokens returns the prompt tokens of all hosts that an endpoint has not processed yet.
 func (p *Placer) UnprocessedTokens(endpoint string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/front/placement/placement_test.go
+++ b/internal/front/placement/placement_test.go
@@ -38,8 +38,7 @@
 	return list
 }
 
-// short is a request without a shared prefix worth keeping, long one with 10,000
-// shared tokens of 12,000.
+// short returns a request without a shared prefix, long one with 10,000 shared tokens out of 12,000.
 func short() *admission.Request {
 	return &admission.Request{ID: "short", Class: "short", Zone: "a", PromptTokens: 500}
 }
@@ -50,14 +49,14 @@
 	}
 }
 
-func (v *View) choose(request *admission.Request, endpoints []*directory.Entry) Choice {
+func (v *View) chooseCandidate(request *admission.Request, endpoints []*directory.Entry) Choice {
 	choice, _ := v.Choose(start, "llm", request, endpoints, v.candidates(start, request, endpoints), nil)
 	return choice
 }
 
 func TestChoose(t *testing.T) {
 	three := entries("e1", "e2", "e3")
-	preferred := NewView().choose(long(7), three).Endpoint
+	preferred := NewView().chooseCandidate(long(7), three).Endpoint
 	other := "e1"
 	if preferred == other {
 		other = "e2"
@@ -67,21 +66,21 @@
 		request *admission.Request
 		want    string
 	}{
-		"a short prompt goes to the least work": {
+		"a short prompt goes to the least loaded endpoint": {
 			func(b *View) { b.loads.Begin("e1", 100); b.loads.Begin("e2", 5000) }, short(), "e3",
 		},
-		"work of peers counts": {
+		"the load of peers counts": {
 			func(b *View) {
 				b.loads.SetPeer(start, "p", map[keys.Endpoint]Load{keys.OfEndpoint("e1"): {Requests: 30}, keys.OfEndpoint("e3"): {Tokens: 9000}})
 			}, short(), "e2",
 		},
-		"a peer's last word counts": {
+		"a peer's latest report replaces the one before": {
 			func(b *View) {
 				b.loads.SetPeer(start, "p", map[keys.Endpoint]Load{keys.OfEndpoint("e2"): {Requests: 50}})
 				b.loads.SetPeer(start, "p", map[keys.Endpoint]Load{keys.OfEndpoint("e1"): {Requests: 30}, keys.OfEndpoint("e3"): {Tokens: 9000}})
 			}, short(), "e2",
 		},
-		"work of a peer that left does not count": {
+		"the load of a peer that left does not count": {
 			func(b *View) {
 				b.loads.SetPeer(start, "p", map[keys.Endpoint]Load{keys.OfEndpoint("e1"): {Requests: 30}})
 				b.loads.DropPeer("p")
@@ -89,7 +88,7 @@
 				b.loads.Begin("e3", 0)
 			}, short(), "e1",
 		},
-		"work of a peer that fell silent does not": {
+		"the load of an unresponsive peer expires": {
 			func(b *View) {
 				b.loads.SetPeer(start.Add(-time.Minute), "p", map[keys.Endpoint]Load{keys.OfEndpoint("e1"): {Requests: 30}})
 				b.Expire(start)
@@ -97,43 +96,43 @@
 				b.loads.Begin("e3", 0)
 			}, short(), "e1",
 		},
-		"a long prompt goes to its preferred endpoint past some work": {
+		"a long prompt goes to its preferred endpoint despite some load": {
 			func(b *View) {
 				b.holders.Record(start, Holder{Prefix: 7, Endpoint: keys.OfEndpoint(preferred)})
 				b.loads.Begin(preferred, 20_000)
 			}, long(7), preferred,
 		},
-		"one that nobody holds goes there past less": {
+		"a prefix without a holder goes to its preferred endpoint despite less load": {
 			func(b *View) { b.loads.Begin(preferred, 8000) }, long(7), preferred,
 		},
-		"one that nobody holds is read elsewhere past more work than its prefix": {
+		"a prefix without a holder goes elsewhere if the extra load exceeds its length": {
 			func(b *View) { b.loads.Begin(preferred, 20_000); b.loads.Begin(third(preferred, other), 1000) }, long(7), other,
 		},
-		"a long prompt goes where it was sent": {
+		"a long prompt goes to the holder of its prefix": {
 			func(b *View) {
 				b.holders.Record(start, Holder{Prefix: 7, Endpoint: keys.OfEndpoint(other)})
 			}, long(7), other,
 		},
-		"a preferred endpoint far behind is left": {
+		"an overloaded preferred endpoint is avoided": {
 			func(b *View) { b.loads.Begin(preferred, 60_000); b.loads.Begin(third(preferred, other), 1000) }, long(7), other,
 		},
-		"an ejected preferred endpoint is left": {
+		"an ejected preferred endpoint is avoided": {
 			func(b *View) {
-				b.ejections.RecordFailure(start, preferred, false)
+				b.ejections.Failed(start, preferred, false)
 				b.loads.Begin(third(preferred, other), 60_000)
 			}, long(7), other,
 		},
-		"a preferred endpoint that a peer ejected is left": {
+		"a preferred endpoint ejected by a peer is avoided": {
 			func(b *View) {
 				b.ejections.RecordPeerEjection(keys.OfEndpoint(preferred), start.Add(time.Second))
 				b.loads.Begin(third(preferred, other), 60_000)
 			}, long(7), other,
 		},
-		"all paused: one is used all the same": {
+		"an ejected endpoint is chosen if all are ejected": {
 			func(b *View) {
-				b.ejections.RecordFailure(start, "e1", false)
-				b.ejections.RecordFailure(start, "e2", false)
-				b.ejections.RecordFailure(start, "e3", false)
+				b.ejections.Failed(start, "e1", false)
+				b.ejections.Failed(start, "e2", false)
+				b.ejections.Failed(start, "e3", false)
 				b.loads.Begin("e1", 0)
 				b.loads.Begin("e2", 0)
 			}, short(), "e3",
@@ -143,7 +142,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := NewView()
 			test.prepare(b)
-			qt.Check(t, b.choose(test.request, three).Endpoint, qt.Equals, test.want)
+			qt.Check(t, b.chooseCandidate(test.request, three).Endpoint, qt.Equals, test.want)
 		})
 	}
 }
@@ -157,24 +156,24 @@
 	return ""
 }
 
-func TestAvoidedEndpointsAreTheLastResort(t *testing.T) {
+func TestAvoidedEndpointIsChosenOnlyIfNoOtherIsLeft(t *testing.T) {
 	request := short()
 	request.Avoid = []string{"e1", "e2"}
-	qt.Check(t, NewView().choose(request, entries("e1", "e2", "e3")).Endpoint, qt.Equals, "e3")
-	qt.Check(t, NewView().choose(request, entries("e1")).Endpoint, qt.Equals, "e1")
+	qt.Check(t, NewView().chooseCandidate(request, entries("e1", "e2", "e3")).Endpoint, qt.Equals, "e3")
+	qt.Check(t, NewView().chooseCandidate(request, entries("e1")).Endpoint, qt.Equals, "e1")
 }
 
-func TestAllHostsFindTheSamePreferredEndpoint(t *testing.T) {
+func TestPreferredEndpointIsIndependentOfOrder(t *testing.T) {
 	for prefix := range uint64(100) {
-		first := NewView().choose(long(prefix*977), entries("e1", "e2", "e3", "e4", "e5")).Endpoint
-		second := NewView().choose(long(prefix*977), entries("e5", "e3", "e1", "e4", "e2")).Endpoint
+		first := NewView().chooseCandidate(long(prefix*977), entries("e1", "e2", "e3", "e4", "e5")).Endpoint
+		second := NewView().chooseCandidate(long(prefix*977), entries("e5", "e3", "e1", "e4", "e2")).Endpoint
 		qt.Assert(t, first, qt.Equals, second)
 	}
 }
 
-// split returns a view in which long prompts harm the streams of short ones, and a number of endpoints
-// is kept for the latter.
-func split(c *qt.C, endpoints []*directory.Entry) (*View, int) {
+// splitView returns a view in which long prompts harm the streams of short ones, and the number of endpoints reserved
+// for short prompts.
+func splitView(c *qt.C, endpoints []*directory.Entry) (*View, int) {
 	v := NewView()
 	engines := v.engines.get(keys.OfService("llm"))
 	for range 4 {
@@ -195,23 +194,23 @@
 func TestPartitions(t *testing.T) {
 	c := qt.New(t)
 	all := entries("e1", "e2", "e3", "e4", "e5", "e6", "e7", "e8", "e9")
-	v, number := split(c, all)
+	v, number := splitView(c, all)
 	c.Assert(number > 0 && number < len(all), qt.IsTrue)
 	kept := shortSetOf(all, number)
 	for prefix := range uint64(50) {
-		c.Check(kept[v.choose(long(prefix*977), all).Endpoint], qt.IsFalse)
+		c.Check(kept[v.chooseCandidate(long(prefix*977), all).Endpoint], qt.IsFalse)
 	}
-	c.Check(kept[v.choose(short(), all).Endpoint], qt.IsTrue)
-	// A short prompt leaves its partition only when that has no slots left.
+	c.Check(kept[v.chooseCandidate(short(), all).Endpoint], qt.IsTrue)
+	// A short prompt leaves its partition only if the partition has no free slots.
 	for id := range kept {
 		for range slots {
 			v.loads.Begin(id, 0)
 		}
 	}
-	c.Check(kept[v.choose(short(), all).Endpoint], qt.IsFalse)
+	c.Check(kept[v.chooseCandidate(short(), all).Endpoint], qt.IsFalse)
 	alone := entries("e1")
-	c.Check(v.choose(long(7), alone).Endpoint, qt.Equals, "e1")
-	c.Check(v.choose(short(), alone).Endpoint, qt.Equals, "e1")
+	c.Check(v.chooseCandidate(long(7), alone).Endpoint, qt.Equals, "e1")
+	c.Check(v.chooseCandidate(short(), alone).Endpoint, qt.Equals, "e1")
 }
 
 func TestTargetsOf(t *testing.T) {
@@ -228,17 +227,17 @@
 	})
 }
 
-// TestMoreWorkNeverCostsLess adds work to an endpoint and compares its cost.
-func TestMoreWorkNeverCostsLess(t *testing.T) {
+// TestCostGrowsWithLoad adds load to an endpoint and checks that its cost never falls.
+func TestCostGrowsWithLoad(t *testing.T) {
 	c := qt.New(t)
 	all := entries("e1", "e2", "e3", "e4")
-	v, _ := split(c, all)
+	v, _ := splitView(c, all)
 	for _, request := range []*admission.Request{short(), long(7)} {
 		request.FirstToken = time.Second
 		before := math.MinInt
 		for range 80 {
 			q := v.newQuery(start, "llm", request, all, all)
-			cost := v.weigh(q, all[0]).Cost
+			cost := v.evaluate(q, all[0]).Cost
 			c.Check(cost >= before, qt.IsTrue)
 			before = cost
 			v.loads.Begin("e1", 700)
@@ -246,7 +245,7 @@
 	}
 }
 
-func TestSource(t *testing.T) {
+func TestFetchSource(t *testing.T) {
 	three := entries("e1", "e2", "e3")
 	tests := map[string]struct {
 		held    []string
@@ -254,11 +253,11 @@
 		to      string
 		want    string
 	}{
-		"nobody holds it":        {nil, nil, "e1", ""},
-		"it holds it itself":     {[]string{"e1", "e2"}, nil, "e1", ""},
-		"another holds it":       {[]string{"e2"}, nil, "e1", "e2"},
-		"the last one is asked":  {[]string{"e3", "e2"}, nil, "e1", "e2"},
-		"one that failed is not": {[]string{"e3", "e2"}, []string{"e2"}, "e1", "e3"},
+		"no holder":                            {nil, nil, "e1", ""},
+		"the endpoint itself holds it":         {[]string{"e1", "e2"}, nil, "e1", ""},
+		"another endpoint holds it":            {[]string{"e2"}, nil, "e1", "e2"},
+		"the most recent holder is the source": {[]string{"e3", "e2"}, nil, "e1", "e2"},
+		"an ejected holder is not":             {[]string{"e3", "e2"}, []string{"e2"}, "e1", "e3"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -267,7 +266,7 @@
 				b.holders.Record(start.Add(time.Duration(i)), Holder{Prefix: 7, Endpoint: keys.OfEndpoint(id)})
 			}
 			for _, id := range test.ejected {
-				b.ejections.RecordFailure(start, id, false)
+				b.ejections.Failed(start, id, false)
 			}
 			q := query{prefix: 7, holders: b.holders[7]}
 			qt.Check(t, b.fetchFrom(start, &q, test.to, three), qt.Equals, test.want)
@@ -275,17 +274,17 @@
 	}
 }
 
-func TestEjectionsGrowAndEnd(t *testing.T) {
+func TestEjectionsDoubleAndExpire(t *testing.T) {
 	c := qt.New(t)
 	b := NewView()
 	failed := func(after time.Duration) time.Time {
-		return b.ejections.RecordFailure(start.Add(after), "e1", false).Until
+		return b.ejections.Failed(start.Add(after), "e1", false).Until
 	}
 	c.Check(failed(0), qt.Equals, start.Add(time.Second))
-	c.Check(failed(time.Millisecond), qt.Equals, start.Add(time.Second), qt.Commentf("failures under way together are one"))
+	c.Check(failed(time.Millisecond), qt.Equals, start.Add(time.Second), qt.Commentf("failures of concurrent calls count once"))
 	c.Check(failed(2*time.Second), qt.Equals, start.Add(4*time.Second))
-	c.Check(b.ejections.RecordSuccess("e1"), qt.IsTrue)
-	c.Check(b.ejections.RecordSuccess("e1"), qt.IsFalse)
+	c.Check(b.ejections.Answered("e1"), qt.IsTrue)
+	c.Check(b.ejections.Answered("e1"), qt.IsFalse)
 	c.Check(failed(9*time.Second), qt.Equals, start.Add(10*time.Second))
 	c.Check(b.ejections.Ejected(start.Add(20*time.Second)), qt.HasLen, 0)
 	b.ejections.RecordPeerEjection(keys.OfEndpoint("e1"), start.Add(time.Second))
@@ -299,14 +298,14 @@
 		tier, urgency, open int
 		want                bool
 	}{
-		"least urgent, half of the places taken": {1, 2, 32, true},
-		"least urgent, more taken":               {1, 2, 36, false},
-		"more urgent, as many taken":             {1, 1, 36, true},
-		"more urgent, nearly all taken":          {1, 1, 60, false},
-		"most urgent, all taken":                 {1, 0, 100, true},
-		"a higher tier, a few more taken":        {0, 2, 38, true},
-		"the lowest tier, as many taken":         {1, 2, 38, false},
-		"a higher tier, all taken":               {0, 2, 100, false},
+		"least urgent, half of the slots occupied": {1, 2, 32, true},
+		"least urgent, more than half occupied":    {1, 2, 36, false},
+		"more urgent, as many occupied":            {1, 1, 36, true},
+		"more urgent, nearly all occupied":         {1, 1, 60, false},
+		"most urgent, all occupied":                {1, 0, 100, true},
+		"higher tier, a few more occupied":         {0, 2, 38, true},
+		"lowest tier, as many occupied":            {1, 2, 38, false},
+		"higher tier, all occupied":                {0, 2, 100, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -317,9 +316,9 @@
 	}
 }
 
-// TestAHopelessWaitIsRefused has a less urgent request whose answer would begin after its caller has given
-// up, and one that is urgent.
-func TestAHopelessWaitIsRefused(t *testing.T) {
+// TestRequestWithLateFirstEventIsRefused predicts a first event after callers abandon the stream: a less urgent request
+// is refused, one of the most urgent class is not.
+func TestRequestWithLateFirstEventIsRefused(t *testing.T) {
 	bounds := PriorityBounds{LeastUrgent: 2}
 	tests := map[string]struct {
 		urgency int
@@ -339,21 +338,21 @@
 	}
 }
 
-func TestWhenToComeBack(t *testing.T) {
+func TestRetryAfter(t *testing.T) {
 	tests := map[string]struct {
 		reason admission.Reason
 		first  time.Duration
 		random float64
 		want   time.Duration
 	}{
-		"when what waits is read":  {admission.ReasonNoRoom, 2 * time.Second, 0, 2 * time.Second},
-		"others a little later":    {admission.ReasonNoRoom, 2 * time.Second, 1, 3 * time.Second},
-		"not at once":              {admission.ReasonNoRoom, 0, 0, leastRoomRetry},
-		"not after a minute":       {admission.ReasonNoRoom, time.Minute, 0, mostRoomRetry},
-		"when an endpoint is back": {admission.ReasonNoEndpoint, time.Minute, 1, noEndpointRetry},
-		"when one has rested":      {admission.ReasonResting, 0, 1, 7 * time.Second},
-		"when a permit is left":    {admission.ReasonLimited, 0, 0, 7 * time.Second},
-		"not all at once":          {admission.ReasonLimited, 0, 1, 10500 * time.Millisecond},
+		"after the waiting prompts are processed": {admission.ReasonNoRoom, 2 * time.Second, 0, 2 * time.Second},
+		"spread by up to one half":                {admission.ReasonNoRoom, 2 * time.Second, 1, 3 * time.Second},
+		"no earlier than the minimum":             {admission.ReasonNoRoom, 0, 0, minRoomRetry},
+		"no later than the maximum":               {admission.ReasonNoRoom, time.Minute, 0, maxRoomRetry},
+		"no endpoint":                             {admission.ReasonNoEndpoint, time.Minute, 1, noEndpointRetry},
+		"after the first rest":                    {admission.ReasonResting, 0, 1, 7 * time.Second},
+		"after the next permit":                   {admission.ReasonLimited, 0, 0, 7 * time.Second},
+		"permits are spread as well":              {admission.ReasonLimited, 0, 1, 10500 * time.Millisecond},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -362,22 +361,22 @@
 	}
 }
 
-// alone is a fleet of one host.
-type alone struct{}
+// singleHost is a fleet of one host.
+type singleHost struct{}
 
-func (alone) Senders() []envelope.Sender        { return []envelope.Sender{{Host: "self"}} }
-func (alone) Settled() bool                     { return true }
-func (alone) SendTo(string, envelope.Kind, any) {}
+func (singleHost) Senders() []envelope.Sender        { return []envelope.Sender{{Host: "self"}} }
+func (singleHost) Settled() bool                     { return true }
+func (singleHost) SendTo(string, envelope.Kind, any) {}
 
-// noLimits returns what keeps to limits where none is known.
-func noLimits(clock func() time.Time) *ratelimit.Limiter {
-	return keepingTo(pushback.NewLimits(clock), clock)
+// unlimitedLimiter returns a limiter without any known limits.
+func unlimitedLimiter(clock func() time.Time) *ratelimit.Limiter {
+	return limiterFor(pushback.NewLimits(clock), clock)
 }
 
-// keepingTo returns what keeps to limits in a fleet of one host.
-func keepingTo(limits *pushback.Limits, clock func() time.Time) *ratelimit.Limiter {
+// limiterFor returns a limiter that enforces limits in a fleet of one host.
+func limiterFor(limits *pushback.Limits, clock func() time.Time) *ratelimit.Limiter {
 	return ratelimit.New(ratelimit.Parts{
-		Limits: limits, Lender: ratelimit.NewLender(limits, clock), Peers: alone{}, Counted: func(counters.Permit) {},
+		Limits: limits, Lender: ratelimit.NewLender(limits, clock), Peers: singleHost{}, Counted: func(counters.Permit) {},
 		Log: logrus.NewEntry(logrus.New()), Clock: clock, Random: func() float64 { return 0 },
 	})
 }
@@ -391,26 +390,26 @@
 	d.Apply(1, changes)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s := New(d, pushback.NewRests(clock, func() float64 { return 0 }), pushback.NewRejections(clock), pushback.NewFailures(clock), noLimits(clock), logrus.NewEntry(log), clock, func() float64 { return 0 }, func() {})
+	s := New(d, pushback.NewRests(clock, func() float64 { return 0 }), pushback.NewRejections(clock), pushback.NewFailures(clock), unlimitedLimiter(clock), logrus.NewEntry(log), clock, func() float64 { return 0 }, func() {})
 	least := 2
 	s.SetSettings(&settings.Tree{Root: settings.Root{Classes: map[string]settings.Class{"c": {Values: settings.Values{Urgency: &least}}}}})
 	return s
 }
 
-// filled books as many requests at both endpoints.
-func filled(s *Placer, open int) {
+// fillEndpoints adds the same number of requests to both endpoints.
+func fillEndpoints(s *Placer, open int) {
 	for range open {
 		s.view.loads.Begin("e1", 0)
 		s.view.loads.Begin("e2", 0)
 	}
 }
 
-func TestTheLeastUrgentAreRefusedFirst(t *testing.T) {
+func TestLeastUrgentRequestIsRefusedFirst(t *testing.T) {
 	c := qt.New(t)
-	// Each look at the clock is 100 ms later, so that the wait for room ends.
+	// Each reading of the clock is 100 ms later, so that the wait for room ends.
 	now := start
 	s := newPlacer(func() time.Time { now = now.Add(100 * time.Millisecond); return now })
-	filled(s, 40)
+	fillEndpoints(s, 40)
 	least, more, most := short(), short(), short()
 	least.Urgency, more.Urgency = 2, 1
 	least.FirstToken, more.FirstToken, most.FirstToken = time.Second, time.Second, time.Second
@@ -426,20 +425,20 @@
 	}
 }
 
-// TestWhereAllEndpointsRest refuses at once with the true time, or waits if the rest of one ends in time.
-func TestWhereAllEndpointsRest(t *testing.T) {
+// TestAllEndpointsResting checks that a request is refused with the true Retry-After, or waits if a rest ends in time.
+func TestAllEndpointsResting(t *testing.T) {
 	tests := map[string]struct {
 		rests map[string]time.Duration
 		want  admission.Decision
 	}{
-		"one does not":         {map[string]time.Duration{"e1": time.Hour}, admission.Decision{Kind: admission.Grant, Endpoint: "e2"}},
-		"one ends in time":     {map[string]time.Duration{"e1": time.Hour, "e2": 100 * time.Millisecond}, admission.Decision{Kind: admission.Grant, Endpoint: "e2"}},
-		"the first ends later": {map[string]time.Duration{"e1": 3 * time.Second, "e2": 2 * time.Second}, admission.Decision{Kind: admission.Refuse, Reason: admission.ReasonResting, RetryAfter: 2 * time.Second}},
+		"one endpoint is not resting":  {map[string]time.Duration{"e1": time.Hour}, admission.Decision{Kind: admission.Grant, Endpoint: "e2"}},
+		"one rest ends in time":        {map[string]time.Duration{"e1": time.Hour, "e2": 100 * time.Millisecond}, admission.Decision{Kind: admission.Grant, Endpoint: "e2"}},
+		"the first rest ends too late": {map[string]time.Duration{"e1": 3 * time.Second, "e2": 2 * time.Second}, admission.Decision{Kind: admission.Refuse, Reason: admission.ReasonResting, RetryAfter: 2 * time.Second}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			// Time goes on while the placer waits.
+			// The clock advances while the placer waits.
 			now := start
 			looks := 0
 			s := newPlacer(func() time.Time {
@@ -466,9 +465,9 @@
 	}
 }
 
-// TestWhereEndpointsAreLimited has endpoints that have named a limit: another is chosen where there is one, a request waits
-// for a permit where there is none and one comes in time, and is refused with the true time where it doesn't.
-func TestWhereEndpointsAreLimited(t *testing.T) {
+// TestLimitedEndpoints checks endpoints with limits: an endpoint with a permit left is preferred, a request waits for a
+// permit that comes in time, and is refused with the true Retry-After if none does.
+func TestLimitedEndpoints(t *testing.T) {
 	tests := map[string]struct {
 		limits   map[string]float64
 		ejected  string
@@ -477,17 +476,17 @@
 		endpoint string
 		after    time.Duration
 	}{
-		"one is not":                      {map[string]float64{"e1": 0.5}, "", admission.Grant, admission.ReasonPlaced, "e2", 0},
-		"the other is ejected":            {map[string]float64{"e1": 0.5}, "e2", admission.Grant, admission.ReasonPlaced, "e2", 0},
-		"a permit comes in time":          {map[string]float64{"e1": 0.5, "e2": 20}, "", admission.Grant, admission.ReasonPlaced, "e2", 0},
-		"the first permit comes too late": {map[string]float64{"e1": 0.5, "e2": 0.3}, "", admission.Refuse, admission.ReasonLimited, "", 2 * time.Second},
+		"one endpoint has no limit":               {map[string]float64{"e1": 0.5}, "", admission.Grant, admission.ReasonPlaced, "e2", 0},
+		"the endpoint without a limit is ejected": {map[string]float64{"e1": 0.5}, "e2", admission.Grant, admission.ReasonPlaced, "e2", 0},
+		"a permit comes in time":                  {map[string]float64{"e1": 0.5, "e2": 20}, "", admission.Grant, admission.ReasonPlaced, "e2", 0},
+		"the first permit comes too late":         {map[string]float64{"e1": 0.5, "e2": 0.3}, "", admission.Refuse, admission.ReasonLimited, "", 2 * time.Second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			limits := pushback.NewLimits(time.Now)
 			s := newPlacer(time.Now)
-			s.limiter = keepingTo(limits, time.Now)
+			s.limiter = limiterFor(limits, time.Now)
 			done := make(chan struct{})
 			defer close(done)
 			go s.limiter.Run(done)
@@ -515,12 +514,12 @@
 	}
 }
 
-// TestAGrantFromBeforeALimit is not sent once the endpoint has named one.
-func TestAGrantFromBeforeALimit(t *testing.T) {
+// TestGrantIsNotSentOnceALimitIsKnown has the endpoint announce a limit between the grant and the send.
+func TestGrantIsNotSentOnceALimitIsKnown(t *testing.T) {
 	c := qt.New(t)
 	limits := pushback.NewLimits(time.Now)
 	s := newPlacer(time.Now)
-	s.limiter = keepingTo(limits, time.Now)
+	s.limiter = limiterFor(limits, time.Now)
 	ticket, got, err := s.Ask(context.Background(), "llm", *short())
 	c.Assert(err, qt.IsNil)
 	c.Check(ticket.MaySend(), qt.IsTrue)
@@ -528,25 +527,26 @@
 	c.Check(ticket.MaySend(), qt.IsFalse)
 }
 
-// TestAnEndpointThatFails gets nothing while another takes requests, and one whose peers fail as much what it would get.
-func TestAnEndpointThatFails(t *testing.T) {
+// TestFailingEndpointIsAvoided checks that a failing endpoint gets no requests while another accepts them, and its
+// usual share if its peers fail as many.
+func TestFailingEndpointIsAvoided(t *testing.T) {
 	tests := map[string]struct {
-		// failed are the failures of each endpoint, of 10 requests of a class.
+		// failed holds the number of failures of each endpoint, out of 10 requests of a class.
 		failed map[string]uint
 		class  string
-		// ahead is the number of prompt tokens that e2 has to read.
+		// ahead is the number of prompt tokens that e2 has yet to process.
 		ahead int
 		want  string
 	}{
-		"nothing fails":                    {nil, "c", 1000, "e1"},
-		"all fails":                        {map[string]uint{"e1": 10}, "c", 50_000, "e2"},
-		"half fails":                       {map[string]uint{"e1": 5}, "c", 20_000, "e2"},
-		"one by chance":                    {map[string]uint{"e1": 1}, "c", 1000, "e1"},
-		"another class is not tried there": {map[string]uint{"e1": 10}, "d", 20_000, "e2"},
-		"both fail the class as much":      {map[string]uint{"e1": 8, "e2": 8}, "c", 1000, "e1"},
-		"both fail another class as much":  {map[string]uint{"e1": 8, "e2": 8}, "d", 1000, "e1"},
-		"the other fails more":             {map[string]uint{"e1": 2, "e2": 10}, "c", 0, "e1"},
-		"it is worth the risk in the end":  {map[string]uint{"e1": 4}, "c", 400_000, "e1"},
+		"no request fails":                          {nil, "c", 1000, "e1"},
+		"all requests fail":                         {map[string]uint{"e1": 10}, "c", 50_000, "e2"},
+		"half of the requests fail":                 {map[string]uint{"e1": 5}, "c", 20_000, "e2"},
+		"a single failure":                          {map[string]uint{"e1": 1}, "c", 1000, "e1"},
+		"another class also avoids the endpoint":    {map[string]uint{"e1": 10}, "d", 20_000, "e2"},
+		"both endpoints fail the class equally":     {map[string]uint{"e1": 8, "e2": 8}, "c", 1000, "e1"},
+		"both endpoints fail another class equally": {map[string]uint{"e1": 8, "e2": 8}, "d", 1000, "e1"},
+		"the other endpoint fails more":             {map[string]uint{"e1": 2, "e2": 10}, "c", 0, "e1"},
+		"the other endpoint is overloaded":          {map[string]uint{"e1": 4}, "c", 400_000, "e1"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -565,8 +565,8 @@
 	}
 }
 
-// TestEqualEndpoints has endpoints that are equal get as many requests each.
-func TestEqualEndpoints(t *testing.T) {
+// TestEqualEndpointsShareRequestsEvenly checks that endpoints of equal cost get about the same number of requests.
+func TestEqualEndpointsShareRequestsEvenly(t *testing.T) {
 	c := qt.New(t)
 	v := NewView()
 	v.random = rand.New(rand.NewPCG(1, 2)).Float64
@@ -582,20 +582,20 @@
 	}
 }
 
-// TestAnEndpointThatRejects gets what is worth the risk: nothing while another has little to do, and prompts again once
-// that one is loaded.
-func TestAnEndpointThatRejects(t *testing.T) {
+// TestRejectingEndpointIsAvoided checks that a rejecting endpoint gets no requests while another has little load, and
+// gets prompts again once the other is loaded.
+func TestRejectingEndpointIsAvoided(t *testing.T) {
 	tests := map[string]struct {
 		rejected, taken uint
-		// ahead is the number of prompt tokens that the other endpoint has to read.
+		// ahead is the number of prompt tokens that the other endpoint has yet to process.
 		ahead int
 		want  string
 	}{
-		"none of many":                     {0, 100, 1000, "e1"},
-		"one of few":                       {1, 0, 1000, "e2"},
-		"half, and the other is loaded":    {50, 50, 20_000, "e2"},
-		"a tenth, and the other is loaded": {10, 90, 20_000, "e1"},
-		"half, and the other is full":      {50, 50, 40_000, "e1"},
+		"no rejections":                                {0, 100, 1000, "e1"},
+		"a single request, rejected":                   {1, 0, 1000, "e2"},
+		"half rejected, the other endpoint loaded":     {50, 50, 20_000, "e2"},
+		"a tenth rejected, the other endpoint loaded":  {10, 90, 20_000, "e1"},
+		"half rejected, the other endpoint overloaded": {50, 50, 40_000, "e1"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -610,16 +610,16 @@
 	}
 }
 
-// TestWhenToComeBackAfterARejection has both endpoints reject: a caller comes back at once where the next request may well
-// be taken, and later where none is.
-func TestWhenToComeBackAfterARejection(t *testing.T) {
+// TestRetryAfterRejection has both endpoints reject requests: Retry-After is short if the next request is likely to be
+// accepted, and long if all are rejected.
+func TestRetryAfterRejection(t *testing.T) {
 	tests := map[string]struct {
 		rejected, taken uint
 		least, most     time.Duration
 	}{
-		"none":        {0, 100, 0, 0},
-		"four in ten": {40, 60, 350 * time.Millisecond, 450 * time.Millisecond},
-		"all":         {100, 0, 950 * time.Millisecond, rejectedRetry},
+		"none":          {0, 100, 0, 0},
+		"40 % rejected": {40, 60, 350 * time.Millisecond, 450 * time.Millisecond},
+		"all":           {100, 0, 950 * time.Millisecond, rejectionRetry},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -635,7 +635,7 @@
 	}
 }
 
-func TestNoEndpointIsRefusedAtOnce(t *testing.T) {
+func TestServiceWithoutEndpointIsRefused(t *testing.T) {
 	c := qt.New(t)
 	s := newPlacer(func() time.Time { return start })
 	_, decision, err := s.Ask(context.Background(), "nothing", *short())
@@ -644,7 +644,7 @@
 	c.Check(decision.Reason, qt.Equals, admission.ReasonNoEndpoint)
 }
 
-func TestATicketGivesItsWorkBack(t *testing.T) {
+func TestTicketReleasesItsLoad(t *testing.T) {
 	c := qt.New(t)
 	s := newPlacer(func() time.Time { return start })
 	ticket, _, err := s.Ask(context.Background(), "llm", *long(7))
@@ -652,7 +652,7 @@
 	loads, _ := s.Snapshot()
 	c.Assert(loads, qt.HasLen, 1)
 	for _, load := range loads {
-		c.Check(load, qt.Equals, Load{Requests: 1, Tokens: 12_000}, qt.Commentf("nobody holds the prefix: the whole prompt is to be read"))
+		c.Check(load, qt.Equals, Load{Requests: 1, Tokens: 12_000}, qt.Commentf("without a holder the whole prompt has to be processed"))
 	}
 	ticket.FirstToken()
 	loads, _ = s.Snapshot()
@@ -664,14 +664,14 @@
 	c.Check(loads, qt.HasLen, 0)
 }
 
-func TestANewHolderIsReportedInSomeHeartbeats(t *testing.T) {
+func TestNewHolderIsReportedSeveralTimes(t *testing.T) {
 	c := qt.New(t)
 	s := newPlacer(func() time.Time { return start })
 	for range 2 {
 		_, _, err := s.Ask(context.Background(), "llm", *long(7))
 		c.Assert(err, qt.IsNil)
 	}
-	for range holderReports {
+	for range reportsPerHolder {
 		c.Check(s.HoldersToReport(), qt.HasLen, 1)
 	}
 	c.Check(s.HoldersToReport(), qt.HasLen, 0)
@@ -683,24 +683,24 @@
 	c.Check(decision.Endpoint, qt.Equals, "e2")
 }
 
-func TestOneBrokenCallAloneIsNoEjection(t *testing.T) {
+func TestSingleBrokenCallDoesNotEject(t *testing.T) {
 	tests := map[string]struct {
 		prepare func(b *View)
 		want    bool
 	}{
-		"alone":        {func(b *View) { b.ejections.RecordFailure(start, "e1", true) }, false},
-		"two together": {func(b *View) { b.ejections.RecordFailure(start, "e1", true); b.ejections.RecordFailure(start, "e1", true) }, true},
-		"two, far apart": {func(b *View) {
-			b.ejections.RecordFailure(start.Add(-time.Minute), "e1", true)
-			b.ejections.RecordFailure(start, "e1", true)
+		"alone":                     {func(b *View) { b.ejections.Failed(start, "e1", true) }, false},
+		"two broken calls together": {func(b *View) { b.ejections.Failed(start, "e1", true); b.ejections.Failed(start, "e1", true) }, true},
+		"two broken calls, far apart": {func(b *View) {
+			b.ejections.Failed(start.Add(-time.Minute), "e1", true)
+			b.ejections.Failed(start, "e1", true)
 		}, false},
-		"two, an answer between": {func(b *View) {
-			b.ejections.RecordFailure(start, "e1", true)
-			b.ejections.RecordSuccess("e1")
-			b.ejections.RecordFailure(start, "e1", true)
+		"two broken calls, a success in between": {func(b *View) {
+			b.ejections.Failed(start, "e1", true)
+			b.ejections.Answered("e1")
+			b.ejections.Failed(start, "e1", true)
 		}, false},
-		"not reached":              {func(b *View) { b.ejections.RecordFailure(start, "e1", false) }, true},
-		"broken, then unreachable": {func(b *View) { b.ejections.RecordFailure(start, "e1", true); b.ejections.RecordFailure(start, "e1", false) }, true},
+		"endpoint not reached":     {func(b *View) { b.ejections.Failed(start, "e1", false) }, true},
+		"broken, then unreachable": {func(b *View) { b.ejections.Failed(start, "e1", true); b.ejections.Failed(start, "e1", false) }, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -734,18 +734,18 @@
 	}
 }
 
-// TestAPromptCountsAsUnreadWithoutAHolder asks for a prefix that nobody holds, that this endpoint holds, and that
-// another one holds.
-func TestAPromptCountsAsUnreadWithoutAHolder(t *testing.T) {
+// TestUnprocessedTokensDependOnHolder requests a prefix without a holder, a prefix held by the endpoint, and a prefix
+// held by another endpoint.
+func TestUnprocessedTokensDependOnHolder(t *testing.T) {
 	three := entries("e1", "e2", "e3")
 	tests := map[string]struct {
 		holder string
 		unread int
 	}{
-		"nobody holds it":          {"", 12_000},
-		"the endpoint holds it":    {"e1", 2000},
-		"only another one does":    {"e2", 12_000},
-		"one that is gone held it": {"e9", 12_000},
+		"no holder":                            {"", 12_000},
+		"the endpoint holds it":                {"e1", 2000},
+		"another endpoint holds it":            {"e2", 12_000},
+		"an endpoint that was removed held it": {"e9", 12_000},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -754,7 +754,7 @@
 				v.holders.Record(start, Holder{Prefix: 7, Endpoint: keys.OfEndpoint(test.holder)})
 			}
 			q := v.newQuery(start, "llm", long(7), three, three)
-			qt.Check(t, v.weigh(q, three[0]).Tokens, qt.Equals, test.unread)
+			qt.Check(t, v.evaluate(q, three[0]).Tokens, qt.Equals, test.unread)
 		})
 	}
 }
@@ -765,12 +765,12 @@
 		unseen    float64
 		want      int
 	}{
-		"nothing is unseen: all":      {320, 0, 320},
-		"a small fleet: all":          {9, 0.8, 9},
-		"about one goes to each":      {90, 9, 10},
-		"many are unseen: two":        {96, 100, 2},
-		"never more than there are":   {1, 100, 1},
-		"a part of the endpoints too": {9, 3, 3},
+		"no unseen requests: all endpoints":     {320, 0, 320},
+		"a small fleet: all endpoints":          {9, 0.8, 9},
+		"about one unseen request per endpoint": {90, 9, 10},
+		"many unseen requests: the minimum":     {96, 100, 2},
+		"no more than the number of endpoints":  {1, 100, 1},
+		"a small fleet: some endpoints":         {9, 3, 3},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -779,9 +779,9 @@
 	}
 }
 
-// TestHostsWithTheSameOldLoadsSpread replays 295 hosts that each send a short prompt to one of 96 endpoints, all
-// by the same sum, in which one endpoint has less work than the others. Without samples all 295 go there.
-func TestHostsWithTheSameOldLoadsSpread(t *testing.T) {
+// TestHostsWithEqualStaleLoadsSpread has 295 hosts each send a short prompt to one of 96 endpoints by the same sum, in
+// which one endpoint has less load than the others. Without sampling all 295 choose that endpoint.
+func TestHostsWithEqualStaleLoadsSpread(t *testing.T) {
 	const hosts, number, most = 295, 96, 30
 	ids := make([]string, number)
 	loads := make(map[keys.Endpoint]Load, number)
@@ -811,7 +811,7 @@
 				engines := v.engines.get(keys.OfService("llm"))
 				engines.SetSum(start, engine.Report{Traffic: engine.Traffic{1: {Requests: 2000, Prompt: 2_800_000, Unread: 2_800_000, Open: 400}}})
 				engines.Decide(start, &engine.Fleet{Endpoints: number, Slots: 32, Hosts: hosts})
-				sent[v.choose(short(), all).Endpoint]++
+				sent[v.chooseCandidate(short(), all).Endpoint]++
 			}
 			busiest := slices.Max(slices.Collect(maps.Values(sent)))
 			c.Check(busiest >= test.least && busiest <= test.most, qt.IsTrue, qt.Commentf("%d", busiest))
@@ -819,8 +819,8 @@
 	}
 }
 
-// TestSumsInParts replaces the sum of the other hosts, part by part.
-func TestSumsInParts(t *testing.T) {
+// TestSumPartsAreReplacedSeparately replaces the sum of the other hosts' loads part by part.
+func TestSumPartsAreReplacedSeparately(t *testing.T) {
 	c := qt.New(t)
 	v := NewView()
 	first := keys.OfEndpoint("e1")
@@ -829,21 +829,21 @@
 	v.loads.Begin("e1", 100)
 	c.Check(v.loads.Total("e1"), qt.Equals, Load{Requests: 4, Tokens: 100})
 	v.loads.SetSum(start, Part{Number: 1 - part.Number, Of: 2}, nil)
-	c.Check(v.loads.Total("e1").Requests, qt.Equals, 4, qt.Commentf("the other part changes nothing"))
+	c.Check(v.loads.Total("e1").Requests, qt.Equals, 4, qt.Commentf("another part changes nothing"))
 	v.loads.SetSum(start, Part{Number: 2, Of: 2}, nil)
-	v.loads.SetSum(start, Part{Number: 0, Of: mostParts + 1}, nil)
-	c.Check(v.loads.Total("e1").Requests, qt.Equals, 4, qt.Commentf("no such part"))
+	v.loads.SetSum(start, Part{Number: 0, Of: maxParts + 1}, nil)
+	c.Check(v.loads.Total("e1").Requests, qt.Equals, 4, qt.Commentf("invalid parts are ignored"))
 	v.Expire(start.Add(engine.SumTimeout + 1))
-	c.Check(v.loads.Total("e1").Requests, qt.Equals, 1, qt.Commentf("too old"))
-	c.Check(v.unseenTime(), qt.Equals, peerAgePerHost, qt.Commentf("what is too old is no sum any more"))
+	c.Check(v.loads.Total("e1").Requests, qt.Equals, 1, qt.Commentf("the sum has expired"))
+	c.Check(v.meanLoadAge(), qt.Equals, meanPeerAgePerHost, qt.Commentf("without a valid sum, hosts report to each other"))
 }
 
-// TestLongPromptsStayOutOfBusyShortEndpoints replays an overload of long prompts: where their own endpoints are all
-// late, they must not go where many short streams run.
-func TestLongPromptsStayOutOfBusyShortEndpoints(t *testing.T) {
+// TestLongPromptsAvoidBusyShortEndpoints overloads the endpoints for long prompts: long prompts must not move to
+// endpoints that run many short streams.
+func TestLongPromptsAvoidBusyShortEndpoints(t *testing.T) {
 	c := qt.New(t)
 	all := entries("e1", "e2", "e3", "e4")
-	v, number := split(c, all)
+	v, number := splitView(c, all)
 	set := shortSetOf(all, number)
 	for _, e := range all {
 		if set[e.ID] {
@@ -858,11 +858,11 @@
 	}
 	request := long(7)
 	request.FirstToken = time.Second
-	c.Check(set[v.choose(request, all).Endpoint], qt.IsFalse)
+	c.Check(set[v.chooseCandidate(request, all).Endpoint], qt.IsFalse)
 }
 
-// TestAnEndpointThatStartsAgainHoldsNothing has an endpoint that was ejected and held a prefix start again under its ID.
-func TestAnEndpointThatStartsAgainHoldsNothing(t *testing.T) {
+// TestResetEndpointHoldsNoPrefix restarts an endpoint that was ejected and held a prefix under the same ID.
+func TestResetEndpointHoldsNoPrefix(t *testing.T) {
 	c := qt.New(t)
 	d := directory.New()
 	log := logrus.New()
--- a/internal/front/placement/sample.go
+++ b/internal/front/placement/sample.go
@@ -7,45 +7,44 @@
 	"oxbowslip.dev/oxbowslip/internal/front/directory"
 )
 
-// Hosts that decide alone from the same loads, a little old, would all find the same endpoint the least loaded
-// and send their next requests there together. So each compares only a random sample of the endpoints, the
-// smaller the more requests of other hosts it can't see yet: then about one of those goes to each endpoint. With 295
-// hosts and 320 engines, 2,614 of 3,476 short streams were in time in the first 16 s of a day, and 1,305 when all hosts
-// compared all endpoints (one run each).
+// Hosts that decide independently from the same stale loads would all find the same endpoint the least loaded and send
+// their next requests there together. Each host therefore compares only a random sample of the endpoints, which shrinks
+// as the number of requests of other hosts that it can't see yet grows, so that each endpoint gets about one of these
+// requests. With 295 hosts and 320 engines under a starting load, comparing all endpoints lets 38 % of short streams
+// meet their targets, and sampling 75 %.
 
 const (
-	// leastSample is how many endpoints of a group are compared at the least: the better of two random ones
-	// is far better than one, and more are little better where loads are old.
-	leastSample = 2
-	// sumAge is how old the loads of other hosts are in the mean where they come as a sum: three messages,
-	// each after half of aggregate.Interval in the mean.
-	sumAge = 375 * time.Millisecond
-	// peerAgePerHost is the same for each host where hosts report to each other: half of
+	// minSampleSize is the minimum number of endpoints compared in a group. The better of two random endpoints is far
+	// better than one; larger samples add little if loads are stale.
+	minSampleSize = 2
+	// meanSumAge is the mean age of other hosts' loads that arrive as a sum: three messages, each delayed by half of
+	// aggregate.Interval on average.
+	meanSumAge = 375 * time.Millisecond
+	// meanPeerAgePerHost is the mean age of other hosts' loads, for each host, if hosts report to each other: half of
 	// gossip.pacePerMember.
-	peerAgePerHost = 4 * time.Millisecond
+	meanPeerAgePerHost = 4 * time.Millisecond
 )
 
-// unseenTime returns how old the loads of other hosts are in the mean.
-func (v *View) unseenTime() time.Duration {
+// meanLoadAge returns the mean age of the loads of other hosts.
+func (v *View) meanLoadAge() time.Duration {
 	if len(v.loads.sums) > 0 {
-		return sumAge
+		return meanSumAge
 	}
-	return time.Duration(v.Hosts()) * peerAgePerHost
+	return time.Duration(v.Hosts()) * meanPeerAgePerHost
 }
 
-// sampleSize returns how many of a number of endpoints to compare, if a number of requests for them are not
-// seen yet.
+// sampleSize returns how many endpoints to compare, given the number of requests for them that are not visible yet.
 func sampleSize(endpoints int, unseen float64) int {
 	if unseen <= 1 {
 		return endpoints
 	}
-	return min(max(int(math.Round(float64(endpoints)/unseen)), leastSample), endpoints)
+	return min(max(int(math.Round(float64(endpoints)/unseen)), minSampleSize), endpoints)
 }
 
-// sample returns the candidates to compare for a request: those that hold its prefix or where it belongs, and
-// a random sample of the others, of those in its partition and of those that are not, in its zone and elsewhere.
+// sample returns the candidates to compare for a request: the holders and the preferred endpoint of its prefix, and a
+// random sample of the others in each of four groups, by partition and by zone.
 func (v *View) sample(q *query, candidates []*directory.Entry) []*directory.Entry {
-	unseen := q.engines.Arrivals(q.long) * float64(v.unseenTime()/time.Millisecond)
+	unseen := q.engines.Arrivals(q.isLong) * float64(v.meanLoadAge()/time.Millisecond)
 	if v.random == nil || sampleSize(len(candidates), unseen) == len(candidates) {
 		return candidates
 	}
@@ -58,7 +57,7 @@
 			continue
 		}
 		group := 0
-		if q.isApart(e) {
+		if q.isInOwnPartition(e) {
 			apart++
 		} else {
 			group = 2
@@ -70,13 +69,13 @@
 	}
 	part := float64(sampleSize(apart, unseen)) / float64(max(apart, 1))
 	for _, group := range groups {
-		size := max(int(math.Ceil(part*float64(len(group)))), leastSample)
+		size := max(int(math.Ceil(part*float64(len(group)))), minSampleSize)
 		sampled = append(sampled, pickRandom(group, size, v.random)...)
 	}
 	return sampled
 }
 
-// pickRandom returns a number of the entries, picked at random. It reorders the entries.
+// pickRandom returns a number of randomly selected entries. It reorders the entries.
 func pickRandom(entries []*directory.Entry, number int, random func() float64) []*directory.Entry {
 	number = min(number, len(entries))
 	for i := range number {
--- a/internal/front/placement/sum.go
+++ b/internal/front/placement/sum.go
@@ -5,22 +5,22 @@
 	"oxbowslip.dev/oxbowslip/internal/front/keys"
 )
 
-// Sum is the work of all hosts of a large fleet, or one part of several of it.
+// Sum is the load of all hosts of a large fleet, or one part of it.
 type Sum struct {
 	Part Part
-	// Others are the loads of the other hosts, at the endpoints of the part.
+	// Others holds the loads of the other hosts at the endpoints of the part.
 	Others  map[keys.Endpoint]Load
 	Holders []Holder
-	// Engines are what all hosts know, this one included.
+	// Engines holds the combined reports of all hosts, this one included.
 	Engines EngineReports
-	// Splits are those that another host has decided for all. It is empty if this host is to decide.
+	// Splits holds the splits that another host has decided for the fleet. It is empty if this host decides by itself.
 	Splits Splits
 }
 
-// Splits are the split of each service.
+// Splits holds the split of each service.
 type Splits map[keys.Service]engine.Split
 
-// SetSum replaces what is known of the work of all hosts.
+// SetSum replaces the load of all hosts.
 func (p *Placer) SetSum(sum *Sum) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -35,13 +35,13 @@
 	for service, split := range sum.Splits {
 		s := p.view.engines.get(service)
 		if s.Adopt(now, split) {
-			p.logSplit(p.nameOf(service), s)
+			p.logSplit(p.serviceName(service), s)
 		}
 	}
 }
 
-// nameOf returns the name of a service, or nothing if it has no endpoint.
-func (p *Placer) nameOf(key keys.Service) string {
+// serviceName returns the name of a service, or an empty string if it has no endpoint.
+func (p *Placer) serviceName(key keys.Service) string {
 	for _, service := range p.directory.Services() {
 		if keys.OfService(service) == key {
 			return service
@@ -50,7 +50,7 @@
 	return ""
 }
 
-// Splits decides how the endpoints of each service with prompts are divided, if that is due, and returns it.
+// Splits returns the split of each service with prompts, after updating those that are due.
 func (p *Placer) Splits() Splits {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/front/placement/ticket.go
+++ b/internal/front/placement/ticket.go
@@ -9,68 +9,68 @@
 	"oxbowslip.dev/oxbowslip/internal/front/ratelimit"
 )
 
-// ticket is one granted request. It implements owner.Ticket.
+// ticket is a granted request. It implements owner.Ticket.
 type ticket struct {
 	placer  *Placer
 	service keys.Service
 	class   keys.Class
-	// prompt is set if the request has a prompt.
-	prompt   bool
-	endpoint string
-	version  string
-	// permit is needed if the endpoint has named a limit.
+	// hasPrompt is set if the request has a prompt.
+	hasPrompt bool
+	endpoint  string
+	version   string
+	// permit is needed if the endpoint has a limit.
 	permit ratelimit.Permit
-	// unprocessed is the part of the prompt, in tokens, that the endpoint has not processed, behind
-	// those of other prompts that it had to process when the request was granted.
-	unprocessed int
-	behind      int
-	startedAt   time.Time
+	// unprocessedTokens is the number of the request's prompt tokens that the endpoint has not processed, and
+	// tokensAhead the number of tokens of other prompts that it had to process first when the request was granted.
+	unprocessedTokens int
+	tokensAhead       int
+	startedAt         time.Time
 }
 
 func (p *Placer) newTicket(service string, request *admission.Request, choice *Choice) *ticket {
 	return &ticket{
-		placer: p, service: keys.OfService(service), class: keys.OfClass(request.Class), prompt: request.PromptTokens > 0,
-		endpoint: choice.Endpoint, version: choice.Version, permit: choice.permit, unprocessed: choice.Tokens, behind: choice.Load.Tokens,
+		placer: p, service: keys.OfService(service), class: keys.OfClass(request.Class), hasPrompt: request.PromptTokens > 0,
+		endpoint: choice.Endpoint, version: choice.Version, permit: choice.permit, unprocessedTokens: choice.Tokens, tokensAhead: choice.Load.Tokens,
 	}
 }
 
-// Preempted returns nil: a placer takes no endpoint back.
+// Preempted returns nil: a placer never preempts a request.
 func (t *ticket) Preempted() <-chan struct{} { return nil }
 
-// MaySend reports whether the endpoint's limit, if it has named one, allows the request now: it may have done so since the
-// grant, or making a connection may have taken longer than the permit is good for.
+// MaySend reports whether the endpoint's limit, if there is one, still allows the request: the endpoint may have
+// announced a limit since the grant, or the permit may have expired while the connection was made.
 func (t *ticket) MaySend() bool {
 	return t.placer.limiter.MaySend(pushback.Instance{ID: t.endpoint, Version: t.version}, t.permit)
 }
 
-// Started notes when the request is sent. It was counted when it was granted.
+// Started records the time at which the request is sent. The request was counted at the grant.
 func (t *ticket) Started() { t.startedAt = t.placer.clock() }
 
-// FirstToken notes that the whole prompt was processed.
+// FirstToken records that the whole prompt was processed.
 func (t *ticket) FirstToken() {
 	p := t.placer
 	p.mu.Lock()
-	if t.behind == 0 {
-		p.view.engines.get(t.service).Began(t.unprocessed, p.clock().Sub(t.startedAt))
+	if t.tokensAhead == 0 {
+		p.view.engines.get(t.service).Began(t.unprocessedTokens, p.clock().Sub(t.startedAt))
 	}
-	p.view.loads.Processed(t.endpoint, t.unprocessed)
-	t.unprocessed = 0
+	p.view.loads.Processed(t.endpoint, t.unprocessedTokens)
+	t.unprocessedTokens = 0
 	p.mu.Unlock()
 	p.changed()
 }
 
-// Progress does nothing: only prompts and open requests count as load.
+// Progress does nothing: the load consists of prompts and open requests only.
 func (t *ticket) Progress(int) {}
 
-// Finished frees the slot.
+// Finished releases the slot.
 func (t *ticket) Finished(admission.Result, int) {
 	p := t.placer
 	p.mu.Lock()
-	p.view.loads.End(t.endpoint, t.unprocessed)
-	if t.prompt {
+	p.view.loads.End(t.endpoint, t.unprocessedTokens)
+	if t.hasPrompt {
 		p.view.engines.get(t.service).Ended(t.class)
 	}
-	t.unprocessed = 0
+	t.unprocessedTokens = 0
 	p.mu.Unlock()
 	p.changed()
 }
