--- a/internal/front/placement/cost.go
+++ b/internal/front/placement/cost.go
@@ -127,7 +127,7 @@
 func (v *View) newQuery(now time.Time, service string, request *admission.Request, endpoints, candidates []*directory.Entry) *query {
 	engines := v.engines.get(keys.OfService(service))
 	q := &query{request: request, engines: engines, endpoints: len(endpoints), isLong: engines.IsLong(keys.OfClass(request.Class))}
-	q.shortSet = v.partitions.get(service, endpoints, min(engines.Short(), len(endpoints)-1))
+	q.shortSet = v.partitions.get(service, endpoints, min(engines.ShortEndpoints(), len(endpoints)-1))
 	q.prefix, q.sharedTokens = sharedPrefix(request)
 	if q.sharedTokens >= minSharedPrefix {
 		q.preferred = rendezvous(q.prefix, inPartition(!q.isLong, q.shortSet, candidates))
@@ -154,11 +154,11 @@
 		return late
 	case q.isLong:
 		// Each stream there pauses while this prompt and the waiting ones are processed.
-		return late + q.engines.HarmTo(choice.Load.Tokens+choice.Tokens)*float64(choice.Load.Requests)
+		return late + q.engines.ShortMissChance(choice.Load.Tokens+choice.Tokens)*float64(choice.Load.Requests)
 	case q.isInOwnPartition(e):
-		return max(late, q.engines.HarmTo(choice.Load.Tokens))
+		return max(late, q.engines.ShortMissChance(choice.Load.Tokens))
 	}
-	return max(late, q.engines.ShortMixed(choice.Load.Tokens))
+	return max(late, q.engines.MixedMissChance(choice.Load.Tokens))
 }
 
 // firstEventSpread is the scale of a logistic distribution of the time to the first event, relative to the predicted
--- a/internal/front/placement/placement.go
+++ b/internal/front/placement/placement.go
@@ -189,7 +189,7 @@
 	p.rests.Granted(choice.Endpoint, choice.Version)
 	p.view.loads.Begin(choice.Endpoint, choice.Tokens)
 	if request.PromptTokens > 0 {
-		p.view.engines.get(keys.OfService(service)).Arrived(now, engine.Arrival{
+		p.view.engines.get(keys.OfService(service)).RecordArrival(now, engine.Arrival{
 			Class: keys.OfClass(request.Class), Prompt: request.PromptTokens, Unread: choice.Tokens,
 		})
 	}
@@ -204,7 +204,7 @@
 	fleet := engine.Fleet{
 		Endpoints: len(endpoints), Slots: endpoints[0].Endpoint.MaxInFlight, Hosts: p.view.Hosts(), Targets: p.targets,
 	}
-	if engines.Decide(now, &fleet) {
+	if engines.Refresh(now, &fleet) {
 		p.logSplit(service, engines)
 	}
 }
@@ -213,7 +213,7 @@
 func (p *Placer) logSplit(service string, engines *engine.Service) {
 	f := engines.Figures()
 	p.log.WithFields(logrus.Fields{
-		"service": service, "short": engines.Short(), "long_classes": engines.LongClasses(), "endpoints": len(p.directory.Serving(service)),
+		"service": service, "short": engines.ShortEndpoints(), "long_classes": engines.LongClasses(), "endpoints": len(p.directory.Serving(service)),
 		"read_rate": f.ReadRate.Value, "event_ms": f.EventTime.Value, "event_read": f.EventRead.Value,
 		"samples": f.ReadRate.Samples,
 	}).Info("endpoints kept for short prompts")
@@ -256,7 +256,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.view.engines.get(keys.OfService(service)).Refused(now, engine.Arrival{
+	p.view.engines.get(keys.OfService(service)).RecordRefusal(now, engine.Arrival{
 		Class: keys.OfClass(request.Class), Prompt: request.PromptTokens, Unread: request.PromptTokens,
 	})
 }
@@ -382,7 +382,7 @@
 func (p *Placer) RecordStream(service string, stream engine.Stream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.view.engines.get(keys.OfService(service)).Streamed(stream)
+	p.view.engines.get(keys.OfService(service)).RecordStream(stream)
 }
 
 // UnprocessedTokens returns the prompt tokens of all hosts that an endpoint has not processed yet.
--- a/internal/front/placement/placement_test.go
+++ b/internal/front/placement/placement_test.go
@@ -177,18 +177,18 @@
 	v := NewView()
 	engines := v.engines.get(keys.OfService("llm"))
 	for range 4 {
-		engines.Arrived(start, engine.Arrival{Class: keys.OfClass("long"), Prompt: 12_000, Unread: 12_000})
-		engines.Ended(keys.OfClass("long"))
-		engines.Arrived(start, engine.Arrival{Class: keys.OfClass("short"), Prompt: 500, Unread: 500})
+		engines.RecordArrival(start, engine.Arrival{Class: keys.OfClass("long"), Prompt: 12_000, Unread: 12_000})
+		engines.RecordEnd(keys.OfClass("long"))
+		engines.RecordArrival(start, engine.Arrival{Class: keys.OfClass("short"), Prompt: 500, Unread: 500})
 	}
 	target := engine.Targets{First: time.Second, Pause: 150 * time.Millisecond}
-	engines.Decide(start, &engine.Fleet{
+	engines.Refresh(start, &engine.Fleet{
 		Endpoints: len(endpoints), Slots: slots, Hosts: 1,
 		Targets: map[keys.Class]engine.Targets{keys.OfClass("long"): {First: time.Second, Pause: time.Second}, keys.OfClass("short"): target},
 	})
 	c.Assert(engines.IsLong(keys.OfClass("long")), qt.IsTrue)
 	c.Assert(engines.IsLong(keys.OfClass("short")), qt.IsFalse)
-	return v, engines.Short()
+	return v, engines.ShortEndpoints()
 }
 
 func TestPartitions(t *testing.T) {
@@ -810,7 +810,7 @@
 				v.loads.SetSum(start, Part{Of: 1}, loads)
 				engines := v.engines.get(keys.OfService("llm"))
 				engines.SetSum(start, engine.Report{Traffic: engine.Traffic{1: {Requests: 2000, Prompt: 2_800_000, Unread: 2_800_000, Open: 400}}})
-				engines.Decide(start, &engine.Fleet{Endpoints: number, Slots: 32, Hosts: hosts})
+				engines.Refresh(start, &engine.Fleet{Endpoints: number, Slots: 32, Hosts: hosts})
 				sent[v.chooseCandidate(short(), all).Endpoint]++
 			}
 			busiest := slices.Max(slices.Collect(maps.Values(sent)))
--- a/internal/front/relay/stream.go
+++ b/internal/front/relay/stream.go
@@ -42,7 +42,7 @@
 // observed returns what was seen of the stream.
 func (s *streamState) observed() engine.Stream {
 	return engine.Stream{
-		Events: s.events, Lasted: s.lastAt.Sub(s.firstAt), Longest: s.longestPause, Beside: s.beside,
+		Events: s.events, Duration: s.lastAt.Sub(s.firstAt), LongestPause: s.longestPause, UnreadBeside: s.beside,
 	}
 }
 
