--- a/internal/front/relay/attempt.go
+++ b/internal/front/relay/attempt.go
@@ -163,7 +163,7 @@
 			return false
 		}
 		x.sentAt = x.server.parts.Clock.Now()
-		a.Sent()
+		a.RecordSend()
 		return true
 	}
 }
@@ -186,7 +186,7 @@
 		return x.serverFault(held)
 	}
 	x.answered(a)
-	if !a.Deliver() {
+	if !a.StartDelivery() {
 		return owner.Result{Event: request.EventBroken}
 	}
 	x.answer = held
--- a/internal/front/relay/stream.go
+++ b/internal/front/relay/stream.go
@@ -69,7 +69,7 @@
 		return owner.Result{Event: request.EventBroken, Err: err}
 	}
 	x.answered(a)
-	if !a.Deliver() {
+	if !a.StartDelivery() {
 		return owner.Result{Event: request.EventBroken}
 	}
 	x.begin(answer)
@@ -78,7 +78,7 @@
 
 // passOn sends one event to the caller. It returns a result if the attempt is over.
 func (x *exchange) passOn(a *owner.Attempt, answer *upstream.Answer, event []byte) *owner.Result {
-	if !a.Deliver() {
+	if !a.StartDelivery() {
 		return &owner.Result{Event: request.EventBroken}
 	}
 	x.begin(answer)
@@ -94,7 +94,7 @@
 	if x.stream.passed(x.server.parts.Clock.Now(), eventID(event)) {
 		x.stream.beside = x.server.parts.Health.UnprocessedTokens(a.EndpointID)
 	}
-	a.Tokens(x.stream.events)
+	a.RecordTokens(x.stream.events)
 	return nil
 }
 
