--- a/internal/front/engine/engine_test.go
+++ b/internal/front/engine/engine_test.go
@@ -89,9 +89,9 @@
 		t.Run(name, func(t *testing.T) {
 			pause := f.Pause(test.unread, 1)
 			qt.Check(t, pause.Round(time.Millisecond), qt.Equals, test.pause)
-			harm := f.PauseMissChance(test.unread, ms(200))
+			harm := f.MissProb(test.unread, ms(200))
 			qt.Check(t, harm >= test.least && harm <= test.most, qt.IsTrue, qt.Commentf("%v", harm))
-			qt.Check(t, f.PauseMissChance(test.unread, 0), qt.Equals, 0.0)
+			qt.Check(t, f.MissProb(test.unread, 0), qt.Equals, 0.0)
 		})
 	}
 }
@@ -330,7 +330,7 @@
 			}
 		}
 		for _, unread := range []int{-1, 0, 1000, math.MaxInt32} {
-			if harm := f.PauseMissChance(unread, ms(200)); !(harm >= 0 && harm <= 1) {
+			if harm := f.MissProb(unread, ms(200)); !(harm >= 0 && harm <= 1) {
 				t.Fatalf("harm %v", harm)
 			}
 		}
--- a/internal/front/engine/split.go
+++ b/internal/front/engine/split.go
@@ -262,12 +262,12 @@
 	return s.short
 }
 
-// ShortMissChance returns the chance that the tightest of the short classes misses its target if a number of prompt
+// ShortMissProb returns the chance that the tightest of the short classes misses its target if a number of prompt
 // tokens is read beside its streams.
-func (s *Service) ShortMissChance(unread int) float64 {
-	return s.merged.PauseMissChance(unread, s.tightest)
+func (s *Service) ShortMissProb(unread int) float64 {
+	return s.merged.MissProb(unread, s.tightest)
 }
 
-// MixedMissChance returns the chance that a short stream misses its target at an endpoint for long prompts that
+// MixedMissProb returns the chance that a short stream misses its target at an endpoint for long prompts that
 // has a number of prompt tokens to read.
-func (s *Service) MixedMissChance(unread int) float64 { return max(s.met, s.ShortMissChance(unread)) }
+func (s *Service) MixedMissProb(unread int) float64 { return max(s.met, s.ShortMissProb(unread)) }
--- a/internal/front/placement/cost.go
+++ b/internal/front/placement/cost.go
@@ -154,11 +154,11 @@
 		return late
 	case q.isLong:
 		// Each stream there pauses while this prompt and the waiting ones are processed.
-		return late + q.engines.ShortMissChance(choice.Load.Tokens+choice.Tokens)*float64(choice.Load.Requests)
+		return late + q.engines.ShortMissProb(choice.Load.Tokens+choice.Tokens)*float64(choice.Load.Requests)
 	case q.isInOwnPartition(e):
-		return max(late, q.engines.ShortMissChance(choice.Load.Tokens))
+		return max(late, q.engines.ShortMissProb(choice.Load.Tokens))
 	}
-	return max(late, q.engines.MixedMissChance(choice.Load.Tokens))
+	return max(late, q.engines.MixedMissProb(choice.Load.Tokens))
 }
 
 // firstEventSpread is the scale of a logistic distribution of the time to the first event, relative to the predicted
