--- a/internal/front/engine/engine_test.go
+++ b/internal/front/engine/engine_test.go
@@ -13,16 +13,16 @@
 
 var start = time.Date(2026, 6, 1, 12, 0, 0, 0, time.UTC)
 
-// machine is an engine as the tests imagine it.
-type machine struct {
-	// rate is in prompt tokens a ms, event in ms, read in prompt tokens between two events.
+// simulatedEngine holds the true figures of an engine.
+type simulatedEngine struct {
+	// rate is in prompt tokens per ms, event in ms, read in prompt tokens between two events.
 	rate, event, read float64
 }
 
 func ms(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
 
-// relay lets a service observe a number of streams of an engine, some beside a long prompt.
-func (m machine) relay(s *Service, streams int) {
+// simulateStreams records a number of streams of an engine in a service, one in three of them beside a long prompt.
+func (m simulatedEngine) simulateStreams(s *Service, streams int) {
 	for n := range streams {
 		s.RecordFirstEvent(4000, ms(4000/m.rate))
 		longest, beside := m.event, 0
@@ -35,18 +35,18 @@
 	}
 }
 
-// TestTheFirstValuesAreUnlearned has engines ten times slower and faster than the first values.
-func TestTheFirstValuesAreUnlearned(t *testing.T) {
-	tests := map[string]machine{
-		"about as at first": {rate: 38, event: 22, read: 7000},
-		"ten times slower":  {rate: 4, event: 250, read: 4000},
-		"ten times faster":  {rate: 400, event: 2.5, read: 16_000},
+// TestInitialFiguresAreUnlearned simulates engines that are ten times slower and faster than the initial figures.
+func TestInitialFiguresAreUnlearned(t *testing.T) {
+	tests := map[string]simulatedEngine{
+		"about the initial figures": {rate: 38, event: 22, read: 7000},
+		"ten times slower":          {rate: 4, event: 250, read: 4000},
+		"ten times faster":          {rate: 400, event: 2.5, read: 16_000},
 	}
 	for name, m := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			s := NewService()
-			m.relay(s, 200)
+			m.simulateStreams(s, 200)
 			s.Refresh(start, &Fleet{Endpoints: 9, Slots: 64, Hosts: 1})
 			f := s.Figures()
 			for what, pair := range map[string][2]float64{
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestAStalledEndpointTeachesLittle has one stream in ten that took a hundred times as long.
-func TestAStalledEndpointTeachesLittle(t *testing.T) {
+// TestStalledEndpointChangesFiguresLittle has every tenth stream take a hundred times as long.
+func TestStalledEndpointChangesFiguresLittle(t *testing.T) {
 	s := NewService()
 	for n := range 200 {
 		took := 100.0
@@ -73,17 +73,17 @@
 	qt.Check(t, rate > 30 && rate < 50, qt.IsTrue, qt.Commentf("%v", rate))
 }
 
-func TestPauseAndHarm(t *testing.T) {
+func TestPauseAndMissProb(t *testing.T) {
 	f := Figures{ReadRate: Figure{Value: 40}, EventTime: Figure{Value: 20}, EventRead: Figure{Value: 8000}}
 	tests := map[string]struct {
 		unread      int
 		pause       time.Duration
 		least, most float64
 	}{
-		"nothing is read":        {0, ms(20), 0, 0.01},
-		"a short prompt":         {2000, ms(70), 0, 0.01},
-		"one that just fills":    {8000, ms(220), 0.8, 0.95},
-		"one that fills it long": {32_000, ms(264), 0.99, 1},
+		"no prompt is processed":            {0, ms(20), 0, 0.01},
+		"a short prompt":                    {2000, ms(70), 0, 0.01},
+		"a prompt that just fills an event": {8000, ms(220), 0.8, 0.95},
+		"a prompt that fills four events":   {32_000, ms(264), 0.99, 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -101,18 +101,18 @@
 	hint  keys.Class = 2
 )
 
-// exams is the traffic of an exam site: long prompts, and streams that may pause for 200 ms, as often
-// as given a second.
-func exams(s *Service, essays, hints int) {
+// addExamTraffic records traffic with a number of long prompts (essays) per second and a number of streams (hints) that
+// may pause for 200 ms.
+func addExamTraffic(s *Service, essays, hints int) {
 	s.sent.since = start.Add(-time.Hour)
-	for range essays * int(trafficTime/time.Second) {
+	for range essays * int(trafficTimeConstant/time.Second) {
 		s.RecordArrival(start, Arrival{Class: essay, Prompt: 9000, Unread: 5000})
 		s.RecordEnd(essay)
 	}
-	for range hints * int(trafficTime/time.Second) {
+	for range hints * int(trafficTimeConstant/time.Second) {
 		s.RecordArrival(start, Arrival{Class: hint, Prompt: 800, Unread: 800})
 	}
-	for range hints * int(trafficTime/time.Second) * 2 / 3 {
+	for range hints * int(trafficTimeConstant/time.Second) * 2 / 3 {
 		s.RecordEnd(hint)
 	}
 }
@@ -128,22 +128,22 @@
 		fleet         Fleet
 		least, most   int
 	}{
-		"long prompts harm short ones":        {16, 32, Fleet{Endpoints: 9, Slots: 64, Targets: examTargets}, 1, 3},
-		"more streams need more slots":        {16, 120, Fleet{Endpoints: 9, Slots: 64, Targets: examTargets}, 4, 8},
-		"a large fleet":                       {200, 400, Fleet{Endpoints: 112, Slots: 12, Targets: examTargets}, 25, 90},
-		"nothing harms patient streams":       {16, 32, Fleet{Endpoints: 9, Slots: 64, Targets: patient}, 0, 0},
-		"only one class":                      {16, 0, Fleet{Endpoints: 9, Slots: 64, Targets: examTargets}, 0, 0},
-		"one endpoint":                        {16, 32, Fleet{Endpoints: 1, Slots: 64, Targets: examTargets}, 0, 0},
-		"both sides keep an endpoint":         {3, 6, Fleet{Endpoints: 2, Slots: 64, Targets: examTargets}, 1, 1},
-		"too much for both sides":             {16, 900, Fleet{Endpoints: 2, Slots: 64, Targets: examTargets}, 0, 0},
-		"no traffic":                          {0, 0, Fleet{Endpoints: 9, Slots: 64, Targets: examTargets}, 0, 0},
-		"slots unknown":                       {16, 32, Fleet{Endpoints: 9, Targets: examTargets}, 1, 3},
-		"targets unknown, as of older routes": {16, 32, Fleet{Endpoints: 9, Slots: 64}, 0, 0},
+		"long prompts delay short ones": {16, 32, Fleet{Endpoints: 9, Slots: 64, Targets: examTargets}, 1, 3},
+		"more streams need more slots":  {16, 120, Fleet{Endpoints: 9, Slots: 64, Targets: examTargets}, 4, 8},
+		"a large fleet":                 {200, 400, Fleet{Endpoints: 112, Slots: 12, Targets: examTargets}, 25, 90},
+		"high targets need no split":    {16, 32, Fleet{Endpoints: 9, Slots: 64, Targets: patient}, 0, 0},
+		"only one class":                {16, 0, Fleet{Endpoints: 9, Slots: 64, Targets: examTargets}, 0, 0},
+		"one endpoint":                  {16, 32, Fleet{Endpoints: 1, Slots: 64, Targets: examTargets}, 0, 0},
+		"each side gets one endpoint":   {3, 6, Fleet{Endpoints: 2, Slots: 64, Targets: examTargets}, 1, 1},
+		"overload of both sides":        {16, 900, Fleet{Endpoints: 2, Slots: 64, Targets: examTargets}, 0, 0},
+		"no traffic":                    {0, 0, Fleet{Endpoints: 9, Slots: 64, Targets: examTargets}, 0, 0},
+		"slots unknown":                 {16, 32, Fleet{Endpoints: 9, Targets: examTargets}, 1, 3},
+		"unknown targets":               {16, 32, Fleet{Endpoints: 9, Slots: 64}, 0, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := NewService()
-			exams(s, test.essays, test.hints)
+			addExamTraffic(s, test.essays, test.hints)
 			test.fleet.Hosts = 1
 			s.Refresh(start, &test.fleet)
 			qt.Check(t, s.ShortEndpoints() >= test.least && s.ShortEndpoints() <= test.most, qt.IsTrue, qt.Commentf("%d", s.ShortEndpoints()))
@@ -153,13 +153,13 @@
 	}
 }
 
-// TestHostsAgreeOnTheSplit has three hosts that each saw other requests and have each other's reports.
+// TestHostsAgreeOnTheSplit has three hosts that observed different requests and received each other's reports.
 func TestHostsAgreeOnTheSplit(t *testing.T) {
 	c := qt.New(t)
 	hosts := []*Service{NewService(), NewService(), NewService()}
-	exams(hosts[0], 16, 0)
-	exams(hosts[1], 0, 32)
-	machine{rate: 30, event: 20, read: 7000}.relay(hosts[2], 20)
+	addExamTraffic(hosts[0], 16, 0)
+	addExamTraffic(hosts[1], 0, 32)
+	simulatedEngine{rate: 30, event: 20, read: 7000}.simulateStreams(hosts[2], 20)
 	for n, host := range hosts {
 		for m, peer := range hosts {
 			if n != m {
@@ -175,27 +175,27 @@
 	c.Check(hosts[0].ShortEndpoints() > 0, qt.IsTrue)
 }
 
-// TestTheSplitShrinksSlowly lets the number of endpoints that would be best fall to two, from five.
-func TestTheSplitShrinksSlowly(t *testing.T) {
+// TestSplitShrinksSlowly lowers the best number of endpoints from five to two.
+func TestSplitShrinksSlowly(t *testing.T) {
 	c := qt.New(t)
 	s := NewService()
 	fleet := Fleet{Endpoints: 9, Slots: 64, Hosts: 1, Targets: examTargets}
-	s.short = s.settle(start, 5, &fleet)
+	s.short = s.stableSize(start, 5, &fleet)
 	c.Check(s.short, qt.Equals, 5)
-	for now := start; now.Sub(start) <= shrinkAfter; now = now.Add(refreshInterval) {
-		s.short = s.settle(now, 2, &fleet)
+	for now := start; now.Sub(start) <= shrinkDelay; now = now.Add(refreshInterval) {
+		s.short = s.stableSize(now, 2, &fleet)
 		c.Check(s.short, qt.Equals, 5)
 	}
-	c.Check(s.settle(start.Add(shrinkAfter+refreshInterval), 2, &fleet), qt.Equals, 2)
+	c.Check(s.stableSize(start.Add(shrinkDelay+refreshInterval), 2, &fleet), qt.Equals, 2)
 	s.short = 5
-	c.Check(s.settle(start.Add(shrinkAfter+2*refreshInterval), 8, &fleet), qt.Equals, 8, qt.Commentf("it grows at once"))
+	c.Check(s.stableSize(start.Add(shrinkDelay+2*refreshInterval), 8, &fleet), qt.Equals, 8, qt.Commentf("it grows immediately"))
 }
 
-// TestHostsAdoptASplit has a host that decides by itself get a split that another one decided for all.
-func TestHostsAdoptASplit(t *testing.T) {
+// TestHostsAdoptSplit gives a host that decides by itself a split that another host has decided for the fleet.
+func TestHostsAdoptSplit(t *testing.T) {
 	c := qt.New(t)
 	s := NewService()
-	exams(s, 16, 32)
+	addExamTraffic(s, 16, 32)
 	fleet := Fleet{Endpoints: 9, Slots: 64, Hosts: 1, Targets: examTargets}
 	s.Refresh(start, &fleet)
 	own := s.Split()
@@ -204,34 +204,34 @@
 	c.Check(s.Adopt(start, adopted), qt.IsTrue)
 	c.Check(s.Adopt(start, adopted), qt.IsFalse)
 	s.Refresh(start.Add(SumTimeout-1), &fleet)
-	c.Check(s.Split(), qt.DeepEquals, adopted, qt.Commentf("it decides nothing meanwhile"))
-	s.Refresh(start.Add(SumTimeout+shrinkAfter+refreshInterval), &fleet)
-	s.Refresh(start.Add(SumTimeout+2*shrinkAfter+2*refreshInterval), &fleet)
-	c.Check(s.ShortEndpoints() < adopted.Short, qt.IsTrue, qt.Commentf("without the other one it decides again"))
+	c.Check(s.Split(), qt.DeepEquals, adopted, qt.Commentf("it decides nothing while the adopted split is valid"))
+	s.Refresh(start.Add(SumTimeout+shrinkDelay+refreshInterval), &fleet)
+	s.Refresh(start.Add(SumTimeout+2*shrinkDelay+2*refreshInterval), &fleet)
+	c.Check(s.ShortEndpoints() < adopted.Short, qt.IsTrue, qt.Commentf("after the adopted split has expired it decides again"))
 }
 
-// TestSumsTakeThePlaceOfOwnTraffic has a host that saw nothing decide from what all hosts saw.
-func TestSumsTakeThePlaceOfOwnTraffic(t *testing.T) {
+// TestSumReplacesOwnTraffic has a host without any traffic decide from the sum of all hosts.
+func TestSumReplacesOwnTraffic(t *testing.T) {
 	c := qt.New(t)
 	others := NewService()
-	exams(others, 16, 32)
+	addExamTraffic(others, 16, 32)
 	s := NewService()
 	s.SetSum(start, others.Report(start))
 	fleet := Fleet{Endpoints: 9, Slots: 64, Hosts: 300, Targets: examTargets}
 	s.Refresh(start, &fleet)
 	c.Check(s.IsLong(essay), qt.IsTrue)
 	c.Check(s.allTraffic(start, 300)[essay].Requests, qt.Equals, others.allTraffic(start, 1)[essay].Requests)
-	c.Check(s.allTraffic(start.Add(SumTimeout), 300), qt.HasLen, 0, qt.Commentf("too old"))
+	c.Check(s.allTraffic(start.Add(SumTimeout), 300), qt.HasLen, 0, qt.Commentf("the sum has expired"))
 }
 
-// The classes of a large canal site: long drafts, reports and short questions.
+// The classes of a large deployment: long drafts, reports and short questions.
 const (
 	draft keys.Class = iota + 10
 	report
 	question
 )
 
-// largeFleet is 320 engines that read 32 tokens a ms, and the targets there.
+// largeFleet returns a service whose engines process 32 tokens per ms, and a fleet of 320 endpoints with targets.
 func largeFleet() (*Service, *Fleet) {
 	s := NewService()
 	s.own = Figures{
@@ -243,15 +243,15 @@
 	}}
 }
 
-// TestColdStart replays the first seconds of a fleet of 320 engines, in which every prefix is read for the first
-// time, and an overload of twice what they can read: questions run apart from both other classes, at enough
-// endpoints to have half of their slots free and at no more than a third of all.
-func TestColdStart(t *testing.T) {
+// TestSplitAtColdStart covers the first seconds of a fleet of 320 engines, in which every prefix is processed for the
+// first time, and an overload of twice its capacity. Questions must be separated from both other classes, with enough
+// endpoints to have half of their slots free and at most a third of all.
+func TestSplitAtColdStart(t *testing.T) {
 	demand := func(perSecond, tokens, seconds float64) Demand {
-		requests := perSecond * milliseconds(trafficTime) / 1000
+		requests := perSecond * milliseconds(trafficTimeConstant) / 1000
 		return Demand{Requests: requests, Prompt: requests * tokens, Unread: requests * tokens, Open: perSecond * seconds}
 	}
-	tests := map[string]float64{"quiet": 200, "a burst": 320, "overload": 900}
+	tests := map[string]float64{"quiet": 200, "burst of drafts": 320, "overload": 900}
 	for name, drafts := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -266,24 +266,25 @@
 	}
 }
 
-// TestEarlyCutsAreRevised has a cut decided from traffic of half a second, and from that of an hour: it stays for as
-// long, but no longer than cutTime.
+// TestEarlyCutsAreRevised decides a cut from traffic of half a second and from traffic of an hour: the cut stays in
+// force for as long, but at most for minCutTime.
 func TestEarlyCutsAreRevised(t *testing.T) {
-	for since, stays := range map[time.Duration]time.Duration{500 * time.Millisecond: 500 * time.Millisecond, time.Hour: cutTime} {
+	for since, stays := range map[time.Duration]time.Duration{500 * time.Millisecond: 500 * time.Millisecond, time.Hour: minCutTime} {
 		t.Run(since.String(), func(t *testing.T) {
 			c := qt.New(t)
 			s := NewService()
-			exams(s, 16, 32)
+			addExamTraffic(s, 16, 32)
 			s.sent.since = start.Add(-since)
 			s.Refresh(start, &Fleet{Endpoints: 90, Slots: 64, Hosts: 1, Targets: examTargets})
 			c.Assert(s.IsLong(essay), qt.IsTrue)
-			c.Check(s.cutUntil, qt.Equals, start.Add(stays))
+			c.Check(s.cutFixedUntil, qt.Equals, start.Add(stays))
 		})
 	}
 }
 
-// TestMostOfAnEventIsLearnedFromAbove observes pauses of which most were beside prompts that did not fill an event.
-func TestMostOfAnEventIsLearnedFromAbove(t *testing.T) {
+// TestEventReadIsLearnedAsHighQuantile records pauses of which two in three came from prompts that did not fill an
+// event.
+func TestEventReadIsLearnedAsHighQuantile(t *testing.T) {
 	c := qt.New(t)
 	s := NewService()
 	s.merged = Figures{ReadRate: Figure{Value: 40}, EventTime: Figure{Value: 20}, EventRead: Figure{Value: 12_000}}
@@ -292,12 +293,12 @@
 		if n%3 > 0 {
 			read = 9000
 		}
-		s.observeEventRead(16_000, (20+read/40)*s.merged.growth(16_000))
+		s.observeEventRead(16_000, (20+read/40)*s.merged.pauseGrowthFactor(16_000))
 	}
 	c.Check(math.Abs(math.Log(s.own.EventRead.Value/16_000)) < 0.1, qt.IsTrue, qt.Commentf("%v", s.own.EventRead.Value))
 }
 
-// TestPredictionsStayFinite feeds any sequence of observations.
+// TestPredictionsStayFinite records arbitrary sequences of observations.
 func TestPredictionsStayFinite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewService()
@@ -324,8 +325,8 @@
 			s.Refresh(now, &Fleet{Endpoints: 9, Slots: 64, Hosts: 2, Targets: examTargets})
 		}
 		f := s.Figures()
-		for _, pair := range [][2]float64{{f.ReadRate.Value, firstReadRate}, {f.EventTime.Value, firstEventTime}, {f.EventRead.Value, firstEventRead}} {
-			if value := pair[0]; !(value >= pair[1]/mostFactor*0.99) || !(value <= pair[1]*mostFactor*1.01) {
+		for _, pair := range [][2]float64{{f.ReadRate.Value, initialReadRate}, {f.EventTime.Value, initialEventTime}, {f.EventRead.Value, initialEventRead}} {
+			if value := pair[0]; !(value >= pair[1]/maxFactor*0.99) || !(value <= pair[1]*maxFactor*1.01) {
 				t.Fatalf("%v is out of range", value)
 			}
 		}
--- a/internal/front/engine/figure.go
+++ b/internal/front/engine/figure.go
@@ -2,55 +2,55 @@
 
 import "math"
 
-// A figure is learned as a running median of its logarithm: each sample moves it up or down by a step
-// that does not depend on how far off the sample is, so that a faulty or stalled endpoint can't pull it
-// away, and the step shrinks as samples are seen.
+// A figure is learned as a running quantile in the logarithm: each sample moves it up or down by a step that does not
+// depend on the sample's distance, so that a faulty or stalled endpoint has little influence. The step shrinks as the
+// number of samples grows.
 const (
-	// firstStep is the step of the first sample in natural logarithms: three samples in a row double the figure.
-	firstStep = 0.25
-	// leastStep is the smallest step: what has changed is learned again within some tens of samples.
-	leastStep = 0.03
-	// stepSamples is the number of samples over which the step falls to a half.
-	stepSamples = 6
+	// initialStep is the step of the first sample in natural logarithms: three samples in a row double the figure.
+	initialStep = 0.25
+	// minStep is the minimum step, which lets the figure follow a change within some tens of samples.
+	minStep = 0.03
+	// stepHalvingSamples is the number of samples after which the step has fallen to one half.
+	stepHalvingSamples = 6
 	// maxSamples bounds the weight of a figure in the mean of all hosts.
 	maxSamples = 100
-	// priorSamples is the weight of a figure's first value in that mean.
+	// priorSamples is the weight of a figure's initial value in that mean.
 	priorSamples = 3
-	// mostFactor is how far a figure may move from its first value, in either direction: engines differ by less, and
-	// whatever is observed, predictions stay finite.
-	mostFactor = 30
+	// maxFactor bounds the ratio of a figure to its initial value, in either direction. Engines differ by less, and the
+	// bound keeps predictions finite for any observation.
+	maxFactor = 30
 )
 
-// Figure is one learned quantity.
+// Figure is a learned quantity.
 type Figure struct {
-	// Value is above 0; its unit is that of the quantity.
+	// Value is positive; its unit is that of the quantity.
 	Value float64
-	// Samples is the number of samples that it rests on, at most maxSamples.
+	// Samples is the number of samples behind the value, at most maxSamples.
 	Samples float64
 }
 
-// observe moves the figure towards a sample. Quantile is the part of the samples that should lie below
-// it: 0.5 makes it the median. A sample that is not a positive number is ignored.
+// observe moves the figure towards a sample. Quantile is the share of samples that should lie below the figure: 0.5
+// makes it the median. A sample that is not positive and finite is ignored.
 func (f *Figure) observe(sample, quantile, first float64) {
 	if !(sample > 0) || math.IsInf(sample, 0) {
 		return
 	}
-	step := max(firstStep/(1+f.Samples/stepSamples), leastStep)
+	step := max(initialStep/(1+f.Samples/stepHalvingSamples), minStep)
 	if sample > f.Value {
 		f.Value *= math.Exp(2 * step * quantile)
 	} else {
 		f.Value *= math.Exp(-2 * step * (1 - quantile))
 	}
-	f.Value = bounded(f.Value, first)
+	f.Value = clamp(f.Value, first)
 	f.Samples = min(f.Samples+1, maxSamples)
 }
 
-// bounded keeps a value within mostFactor of the first one.
-func bounded(value, first float64) float64 {
-	return min(max(value, first/mostFactor), first*mostFactor)
+// clamp limits a value to within maxFactor of the initial one.
+func clamp(value, first float64) float64 {
+	return min(max(value, first/maxFactor), first*maxFactor)
 }
 
-// mean is a weighted mean of figures in the logarithm.
+// mean is a weighted geometric mean of figures.
 type mean struct{ sum, weight float64 }
 
 func (m *mean) add(value, weight float64) {
@@ -63,7 +63,7 @@
 
 func (m *mean) value() float64 { return math.Exp(m.sum / m.weight) }
 
-// merge returns the weighted mean of two figures. What is no positive number is ignored.
+// merge returns the weighted mean of two figures. Values that are not positive and finite are ignored.
 func (f Figure) merge(other Figure) Figure {
 	var m mean
 	m.add(f.Value, f.Samples)
--- a/internal/front/engine/predict.go
+++ b/internal/front/engine/predict.go
@@ -9,35 +9,35 @@
 	"oxbowslip.dev/oxbowslip/internal/front/keys"
 )
 
-// How many requests will be late if some classes share a number of endpoints: their streams pause beside
-// the prompts that are read there, their first events wait for the prompts before them, or they find no slot.
+// Predictions of how many requests miss their targets if some classes share a number of endpoints: their streams pause
+// while prompts are processed there, their first events wait for the prompts ahead of them, or they find no slot.
 
 const (
-	// usableSlots is the part of the slots that streams may take on average: bursts need the rest.
-	usableSlots = 0.65
-	// leastRequests is how many requests of a class must have come lately to judge it.
-	leastRequests = 3
+	// usableSlotShare is the share of the slots that streams may occupy on average: bursts need the rest.
+	usableSlotShare = 0.65
+	// minClassRequests is the minimum number of recent requests of a class for a prediction.
+	minClassRequests = 3
 )
 
-// classLoad is the load of one class on all endpoints, for a prediction.
+// classLoad is the load of one class on all endpoints, as the input of a prediction.
 type classLoad struct {
 	class keys.Class
 	Targets
-	// rate is in requests a ms, prompt and unread are the mean prompt tokens of one.
+	// rate is in requests per ms; prompt and unread are the mean numbers of prompt tokens per request.
 	rate, prompt, unread float64
 	// open is the number of open requests.
 	open float64
 }
 
-// loads returns the load of each class, those with the longest prompts first.
+// loads returns the load of each class, in descending order of prompt length.
 func (s *Service) loads(now time.Time, fleet *Fleet) []classLoad {
 	var loads []classLoad
 	for class, d := range s.allTraffic(now, fleet.Hosts) {
-		if d.Requests < leastRequests {
+		if d.Requests < minClassRequests {
 			continue
 		}
 		loads = append(loads, classLoad{
-			class: class, Targets: fleet.Targets[class], rate: d.Requests / milliseconds(trafficTime),
+			class: class, Targets: fleet.Targets[class], rate: d.Requests / milliseconds(trafficTimeConstant),
 			prompt: d.Prompt / d.Requests, unread: d.Unread / d.Requests, open: d.Open,
 		})
 	}
@@ -47,8 +47,8 @@
 	return loads
 }
 
-// rateOf returns the rate of all of some classes, in requests a ms.
-func rateOf(loads []classLoad) float64 {
+// totalRate returns the sum of the classes' rates, in requests per ms.
+func totalRate(loads []classLoad) float64 {
 	rate := 0.0
 	for _, l := range loads {
 		rate += l.rate
@@ -56,29 +56,29 @@
 	return rate
 }
 
-// late predicts the requests a ms that are late if classes share a number of endpoints.
-func (s *Service) late(loads []classLoad, endpoints float64) float64 {
+// lateRate predicts the rate of late requests, per ms, if classes share a number of endpoints.
+func (s *Service) lateRate(loads []classLoad, endpoints float64) float64 {
 	late := 0.0
 	for i := range loads {
 		l := &loads[i]
-		late += l.rate * max(s.latePause(l, loads, endpoints), s.lateFirst(l, loads, endpoints))
+		late += l.rate * max(s.pauseMissProb(l, loads, endpoints), s.firstEventMissProb(l, loads, endpoints))
 	}
 	return late
 }
 
-// latePause returns the chance that a stream of a class pauses too long: it meets the harmful prompts that
-// are read at its endpoint while it lasts. The busier the endpoint, the more prompts are read at a time.
-func (s *Service) latePause(victim *classLoad, loads []classLoad, endpoints float64) float64 {
-	idle := 1 - min(s.busy(loads, endpoints), mostBusy)
+// pauseMissProb returns the probability that a stream of a class pauses too long because of the prompts processed at
+// its endpoint while it runs. The higher the utilization, the more prompts are processed together.
+func (s *Service) pauseMissProb(victim *classLoad, loads []classLoad, endpoints float64) float64 {
+	idle := 1 - min(s.utilization(loads, endpoints), maxUtilization)
 	harmful := 0.0
 	for _, l := range loads {
-		harmful += l.rate * s.merged.meanHarm(l.unread, 1/idle, victim.Pause)
+		harmful += l.rate * s.merged.meanMissProb(l.unread, 1/idle, victim.Pause)
 	}
 	return 1 - math.Exp(-harmful*victim.open/victim.rate/max(endpoints, 1))
 }
 
-// busy returns the part of the time that endpoints are busy reading.
-func (s *Service) busy(loads []classLoad, endpoints float64) float64 {
+// utilization returns the share of the time in which endpoints process prompts.
+func (s *Service) utilization(loads []classLoad, endpoints float64) float64 {
 	unread := 0.0
 	for _, l := range loads {
 		unread += l.rate * l.unread
@@ -86,19 +86,19 @@
 	return unread / s.merged.ReadRate.Value / max(endpoints, 1)
 }
 
-// mostBusy bounds the part of the time that an engine is taken to read, where queues would have no end.
-const mostBusy = 0.95
+// maxUtilization bounds the utilization of an engine in predictions, since queues would grow without bound.
+const maxUtilization = 0.95
 
-// choices is how many endpoints each request is taken to be the better of: those whose queues are compared
-// differ in more than their queues, so that two are a cautious figure. On a site of 320 engines that read
-// some 73 % of the time (estimated from the tokens), 2 % of the longest requests were late (64 of 3,503, one
-// run); this predicts 2 %, and a formula for queues that are filled blindly 49 %.
-const choices = 2
+// queueChoices is the number of endpoints of which each request is assumed to get the better one. Two is conservative,
+// since the compared endpoints differ in more than their queues. At 73 % utilization of 320 engines this predicts that
+// 2 % of the longest requests have a late first event, which matches the observed share; a model of randomly filled
+// queues predicts 49 %.
+const queueChoices = 2
 
-// lateFirst returns the chance that the first event of a class's request comes late. Where each request goes to
-// the better of a few endpoints, a queue is at least n requests long with a chance of
-// busy^((choices^n - 1) / (choices - 1)). Those that are more urgent, and those as urgent, are read first.
-func (s *Service) lateFirst(waiting *classLoad, loads []classLoad, endpoints float64) float64 {
+// firstEventMissProb returns the probability that the first event of a class's request is late. If each request goes
+// to the better of a few endpoints, a queue holds at least n requests with probability utilization^((choices^n - 1) /
+// (choices - 1)). More urgent and equally urgent requests are processed first.
+func (s *Service) firstEventMissProb(waiting *classLoad, loads []classLoad, endpoints float64) float64 {
 	if waiting.First == 0 {
 		return 0
 	}
@@ -115,15 +115,15 @@
 	if square <= 0 {
 		return 0
 	}
-	// A request that is being read is met with a chance that is proportional to its length.
+	// The probability of finding a request in process is proportional to the request's length.
 	read := square / busy
 	slack := max(milliseconds(waiting.First)-waiting.unread/s.merged.ReadRate.Value, 0)
-	longer := (math.Pow(choices, slack/read) - 1) / (choices - 1)
-	return math.Pow(min(busy, mostBusy), max(longer, 1))
+	longer := (math.Pow(queueChoices, slack/read) - 1) / (queueChoices - 1)
+	return math.Pow(min(busy, maxUtilization), max(longer, 1))
 }
 
-// tightestPause returns the least target for pauses, or 0.
-func tightestPause(loads []classLoad) time.Duration {
+// leastPauseTarget returns the lowest target for pauses, or 0.
+func leastPauseTarget(loads []classLoad) time.Duration {
 	var least time.Duration
 	for _, l := range loads {
 		if l.Pause > 0 && (least == 0 || l.Pause < least) {
@@ -133,16 +133,16 @@
 	return least
 }
 
-// chanceMet returns the chance that a stream of the short classes misses its target if it runs at one of
-// the endpoints for long ones.
-func (s *Service) chanceMet(long, short []classLoad, endpoints float64) float64 {
-	rate := rateOf(short)
+// longPromptMissProb returns the probability that a stream of the short classes misses its target if it runs at one
+// of the endpoints for long prompts.
+func (s *Service) longPromptMissProb(long, short []classLoad, endpoints float64) float64 {
+	rate := totalRate(short)
 	if rate == 0 {
 		return 0
 	}
 	var harmful, open float64
 	for _, l := range long {
-		harmful += l.rate * s.merged.meanHarm(l.unread, 1, s.tightest)
+		harmful += l.rate * s.merged.meanMissProb(l.unread, 1, s.minPause)
 	}
 	for _, l := range short {
 		open += l.open
@@ -150,8 +150,8 @@
 	return 1 - math.Exp(-harmful*open/rate/max(endpoints, 1))
 }
 
-// overflow predicts the requests a ms that find no slot at a number of endpoints.
-func overflow(loads []classLoad, endpoints float64, fleet *Fleet) float64 {
+// overflowRate predicts the rate of requests, per ms, that find no slot at a number of endpoints.
+func overflowRate(loads []classLoad, endpoints float64, fleet *Fleet) float64 {
 	if fleet.Slots == 0 {
 		return 0
 	}
@@ -159,5 +159,5 @@
 	for _, l := range loads {
 		open += l.open
 	}
-	return rateOf(loads) * max(1-endpoints*float64(fleet.Slots)*usableSlots/max(open, 1), 0)
+	return totalRate(loads) * max(1-endpoints*float64(fleet.Slots)*usableSlotShare/max(open, 1), 0)
 }
--- a/internal/front/engine/service.go
+++ b/internal/front/engine/service.go
@@ -6,120 +6,120 @@
 	"oxbowslip.dev/oxbowslip/internal/front/keys"
 )
 
-// Stream is what a host saw of a stream that ended whole.
+// Stream holds a host's observations of a complete stream.
 type Stream struct {
-	// Events is their number, and Lasted the time from the first to the last.
+	// Events is the number of events, and Duration the time from the first to the last.
 	Events   int
 	Duration time.Duration
-	// LongestPause is the longest pause between two of them, Beside the prompt tokens that the endpoint had
-	// to read when it ended, as far as this host knew.
+	// LongestPause is the longest time between two events, and UnreadBeside the number of unprocessed prompt tokens at
+	// the endpoint when that pause ended, as far as this host could tell.
 	LongestPause time.Duration
 	UnreadBeside int
 }
 
-// Service is what a host knows of the engines and the traffic of one service.
+// Service holds a host's data on the engines and the traffic of one service.
 type Service struct {
 	own   Figures
 	peers map[string]Report
-	// sum is what the hosts of a large fleet know together, this one included; it counts until sumUntil.
+	// sum is the combined report of all hosts of a large fleet, this one included. It is valid until sumUntil.
 	sum      Report
 	sumUntil time.Time
-	// merged are the figures of this host and its peers together.
+	// merged holds the combined figures of this host and its peers.
 	merged Figures
 	sent   ownTraffic
-	// long are the classes whose prompts are kept away from those of all others, short is the number of
-	// endpoints that are kept for the others.
+	// long holds the classes whose prompts are kept away from the short classes, and short is the number of endpoints
+	// reserved for the short classes.
 	long  map[keys.Class]bool
 	short int
-	// arrivals are the requests in a ms at all hosts, of the long classes (true) and of the others.
+	// arrivals holds the requests per ms at all hosts, of the long classes (true) and of the short ones (false).
 	arrivals map[bool]float64
-	// cutUntil is until when the long classes stay as they are.
-	cutUntil time.Time
-	// adoptedUntil is until when a split that another host decided is in force here.
+	// cutFixedUntil is the time until which the set of long classes does not change.
+	cutFixedUntil time.Time
+	// adoptedUntil is the time until which a split decided by another host is in force.
 	adoptedUntil time.Time
-	// neededAt is when that many were last needed.
-	neededAt  time.Time
-	refreshAt time.Time
-	// met is the chance that a short stream beside long prompts misses its target, tightest the least
-	// target for pauses of the short classes.
-	met      float64
-	tightest time.Duration
+	// lastNeededAt is the last time at which this number of endpoints was needed.
+	lastNeededAt time.Time
+	refreshAt    time.Time
+	// mixedMiss is the probability that a short stream at an endpoint for long prompts misses its target, and
+	// minPause the lowest target for pauses of the short classes.
+	mixedMiss float64
+	minPause  time.Duration
 }
 
-// Report is what a host reports of a service to its peers.
+// Report is a host's report on a service to its peers.
 type Report struct {
 	Figures Figures
 	Traffic Traffic
 }
 
-// NewService returns a service of which nothing was observed.
+// NewService returns a service without observations.
 func NewService() *Service {
-	return &Service{own: firstFigures(), merged: firstFigures(), peers: make(map[string]Report), sent: ownTraffic{traffic: make(Traffic)}}
+	return &Service{own: initialFigures(), merged: initialFigures(), peers: make(map[string]Report), sent: ownTraffic{traffic: make(Traffic)}}
 }
 
-// Figures returns the figures of this host and its peers together.
+// Figures returns the combined figures of this host and its peers.
 func (s *Service) Figures() *Figures { return &s.merged }
 
-// minRead is the least number of prompt tokens from which the time to the first event says how fast an engine reads;
-// below it other work weighs more.
-const minRead = 1000
+// minReadSample is the minimum number of prompt tokens for which the time to the first event is a sample of the
+// processing rate; below it other work dominates.
+const minReadSample = 1000
 
-// undisturbed is the quantile of the observed rates that stands for an engine that reads nothing else: whatever else it
-// does only makes it slower.
-const undisturbed = 0.8
+// readRateQuantile is the quantile of the observed rates that represents an engine with no other work: other work only
+// makes an engine slower.
+const readRateQuantile = 0.8
 
-// besideNothing is the quantile of the observed times between events that stands for streams beside which nothing is
-// read: most run beside something.
-const besideNothing = 0.25
+// eventTimeQuantile is the quantile of the observed times between events that represents an engine that processes no
+// prompt: most streams run beside other prompts.
+const eventTimeQuantile = 0.25
 
-// RecordFirstEvent observes the first event of a stream that came a time after the call was sent, with a number of
-// prompt tokens that the endpoint had to read for it, and none waiting before them.
+// RecordFirstEvent records the first event of a stream that came a time after the call was sent. Unread is the number
+// of prompt tokens that the endpoint had to process for it. No other prompt was waiting before it.
 func (s *Service) RecordFirstEvent(unread int, took time.Duration) {
-	if unread < minRead {
+	if unread < minReadSample {
 		return
 	}
-	s.own.ReadRate.observe(float64(unread)/milliseconds(took), undisturbed, firstReadRate)
+	s.own.ReadRate.observe(float64(unread)/milliseconds(took), readRateQuantile, initialReadRate)
 }
 
-// RecordStream observes a stream that ended whole.
+// RecordStream records the observations of a complete stream.
 func (s *Service) RecordStream(stream Stream) {
 	if rest := stream.Events - 2; rest > 1 {
-		s.own.EventTime.observe(milliseconds(stream.Duration-stream.LongestPause)/float64(rest), besideNothing, firstEventTime)
+		s.own.EventTime.observe(milliseconds(stream.Duration-stream.LongestPause)/float64(rest), eventTimeQuantile, initialEventTime)
 	}
 	s.observeEventRead(float64(stream.UnreadBeside), milliseconds(stream.LongestPause))
 }
 
 const (
-	// besidePart is the least part of the tokens read in a pause that must have been unread at the endpoint when the
-	// stream ended, for the pause to show how many are read in an event: a stalled endpoint has nothing to read.
-	besidePart = 0.5
-	// leastBeside is the least part of what is taken to be read in an event that must have been unread: pauses beside
-	// short prompts show nothing.
-	leastBeside = 0.5
-	// mostRead is the quantile of the tokens read in the longest pauses that stands for the most that are read in an
+	// minUnreadShare is the minimum number of unprocessed tokens at the end of a pause, relative to the tokens
+	// processed in the pause, for which the pause is a sample of EventRead: a stalled endpoint has nothing to process.
+	minUnreadShare = 0.5
+	// minEventFill is the minimum number of unprocessed tokens relative to the current EventRead: pauses beside short
+	// prompts are no samples of it.
+	minEventFill = 0.5
+	// eventReadQuantile is the quantile of the tokens processed in the longest pauses that represents the maximum per
 	// event: prompts rarely fill all of its steps.
-	mostRead = 0.75
+	eventReadQuantile = 0.75
 )
 
-// observeEventRead observes a stream's longest pause in ms, beside a number of unread prompt tokens.
+// observeEventRead records a stream's longest pause in ms, with a number of unprocessed prompt tokens at its end.
 func (s *Service) observeEventRead(beside, longest float64) {
-	read := (longest/s.merged.growth(beside) - s.merged.EventTime.Value) * s.merged.ReadRate.Value
-	if beside >= besidePart*read && beside >= leastBeside*s.merged.EventRead.Value {
-		s.own.EventRead.observe(read, mostRead, firstEventRead)
+	read := (longest/s.merged.pauseGrowthFactor(beside) - s.merged.EventTime.Value) * s.merged.ReadRate.Value
+	if beside >= minUnreadShare*read && beside >= minEventFill*s.merged.EventRead.Value {
+		s.own.EventRead.observe(read, eventReadQuantile, initialEventRead)
 	}
 }
 
-// SetPeer replaces the report of a peer.
+// SetPeer replaces a peer's report.
 func (s *Service) SetPeer(peer string, report Report) {
 	s.peers[peer] = report
 }
 
-// DropPeer forgets the report of a peer.
+// DropPeer removes a peer's report.
 func (s *Service) DropPeer(peer string) {
 	delete(s.peers, peer)
 }
 
-// Add adds what another report says.
+// Add merges another report into this one.
 func (r *Report) Add(other *Report) {
 	r.Figures.ReadRate = r.Figures.ReadRate.merge(other.Figures.ReadRate)
 	r.Figures.EventTime = r.Figures.EventTime.merge(other.Figures.EventTime)
@@ -132,49 +132,49 @@
 	}
 }
 
-// SumTimeout is how long a sum or a split of other hosts counts: some of the intervals in which they come, so that what
-// is lost on the way changes nothing.
+// SumTimeout is how long a sum or a split from other hosts is valid: several of the intervals at which they arrive, so
+// that the loss of single messages has no effect.
 const SumTimeout = 2 * time.Second
 
-// SetSum replaces what all hosts of a large fleet know together.
+// SetSum replaces the combined report of all hosts of a large fleet.
 func (s *Service) SetSum(now time.Time, sum Report) {
 	s.sum, s.sumUntil = sum, now.Add(SumTimeout)
 }
 
-// hasSum reports whether there is a sum that counts.
+// hasSum reports whether there is a valid sum.
 func (s *Service) hasSum(now time.Time) bool { return now.Before(s.sumUntil) }
 
-// Report returns what peers should know.
+// Report returns the report for peers.
 func (s *Service) Report(now time.Time) Report {
-	return Report{Figures: s.own, Traffic: s.sent.steady(now)}
+	return Report{Figures: s.own, Traffic: s.sent.steadyState(now)}
 }
 
-// Load is the work of a service at all hosts.
+// Load is the load of a service over all hosts.
 type Load struct {
-	// Requests are those that come in a second, Reading is how many engines would read all the time.
+	// Requests is the number of requests per second, and BusyEngines the number of engines that processing their
+	// prompts would keep fully busy.
 	Requests    float64
 	BusyEngines float64
 	// Open is the number of open requests.
 	Open float64
 }
 
-// Load returns the work of all hosts lately.
+// Load returns the recent load of all hosts.
 func (s *Service) Load(now time.Time, hosts int) Load {
 	var load Load
 	for _, d := range s.allTraffic(now, hosts) {
-		load.Requests += d.Requests / trafficTime.Seconds()
-		load.BusyEngines += d.Unread / milliseconds(trafficTime) / s.merged.ReadRate.Value
+		load.Requests += d.Requests / trafficTimeConstant.Seconds()
+		load.BusyEngines += d.Unread / milliseconds(trafficTimeConstant) / s.merged.ReadRate.Value
 		load.Open += d.Open
 	}
 	return load
 }
 
-// refreshInterval is how often the figures of all hosts are put together and the split is decided anew: some
-// heartbeats.
+// refreshInterval is how often the figures of all hosts are merged and the split is updated: several heartbeats.
 const refreshInterval = 100 * time.Millisecond
 
-// Refresh puts the figures of all hosts together and decides the split, if that is due. It reports whether
-// the split has changed.
+// Refresh merges the figures of all hosts and updates the split, if that is due. It reports whether the number of
+// endpoints reserved for short classes has changed.
 func (s *Service) Refresh(now time.Time, fleet *Fleet) bool {
 	if now.Before(s.refreshAt) {
 		return false
@@ -185,22 +185,22 @@
 		known = &s.sum.Figures
 	}
 	s.merged = Figures{
-		ReadRate:  s.mergeOne(firstReadRate, known, func(f *Figures) *Figure { return &f.ReadRate }),
-		EventTime: s.mergeOne(firstEventTime, known, func(f *Figures) *Figure { return &f.EventTime }),
-		EventRead: s.mergeOne(firstEventRead, known, func(f *Figures) *Figure { return &f.EventRead }),
+		ReadRate:  s.mergeFigure(initialReadRate, known, func(f *Figures) *Figure { return &f.ReadRate }),
+		EventTime: s.mergeFigure(initialEventTime, known, func(f *Figures) *Figure { return &f.EventTime }),
+		EventRead: s.mergeFigure(initialEventRead, known, func(f *Figures) *Figure { return &f.EventRead }),
 	}
 	return s.decideSplit(now, fleet)
 }
 
-// mergeOne returns the mean of one figure over all hosts, each by its samples, and the first value. Known are the
+// mergeFigure returns the mean of one figure over its initial value and all hosts, weighted by samples. Known holds the
 // figures of this host, or of all hosts of a large fleet.
-func (s *Service) mergeOne(first float64, known *Figures, of func(*Figures) *Figure) Figure {
+func (s *Service) mergeFigure(first float64, known *Figures, of func(*Figures) *Figure) Figure {
 	var m mean
 	m.add(first, priorSamples)
-	m.add(bounded(of(known).Value, first), of(known).Samples)
+	m.add(clamp(of(known).Value, first), of(known).Samples)
 	for _, report := range s.peers {
 		theirs := of(&report.Figures)
-		m.add(bounded(theirs.Value, first), min(theirs.Samples, maxSamples))
+		m.add(clamp(theirs.Value, first), min(theirs.Samples, maxSamples))
 	}
 	return Figure{Value: m.value(), Samples: m.weight}
 }
--- a/internal/front/engine/traffic.go
+++ b/internal/front/engine/traffic.go
@@ -8,25 +8,25 @@
 	"oxbowslip.dev/oxbowslip/internal/front/keys"
 )
 
-// trafficTime is the time constant with which a host forgets the traffic: long against the noise of some
-// tens of requests a second, short enough to follow a burst of some seconds.
-const trafficTime = 6 * time.Second
+// trafficTimeConstant is the time constant of the exponential decay of traffic counts: long enough to average out the
+// noise of some tens of requests per second, short enough to follow a burst of some seconds.
+const trafficTimeConstant = 6 * time.Second
 
-// Arrival is a request as it is sent to an endpoint.
+// Arrival is a request sent to an endpoint.
 type Arrival struct {
 	Class keys.Class
-	// Prompt is its length in tokens, Unread the part that the endpoint has to read.
+	// Prompt is the length of the prompt in tokens, Unread the number of tokens that the endpoint has to process.
 	Prompt int
 	Unread int
 }
 
-// Demand is what came of a request class lately, the older the less, and what is open of it.
+// Demand is the recent traffic of a request class, with exponentially decaying counts, and its open requests.
 type Demand struct {
 	Requests float64
-	// Prompt is the number of prompt tokens, Unread that of those to read.
+	// Prompt is the number of prompt tokens, Unread the number of them to process.
 	Prompt float64
 	Unread float64
-	// Open is the number of requests that have been sent and have not ended.
+	// Open is the number of requests in flight.
 	Open float64
 }
 
@@ -37,57 +37,57 @@
 	d.Open += other.Open
 }
 
-// recent returns the demand with what came lately multiplied; what is open stays.
-func (d *Demand) recent(factor float64) Demand {
+// scaleRecent returns the demand with its decaying counts multiplied; the open requests stay.
+func (d *Demand) scaleRecent(factor float64) Demand {
 	return Demand{Requests: d.Requests * factor, Prompt: d.Prompt * factor, Unread: d.Unread * factor, Open: d.Open}
 }
 
-// times returns the demand of so many hosts that have this one each.
-func (d *Demand) times(hosts float64) Demand {
-	all := d.recent(hosts)
+// forHosts returns the total demand of a number of hosts with this demand each.
+func (d *Demand) forHosts(hosts float64) Demand {
+	all := d.scaleRecent(hosts)
 	all.Open *= hosts
 	return all
 }
 
-// Traffic is the demand of each class.
+// Traffic holds the demand of each class.
 type Traffic map[keys.Class]Demand
 
-// add adds demand of a class.
+// add adds to the demand of a class.
 func (t Traffic) add(class keys.Class, demand *Demand) {
 	sum := t[class]
 	sum.add(demand)
 	t[class] = sum
 }
 
-// ownTraffic is what this host sent, as of a time.
+// ownTraffic is the traffic that this host sent, decayed to a point in time.
 type ownTraffic struct {
 	traffic Traffic
 	at      time.Time
-	// since is when the first request was counted.
+	// since is the time of the first counted request.
 	since time.Time
 }
 
-// fade brings the counts to a later time.
-func (t *ownTraffic) fade(now time.Time) {
-	left := math.Exp(-float64(now.Sub(t.at)) / float64(trafficTime))
+// decayTo decays the counts to a later time.
+func (t *ownTraffic) decayTo(now time.Time) {
+	left := math.Exp(-float64(now.Sub(t.at)) / float64(trafficTimeConstant))
 	for class, demand := range t.traffic {
-		t.traffic[class] = demand.recent(left)
+		t.traffic[class] = demand.scaleRecent(left)
 	}
 	t.at = now
 }
 
-// leastCounted is the least time over which requests must have been counted to stand for a whole trafficTime.
-const leastCounted = 300 * time.Millisecond
+// minCountedTime is the minimum length of the counted time from which the steady state is extrapolated.
+const minCountedTime = 300 * time.Millisecond
 
-// steady returns the counts that there would be if the requests had come at the same rate for long: a host
-// that has just started has counted for less than trafficTime.
-func (t *ownTraffic) steady(now time.Time) Traffic {
-	t.fade(now)
-	counted := max(now.Sub(t.since), leastCounted)
-	factor := 1 / (1 - math.Exp(-float64(counted)/float64(trafficTime)))
+// steadyState returns the counts that would result if the requests had arrived at the same rate for long: a host that
+// has just started has counted for less than trafficTimeConstant.
+func (t *ownTraffic) steadyState(now time.Time) Traffic {
+	t.decayTo(now)
+	counted := max(now.Sub(t.since), minCountedTime)
+	factor := 1 / (1 - math.Exp(-float64(counted)/float64(trafficTimeConstant)))
 	steady := make(Traffic, len(t.traffic))
 	for class, demand := range t.traffic {
-		steady[class] = demand.recent(factor)
+		steady[class] = demand.scaleRecent(factor)
 	}
 	return steady
 }
@@ -97,12 +97,12 @@
 	if s.sent.since.IsZero() {
 		s.sent.since = now
 	}
-	s.sent.fade(now)
+	s.sent.decayTo(now)
 	s.sent.traffic.add(a.Class, &Demand{Requests: 1, Prompt: float64(a.Prompt), Unread: float64(a.Unread), Open: 1})
 }
 
-// RecordRefusal counts a request that this host refused for lack of room: it belongs to what the endpoints are
-// divided by.
+// RecordRefusal counts a request that this host refused for lack of room: refused requests are part of the demand that
+// determines the split.
 func (s *Service) RecordRefusal(now time.Time, a Arrival) {
 	s.RecordArrival(now, a)
 	s.RecordEnd(a.Class)
@@ -113,17 +113,17 @@
 	s.sent.traffic.add(class, &Demand{Open: -1})
 }
 
-// allTraffic returns what all hosts sent lately. Where there is no sum, peers that report nothing are taken to
-// send as much as this host.
+// allTraffic returns the recent traffic of all hosts. Without a sum, peers without a report are assumed to send as much
+// as this host.
 func (s *Service) allTraffic(now time.Time, hosts int) Traffic {
 	var all Traffic
 	if s.hasSum(now) {
 		all = maps.Clone(s.sum.Traffic)
 	} else {
-		all = s.sent.steady(now)
+		all = s.sent.steadyState(now)
 		factor := float64(max(hosts-len(s.peers), 1))
 		for class, demand := range all {
-			all[class] = demand.times(factor)
+			all[class] = demand.forHosts(factor)
 		}
 	}
 	for _, report := range s.peers {
--- a/internal/front/placement/cost.go
+++ b/internal/front/placement/cost.go
@@ -148,7 +148,7 @@
 	if q.request.PromptTokens == 0 {
 		return 0
 	}
-	late := max(q.firstEventMissChance(choice), slotWaitPenalty(choice))
+	late := max(q.firstEventMissProb(choice), slotWaitPenalty(choice))
 	switch {
 	case q.isLong && q.isInOwnPartition(e):
 		return late
@@ -165,8 +165,8 @@
 // time.
 const firstEventSpread = 0.2
 
-// firstEventMissChance returns the probability that the first event comes after its target.
-func (q *query) firstEventMissChance(choice *Choice) float64 {
+// firstEventMissProb returns the probability that the first event comes after its target.
+func (q *query) firstEventMissProb(choice *Choice) float64 {
 	if q.request.FirstToken == 0 {
 		return 0
 	}
