--- a/internal/front/leader/leader.go
+++ b/internal/front/leader/leader.go
@@ -174,11 +174,11 @@
 	defer l.mu.Unlock()
 	switch {
 	case err == nil:
-		l.lease.Written(w, answer)
+		l.lease.ObserveWrite(w, answer)
 		l.failures = 0
 		return true
 	case errors.Is(err, ErrConflict):
-		l.lease.Saw(answer)
+		l.lease.Observe(answer)
 	}
 	l.failures++
 	l.parts.Log.WithError(err).WithFields(logrus.Fields{"token": w.Record.Token, "sequence": w.Record.Sequence, "failures": l.failures}).Warn("the lease was not written")
--- a/internal/front/leader/leader_test.go
+++ b/internal/front/leader/leader_test.go
@@ -360,7 +360,7 @@
 		c.Check(h.lastActs()["a"] <= lost+leaseTime-leastLeft, qt.IsTrue)
 		first := slices.IndexFunc(h.acts, func(a act) bool { return a.host == "b" })
 		c.Check(h.acts[first].at-h.lastActs()["a"] >= leastLeft, qt.IsTrue)
-		c.Check(leastLeft > lease.Flight, qt.IsTrue, qt.Commentf("a call has some time"))
+		c.Check(leastLeft > lease.MaxFlightTime, qt.IsTrue, qt.Commentf("a call has some time"))
 		c.Check(renewInterval+storeTimeout+leastLeft <= leaseTime, qt.IsTrue, qt.Commentf("one renewal may be lost without a gap"))
 	})
 }
--- a/internal/front/leader/mandate.go
+++ b/internal/front/leader/mandate.go
@@ -35,7 +35,7 @@
 	if !ok || token != m.token || expires.Sub(now) < leastLeft {
 		return 0, 0, false
 	}
-	return token, expires.Sub(now) - lease.Flight, true
+	return token, expires.Sub(now) - lease.MaxFlightTime, true
 }
 
 // Keep has records written to the store beside the lease, and returns once they are there.
