--- a/internal/front/leading.go
+++ b/internal/front/leading.go
@@ -79,14 +79,14 @@
 	}
 	if provider.Has(hostconfig.TaskUsage) {
 		l.reporter = reporter.New(reporter.Parts{
-			Meter: p.Meter, Usage: p.Usage, Due: provider.UsageDue, Provider: p.Deployment.Provider, Peers: p.Gossip,
+			Meter: p.Meter, UsageClock: p.Usage, DueAfter: provider.UsageDue, Provider: p.Deployment.Provider, Peers: p.Gossip,
 			Leader: func() string { return l.leader.Holder() }, Log: logging.Part(p.Log, "usage"), Clock: p.Clock, Random: p.Random,
 		})
 		parts.Tasks = append(parts.Tasks, l.reporter)
-		parts.Announced = l.reporter.Announced
-		p.Gossip.Handle(envelope.KindUsage, l.reporter.Received)
-		p.Gossip.Handle(envelope.KindFixedReports, l.reporter.ReceivedFixed)
-		p.Gossip.Handle(envelope.KindAskFixed, l.reporter.ReceivedAsk)
+		parts.Announced = l.reporter.HandleAnnouncement
+		p.Gossip.Handle(envelope.KindUsage, l.reporter.HandleCounts)
+		p.Gossip.Handle(envelope.KindFixedReports, l.reporter.HandleFixedReports)
+		p.Gossip.Handle(envelope.KindAskFixed, l.reporter.HandleFixedReportsRequest)
 	}
 	if provider.Has(hostconfig.TaskAutoscale) {
 		inventory := capacity.NewInventory(p.Directory.IsLeaving)
--- a/internal/front/reporter/lead.go
+++ b/internal/front/reporter/lead.go
@@ -88,12 +88,12 @@
 	clear(r.fixed)
 	clear(r.inStore)
 	r.stored = nil
-	oldest := r.parts.Usage.Window(now) - keptReports
+	oldest := r.parts.UsageClock.Window(now) - keptReports
 	reported := max(usage.Window(m.Memo().Reported), r.known.reported)
 	r.reported = max(reported, oldest)
 	if reported == 0 {
 		// A fleet that has just started reports the window in which it did.
-		r.reported = r.parts.Usage.Window(now) - 1
+		r.reported = r.parts.UsageClock.Window(now) - 1
 	}
 	for i := range records {
 		if err := r.loadRecord(&records[i]); err != nil {
@@ -194,7 +194,7 @@
 	}
 	if zero, ok := usage.Median(offers); ok {
 		m.Remember(func(memo *lease.Memo) { memo.TrueTime = int64(zero) })
-		r.parts.Usage.Agree(zero)
+		r.parts.UsageClock.Agree(zero)
 	}
 }
 
@@ -205,16 +205,16 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var due []usage.Window
-	for w := r.reported + 1; r.parts.Usage.SinceEnd(w, now) >= settleTime; w++ {
+	for w := r.reported + 1; r.parts.UsageClock.SinceEnd(w, now) >= settleTime; w++ {
 		if r.settled[w] {
 			continue
 		}
-		end := r.parts.Usage.True(now) - r.parts.Usage.SinceEnd(w, now)
+		end := r.parts.UsageClock.True(now) - r.parts.UsageClock.SinceEnd(w, now)
 		complete := true
 		for _, sender := range senders {
 			complete = complete && r.ledger.AsOf(usage.Source(sender)) >= end
 		}
-		late := r.parts.Usage.SinceEnd(w, now) >= time.Duration(latePart*float64(r.parts.Due))
+		late := r.parts.UsageClock.SinceEnd(w, now) >= time.Duration(latePart*float64(r.parts.DueAfter))
 		if _, fixed := r.fixed[w]; fixed || complete || late {
 			due = append(due, w)
 		}
@@ -296,7 +296,7 @@
 	}
 	r.parts.Log.WithFields(logrus.Fields{
 		"window": w, "requests": requests, "workspaces": len(counts), "hosts": hosts,
-		"after_end_ms": r.parts.Usage.SinceEnd(w, now).Milliseconds(),
+		"after_end_ms": r.parts.UsageClock.SinceEnd(w, now).Milliseconds(),
 	}).Info("reported")
 }
 
--- a/internal/front/reporter/reporter.go
+++ b/internal/front/reporter/reporter.go
@@ -49,9 +49,9 @@
 // Parts are what a Reporter works with.
 type Parts struct {
 	Meter *usage.Meter
-	Usage *usage.Clock
-	// Due is how long after the end of a window its report is due.
-	Due      time.Duration
+	UsageClock *usage.Clock
+	// DueAfter is how long after the end of a window its report is due.
+	DueAfter      time.Duration
 	Provider Provider
 	Peers    Peers
 	// Leader returns the host that leads, or nothing if this host knows of none.
@@ -119,15 +119,15 @@
 // ownShare returns what this host has counted.
 func (r *Reporter) ownShare() share {
 	now := r.parts.Clock()
-	s := share{AsOf: int64(r.parts.Usage.True(now)), Windows: r.parts.Meter.Windows()}
-	if zero, known := r.parts.Usage.Own(now); known {
+	s := share{AsOf: int64(r.parts.UsageClock.True(now)), Windows: r.parts.Meter.Windows()}
+	if zero, known := r.parts.UsageClock.Own(now); known {
 		s.Zero = int64(zero)
 	}
 	return s
 }
 
-// Received handles a peer's counts.
-func (r *Reporter) Received(from envelope.Sender, body []byte) {
+// HandleCounts handles a peer's counts.
+func (r *Reporter) HandleCounts(from envelope.Sender, body []byte) {
 	var s share
 	if err := cbor.Unmarshal(body, &s); err != nil {
 		r.parts.Log.WithError(err).WithField("peer", from.Host).Warn("a peer's counts can't be read")
@@ -146,10 +146,10 @@
 	}
 }
 
-// Announced takes what a leader announces.
-func (r *Reporter) Announced(a leader.Announcement) {
+// HandleAnnouncement takes what a leader announces.
+func (r *Reporter) HandleAnnouncement(a leader.Announcement) {
 	if a.TrueTime != 0 {
-		r.parts.Usage.Agree(usage.Zero(a.TrueTime))
+		r.parts.UsageClock.Agree(usage.Zero(a.TrueTime))
 	}
 	if a.Reported != 0 {
 		r.parts.Meter.Drop(usage.Window(a.Reported))
--- a/internal/front/reporter/reporter_test.go
+++ b/internal/front/reporter/reporter_test.go
@@ -91,7 +91,7 @@
 	h.clock = usage.NewClock(window, store, func(at time.Time) time.Time { return at })
 	h.meter = usage.NewMeter(h.clock)
 	h.Reporter = New(Parts{
-		Meter: h.meter, Usage: h.clock, Due: due, Provider: n, Peers: h, Leader: func() string { return n.leader() },
+		Meter: h.meter, UsageClock: h.clock, DueAfter: due, Provider: n, Peers: h, Leader: func() string { return n.leader() },
 		Log: n.log, Clock: func() time.Time { return time.Now().Add(h.ahead) }, Random: func() float64 { return 0.5 },
 	})
 	n.mu.Lock()
@@ -176,7 +176,7 @@
 		return
 	}
 	handle := map[envelope.Kind]envelope.Handler{
-		envelope.KindUsage: receiver.Received, envelope.KindFixedReports: receiver.ReceivedFixed, envelope.KindAskFixed: receiver.ReceivedAsk,
+		envelope.KindUsage: receiver.HandleCounts, envelope.KindFixedReports: receiver.HandleFixedReports, envelope.KindAskFixed: receiver.HandleFixedReportsRequest,
 	}[kind]
 	handle(envelope.Sender{Host: h.name, Incarnation: 1}, body)
 }
@@ -271,7 +271,7 @@
 	hosts := slices.Collect(maps.Values(h.network.hosts))
 	h.network.mu.Unlock()
 	for _, other := range hosts {
-		other.Announced(a)
+		other.HandleAnnouncement(a)
 	}
 }
 
