--- a/internal/front/scaler/scaler.go
+++ b/internal/front/scaler/scaler.go
@@ -57,7 +57,7 @@
 // service is what is known of one service.
 type service struct {
 	plan *capacity.Plan
-	size capacity.Size
+	size capacity.NeedEstimate
 }
 
 // New returns a scaler that has ordered nothing.
@@ -83,7 +83,7 @@
 func (s *Scaler) Lead(ctx context.Context, m *leader.Mandate) { s.lead(ctx, m) }
 
 func (s *Scaler) lead(ctx context.Context, m mandate) {
-	defer s.parts.Inventory.Forget()
+	defer s.parts.Inventory.Reset()
 	for !s.load(ctx, m) {
 		if !lifetime.Sleep(ctx, planInterval) {
 			return
@@ -143,7 +143,7 @@
 	load := s.parts.Load(name)
 	before := of.size.Need
 	if before == 0 {
-		of.size.Need = capacity.First(scaling, len(scaling.ZonePrices), s.parts.FirstPart)
+		of.size.Need = capacity.InitialNeed(scaling, len(scaling.ZonePrices), s.parts.FirstPart)
 	}
 	if need := of.size.Observe(now, load); need != before {
 		s.parts.Log.WithFields(logrus.Fields{
@@ -155,8 +155,8 @@
 	if of.size.Need == 0 {
 		return
 	}
-	wanted := of.plan.Want(now, scaling, fleet, of.size.Need)
-	for _, order := range of.plan.Due(now, scaling, fleet, wanted) {
+	wanted := of.plan.ComputeDesired(now, scaling, fleet, of.size.Need)
+	for _, order := range of.plan.DueOrders(now, scaling, fleet, wanted) {
 		s.order(ctx, m, name, of, fleet, order)
 	}
 }
@@ -186,11 +186,11 @@
 	switch {
 	case err == nil:
 		m.Answered()
-		of.plan.Sent(s.parts.Clock(), order, false)
+		of.plan.RecordOrder(s.parts.Clock(), order, false)
 		log.Info("ordered")
 	case errors.Is(err, ErrNone):
 		m.Answered()
-		of.plan.Sent(s.parts.Clock(), order, true)
+		of.plan.RecordOrder(s.parts.Clock(), order, true)
 		log.Warn("none to be had")
 	case errors.Is(err, ErrRefused):
 		m.Answered()
