--- a/internal/front/scaler/scaler.go
+++ b/internal/front/scaler/scaler.go
@@ -22,8 +22,8 @@
 
 // The errors of a Provider that has answered.
 var (
-	// ErrNone: there are no such endpoints to be had now.
-	ErrNone = merry.Sentinel("none to be had")
+	// ErrNoneAvailable: there are no such endpoints to be had now.
+	ErrNoneAvailable = merry.Sentinel("none to be had")
 	// ErrRefused: the provider did not take the order.
 	ErrRefused = merry.Sentinel("the provider refused")
 )
@@ -188,7 +188,7 @@
 		m.Answered()
 		of.plan.RecordOrder(s.parts.Clock(), order, false)
 		log.Info("ordered")
-	case errors.Is(err, ErrNone):
+	case errors.Is(err, ErrNoneAvailable):
 		m.Answered()
 		of.plan.RecordOrder(s.parts.Clock(), order, true)
 		log.Warn("none to be had")
