--- a/internal/front/leader/leader.go
+++ b/internal/front/leader/leader.go
@@ -75,8 +75,8 @@
 	Random func() float64
 	// StoreTime returns the least that the store's clock shows at a time, or false if it is not known.
 	StoreTime func(time.Time) (freshness.StoreTime, bool)
-	// Announced is called with each announcement that counts, this host's own included.
-	Announced func(a Announcement)
+	// OnAnnouncement is called with each announcement that counts, this host's own included.
+	OnAnnouncement func(a Announcement)
 }
 
 // Leader is this host's part in having one leader. It is safe for concurrent use.
--- a/internal/front/reporter/lead.go
+++ b/internal/front/reporter/lead.go
@@ -42,12 +42,12 @@
 // mandate is what the reports need of a leader.Mandate.
 type mandate interface {
 	Fence() (token uint64, left time.Duration, ok bool)
-	Keep(ctx context.Context, records ...leader.Record) error
+	WriteRecords(ctx context.Context, records ...leader.Record) error
 	Records(ctx context.Context) ([]leader.Record, error)
 	Memo() lease.Memo
-	Remember(change func(*lease.Memo))
-	Answered()
-	Unanswered()
+	UpdateMemo(change func(*lease.Memo))
+	RecordAnswer()
+	RecordNoAnswer()
 }
 
 // Lead reports the windows that end, until ctx does. It implements leader.Task.
@@ -193,7 +193,7 @@
 		return
 	}
 	if zero, ok := usage.Median(offers); ok {
-		m.Remember(func(memo *lease.Memo) { memo.TrueTime = int64(zero) })
+		m.UpdateMemo(func(memo *lease.Memo) { memo.TrueTime = int64(zero) })
 		r.parts.UsageClock.Agree(zero)
 	}
 }
@@ -240,7 +240,7 @@
 	if err := r.parts.Provider.ReportUsage(ctx, m.Fence, w, counts); err != nil {
 		return err
 	}
-	m.Answered()
+	m.RecordAnswer()
 	r.settle(m, w, counts)
 	return nil
 }
@@ -268,7 +268,7 @@
 		}
 	}
 	r.mu.Unlock()
-	if err := m.Keep(ctx, records...); err != nil {
+	if err := m.WriteRecords(ctx, records...); err != nil {
 		return err
 	}
 	r.mu.Lock()
@@ -289,7 +289,7 @@
 	reported, hosts := r.reported, len(r.ledger.Shares())
 	r.mu.Unlock()
 	r.parts.Meter.Drop(reported)
-	m.Remember(func(memo *lease.Memo) { memo.Reported = uint64(reported) })
+	m.UpdateMemo(func(memo *lease.Memo) { memo.Reported = uint64(reported) })
 	requests := uint64(0)
 	for _, count := range counts {
 		requests += count
@@ -302,13 +302,13 @@
 
 // failed notes why a window was not reported.
 func (r *Reporter) failed(ctx context.Context, m mandate, w usage.Window, err error) {
-	if ctx.Err() != nil || errors.Is(err, leader.ErrLost) {
+	if ctx.Err() != nil || errors.Is(err, leader.ErrLeadershipLost) {
 		return
 	}
 	if errors.Is(err, ErrRefused) {
-		m.Answered()
+		m.RecordAnswer()
 	} else {
-		m.Unanswered()
+		m.RecordNoAnswer()
 	}
 	r.parts.Log.WithError(err).WithField("window", fmt.Sprint(w)).Warn("a window is not reported yet")
 }
--- a/internal/front/reporter/recovery.go
+++ b/internal/front/reporter/recovery.go
@@ -111,7 +111,7 @@
 		return false
 	}
 	r.takeKnown()
-	m.Remember(func(memo *lease.Memo) { memo.Era = era.Of(token) })
+	m.UpdateMemo(func(memo *lease.Memo) { memo.Era = era.Of(token) })
 	return true
 }
 
--- a/internal/front/reporter/reporter_test.go
+++ b/internal/front/reporter/reporter_test.go
@@ -234,7 +234,7 @@
 	}
 }
 
-func (h *host) Keep(_ context.Context, records ...leader.Record) error {
+func (h *host) WriteRecords(_ context.Context, records ...leader.Record) error {
 	time.Sleep(5 * time.Millisecond)
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -264,7 +264,7 @@
 	return h.network.memo
 }
 
-func (h *host) Remember(change func(*lease.Memo)) {
+func (h *host) UpdateMemo(change func(*lease.Memo)) {
 	h.network.mu.Lock()
 	change(&h.network.memo)
 	a := leader.Announcement{TrueTime: h.network.memo.TrueTime, Reported: h.network.memo.Reported}
@@ -275,8 +275,8 @@
 	}
 }
 
-func (h *host) Answered()   {}
-func (h *host) Unanswered() {}
+func (h *host) RecordAnswer()   {}
+func (h *host) RecordNoAnswer() {}
 
 // renew stores the checkpoint of the leader.
 func (h *host) renew() {
--- a/internal/front/scaler/scaler.go
+++ b/internal/front/scaler/scaler.go
@@ -73,10 +73,10 @@
 // mandate is what orders need of a leader.Mandate.
 type mandate interface {
 	Fence() (token uint64, left time.Duration, ok bool)
-	Keep(ctx context.Context, records ...leader.Record) error
+	WriteRecords(ctx context.Context, records ...leader.Record) error
 	Records(ctx context.Context) ([]leader.Record, error)
-	Answered()
-	Unanswered()
+	RecordAnswer()
+	RecordNoAnswer()
 }
 
 // Lead orders endpoints until ctx ends. It implements leader.Task.
@@ -169,7 +169,7 @@
 	}
 	data, err := json.Marshal(needs, json.Deterministic(true))
 	if err == nil {
-		err = m.Keep(ctx, leader.Record{Key: recordKey, Value: data})
+		err = m.WriteRecords(ctx, leader.Record{Key: recordKey, Value: data})
 	}
 	if err != nil {
 		s.parts.Log.WithError(err).Warn("what is needed was not kept for the next leader")
@@ -185,18 +185,18 @@
 	})
 	switch {
 	case err == nil:
-		m.Answered()
+		m.RecordAnswer()
 		of.plan.RecordOrder(s.parts.Clock(), order, false)
 		log.Info("ordered")
 	case errors.Is(err, ErrNoneAvailable):
-		m.Answered()
+		m.RecordAnswer()
 		of.plan.RecordOrder(s.parts.Clock(), order, true)
 		log.Warn("none to be had")
 	case errors.Is(err, ErrRefused):
-		m.Answered()
+		m.RecordAnswer()
 		log.WithError(err).Warn("an order was refused")
-	case ctx.Err() == nil && !errors.Is(err, leader.ErrLost):
-		m.Unanswered()
+	case ctx.Err() == nil && !errors.Is(err, leader.ErrLeadershipLost):
+		m.RecordNoAnswer()
 		log.WithError(err).Warn("an order was not answered")
 	}
 }
--- a/internal/front/scaler/scaler_test.go
+++ b/internal/front/scaler/scaler_test.go
@@ -29,10 +29,10 @@
 }
 
 func (f *fake) Fence() (uint64, time.Duration, bool) { return 1, time.Second, true }
-func (f *fake) Answered()                            { f.answered++ }
-func (f *fake) Unanswered()                          { f.unanswered++ }
+func (f *fake) RecordAnswer()                            { f.answered++ }
+func (f *fake) RecordNoAnswer()                          { f.unanswered++ }
 
-func (f *fake) Keep(_ context.Context, records ...leader.Record) error {
+func (f *fake) WriteRecords(_ context.Context, records ...leader.Record) error {
 	for _, r := range records {
 		f.records[r.Key] = r.Value
 	}
