--- a/internal/front/reporter/lead.go
+++ b/internal/front/reporter/lead.go
@@ -179,7 +179,7 @@
 		alive[usage.Source(sender)] = true
 	}
 	r.mu.Lock()
-	var offers []usage.Zero
+	var offers []usage.ClockOffset
 	for source, zero := range r.zeros {
 		if !alive[source] {
 			delete(r.zeros, source)
@@ -192,9 +192,9 @@
 	if len(offers) < len(senders) && r.parts.Clock().Sub(since) < offerTime {
 		return
 	}
-	if zero, ok := usage.Median(offers); ok {
+	if zero, ok := usage.MedianOffset(offers); ok {
 		m.UpdateMemo(func(memo *lease.Memo) { memo.TrueTime = int64(zero) })
-		r.parts.UsageClock.Agree(zero)
+		r.parts.UsageClock.SetOffset(zero)
 	}
 }
 
@@ -209,7 +209,7 @@
 		if r.settled[w] {
 			continue
 		}
-		end := r.parts.UsageClock.True(now) - r.parts.UsageClock.SinceEnd(w, now)
+		end := r.parts.UsageClock.TrueTime(now) - r.parts.UsageClock.SinceEnd(w, now)
 		complete := true
 		for _, sender := range senders {
 			complete = complete && r.ledger.AsOf(usage.Source(sender)) >= end
--- a/internal/front/reporter/recovery.go
+++ b/internal/front/reporter/recovery.go
@@ -91,7 +91,7 @@
 // knowsSince returns the true time from which on this host has got what leaders send.
 func (r *Reporter) knowsSince() time.Duration {
 	now := r.parts.Clock()
-	return r.parts.UsageClock.True(now) - now.Sub(r.started) + joinTime
+	return r.parts.UsageClock.TrueTime(now) - now.Sub(r.started) + joinTime
 }
 
 // recoverReports makes up for what the store has lost, if this is the first leader of an era that gets so far. It reports false if
@@ -132,7 +132,7 @@
 		}
 	}
 	var leftOut []usage.Window
-	for w := r.reported + 1; r.parts.UsageClock.SinceEnd(w, now) > r.parts.UsageClock.True(now)-since; w++ {
+	for w := r.reported + 1; r.parts.UsageClock.SinceEnd(w, now) > r.parts.UsageClock.TrueTime(now)-since; w++ {
 		if _, fixed := r.fixed[w]; !fixed {
 			leftOut = append(leftOut, w)
 			r.settled[w] = true
--- a/internal/front/reporter/reporter_test.go
+++ b/internal/front/reporter/reporter_test.go
@@ -389,7 +389,7 @@
 			n.kill("a")
 			n.kill("b")
 			n.kill("c")
-			n.add("d").clock.Agree(usage.Zero(n.memo.TrueTime))
+			n.add("d").clock.SetOffset(usage.ClockOffset(n.memo.TrueTime))
 			n.lead("d")
 			n.hosts["d"].count("x", 1)
 			time.Sleep(3 * window)
@@ -445,8 +445,8 @@
 			n.awaitReports(2)
 			n.kill("a")
 			n.restore()
-			zero := usage.Zero(n.memo.TrueTime)
-			n.add("d").clock.Agree(zero)
+			zero := usage.ClockOffset(n.memo.TrueTime)
+			n.add("d").clock.SetOffset(zero)
 			n.lead("d")
 			n.hosts["b"].count("x", 2)
 			time.Sleep(3 * window)
@@ -458,7 +458,7 @@
 			counts := n.records[keyCheckpoint]
 			n.hosts["a"].count("x", 1)
 			n.awaitReports(1)
-			n.add("d").clock.Agree(usage.Zero(n.memo.TrueTime))
+			n.add("d").clock.SetOffset(usage.ClockOffset(n.memo.TrueTime))
 			for _, name := range []string{"a", "b", "c"} {
 				n.kill(name)
 			}
