--- a/internal/front/capacity/capacity.go
+++ b/internal/front/capacity/capacity.go
@@ -61,25 +61,25 @@
 	Desired int
 }
 
-// sent is the last order for a place.
-type sent struct {
+// sentOrder is the last order for a place.
+type sentOrder struct {
 	desired int
 	at      time.Time
-	// refusedAt is since when there have been none to be had, or zero.
-	refusedAt time.Time
+	// unavailableSince is since when there have been none to be had, or zero.
+	unavailableSince time.Time
 }
 
 // Plan is what is ordered of one service. It is not safe for concurrent use.
 type Plan struct {
-	sent map[Place]sent
+	lastOrders map[Place]sentOrder
 }
 
 // NewPlan returns a plan that has ordered nothing.
-func NewPlan() *Plan { return &Plan{sent: make(map[Place]sent)} }
+func NewPlan() *Plan { return &Plan{lastOrders: make(map[Place]sentOrder)} }
 
-// dryTime is how long there may be no spot endpoints in a zone before regular ones take their place. Each costs as much
+// spotShortageTime is how long there may be no spot endpoints in a zone before regular ones take their place. Each costs as much
 // as five or six spot ones and boots as long; spells without any lasted for 8.6 to 11 s on the users' days.
-const dryTime = 15 * time.Second
+const spotShortageTime = 15 * time.Second
 
 // ComputeDesired returns how many endpoints there should be if a number of them is needed, whichever zone loses its spot
 // endpoints: those of one zone more than needed are cheaper than regular ones, unless there are hardly any zones.
@@ -87,26 +87,26 @@
 // where there are no spot ones for long.
 func (p *Plan) ComputeDesired(now time.Time, scaling *settings.Scaling, fleet Fleet, need int) DesiredCounts {
 	zones := zonesOf(scaling, fleet)
-	spot := spotInZone(scaling, len(zones), need)
+	spot := spotPerZone(scaling, len(zones), need)
 	lacking := max(min(need, scaling.Max*len(zones))-fleet.Ready(Spot), 0)
 	wanted := make(DesiredCounts)
 	for i, zone := range zones {
 		regular := min(ceilDiv(lacking, len(zones)-i), scaling.Max)
 		lacking -= regular
-		wanted[Place{zone, Spot}], wanted[Place{zone, Regular}] = p.inZone(now, scaling, fleet, zone, spot, regular)
+		wanted[Place{zone, Spot}], wanted[Place{zone, Regular}] = p.desiredInZone(now, scaling, fleet, zone, spot, regular)
 	}
 	return wanted
 }
 
-// inZone returns what should be in one zone, where so many spot endpoints would be best and so many regular ones
+// desiredInZone returns what should be in one zone, where so many spot endpoints would be best and so many regular ones
 // are lacking without them.
-func (p *Plan) inZone(now time.Time, scaling *settings.Scaling, fleet Fleet, zone string, spot, lacking int) (spotWanted, regular int) {
-	last := p.sent[Place{zone, Spot}]
+func (p *Plan) desiredInZone(now time.Time, scaling *settings.Scaling, fleet Fleet, zone string, spot, lacking int) (spotWanted, regular int) {
+	last := p.lastOrders[Place{zone, Spot}]
 	ready := fleet[Place{zone, Regular}].Ready
 	switch {
 	case spot == 0:
 		regular = lacking
-	case !last.refusedAt.IsZero() && now.Sub(last.refusedAt) >= dryTime:
+	case !last.unavailableSince.IsZero() && now.Sub(last.unavailableSince) >= spotShortageTime:
 		// What is ordered of both must have room for both.
 		regular = lacking
 		spot = max(scaling.Max-regular, 1)
@@ -114,7 +114,7 @@
 		// Regular ones don't make room before the provider has taken an order.
 		regular = ready
 		spot = min(spot, max(scaling.Max-ready, 1))
-	case !last.refusedAt.IsZero():
+	case !last.unavailableSince.IsZero():
 		regular = ready
 	default:
 		regular = min(lacking, scaling.Max-spot)
@@ -123,8 +123,8 @@
 	return spot, regular
 }
 
-// spotInZone returns how many spot endpoints there should be in each of some zones.
-func spotInZone(scaling *settings.Scaling, zones, need int) int {
+// spotPerZone returns how many spot endpoints there should be in each of some zones.
+func spotPerZone(scaling *settings.Scaling, zones, need int) int {
 	if scaling.SpotPrice <= 0 || zones < 2 || scaling.SpotPrice*float64(zones)/float64(zones-1) >= 1 {
 		return 0
 	}
@@ -148,11 +148,11 @@
 func ceilDiv(a, b int) int { return int(math.Ceil(float64(a) / float64(max(b, 1)))) }
 
 const (
-	// repeatAfter is how long after an order, beside the time to boot, endpoints that are not there are ordered again:
+	// repeatDelay is how long after an order, beside the time to boot, endpoints that are not there are ordered again:
 	// an order may be lost, or endpoints taken away.
-	repeatAfter = 2 * time.Second
-	// refusedAfter is when an order is repeated that was refused.
-	refusedAfter = 2 * time.Second
+	repeatDelay = 2 * time.Second
+	// refusedRetryDelay is when an order is repeated that was refused.
+	refusedRetryDelay = 2 * time.Second
 )
 
 // DueOrders returns the orders that are to be sent now: what has changed, and what was not fulfilled. What makes room
@@ -173,26 +173,26 @@
 
 // isDue reports whether an order is to be sent.
 func (p *Plan) isDue(now time.Time, scaling *settings.Scaling, fleet Fleet, o Order) bool {
-	last, ordered := p.sent[o.Place]
+	last, ordered := p.lastOrders[o.Place]
 	ready := fleet[o.Place].Ready
 	switch {
 	case !ordered:
 		return ready != o.Desired
-	case !last.refusedAt.IsZero():
-		return o.Desired > ready && now.Sub(last.at) >= refusedAfter
+	case !last.unavailableSince.IsZero():
+		return o.Desired > ready && now.Sub(last.at) >= refusedRetryDelay
 	case last.desired != o.Desired:
 		return true
 	}
-	return ready < o.Desired && now.Sub(last.at) >= scaling.Boot+repeatAfter
+	return ready < o.Desired && now.Sub(last.at) >= scaling.Boot+repeatDelay
 }
 
 // RecordOrder notes an order that the provider has taken, or refused because there are none to be had.
 func (p *Plan) RecordOrder(now time.Time, order Order, refused bool) {
-	s := sent{desired: order.Desired, at: now}
+	s := sentOrder{desired: order.Desired, at: now}
 	if refused {
-		if s.refusedAt = p.sent[order.Place].refusedAt; s.refusedAt.IsZero() {
-			s.refusedAt = now
+		if s.unavailableSince = p.lastOrders[order.Place].unavailableSince; s.unavailableSince.IsZero() {
+			s.unavailableSince = now
 		}
 	}
-	p.sent[order.Place] = s
+	p.lastOrders[order.Place] = s
 }
--- a/internal/front/capacity/capacity_test.go
+++ b/internal/front/capacity/capacity_test.go
@@ -19,12 +19,12 @@
 	return &settings.Scaling{Min: 1, Max: 60, Boot: 4 * time.Second, SpotPrice: 0.18, ZonePrices: map[string]float64{"a": 1, "b": 1.2, "c": 0.85}}
 }
 
-// unit is one endpoint at the provider.
-type unit struct {
+// testEndpoint is one endpoint at the provider.
+type testEndpoint struct {
 	place   Place
 	readyAt time.Duration
-	// goesAt is when it goes, once it leaves.
-	goesAt time.Duration
+	// terminatesAt is when it goes, once it leaves.
+	terminatesAt time.Duration
 }
 
 // provider plays the provider of a service, in steps of planning.
@@ -32,21 +32,21 @@
 	scaling *settings.Scaling
 	plan    *Plan
 	now     time.Duration
-	units   []*unit
-	// dry are the zones without spot endpoints until a time; refuses and loses are what becomes of the next orders.
-	dry    map[string]time.Duration
-	loses  int
+	units   []*testEndpoint
+	// spotUnavailableUntil are the zones without spot endpoints until a time; refuses and loses are what becomes of the next orders.
+	spotUnavailableUntil    map[string]time.Duration
+	ordersToLose  int
 	orders []Order
-	spent  float64
-	// least is the fewest that were ready at a time, most the most.
-	least, most int
+	cost  float64
+	// minReady is the fewest that were ready at a time, most the most.
+	minReady, maxReady int
 }
 
 func newProvider(scaling *settings.Scaling, regular int) *provider {
-	p := &provider{scaling: scaling, plan: NewPlan(), dry: make(map[string]time.Duration), least: 1 << 30}
+	p := &provider{scaling: scaling, plan: NewPlan(), spotUnavailableUntil: make(map[string]time.Duration), minReady: 1 << 30}
 	for zone := range scaling.ZonePrices {
 		for range regular {
-			p.units = append(p.units, &unit{place: Place{zone, Regular}})
+			p.units = append(p.units, &testEndpoint{place: Place{zone, Regular}})
 		}
 	}
 	return p
@@ -59,7 +59,7 @@
 			continue
 		}
 		count := fleet[u.place]
-		if u.goesAt > 0 {
+		if u.terminatesAt > 0 {
 			count.Leaving++
 		} else {
 			count.Ready++
@@ -69,46 +69,46 @@
 	return fleet
 }
 
-// kept returns the endpoints of a place that do not leave, those that boot included.
-func (p *provider) kept(place Place) []*unit {
-	var kept []*unit
+// staying returns the endpoints of a place that do not leave, those that boot included.
+func (p *provider) staying(place Place) []*testEndpoint {
+	var kept []*testEndpoint
 	for _, u := range p.units {
-		if u.place == place && u.goesAt == 0 {
+		if u.place == place && u.terminatesAt == 0 {
 			kept = append(kept, u)
 		}
 	}
 	return kept
 }
 
-// take takes an order, and reports false if there are none to be had.
-func (p *provider) take(o Order) bool {
-	kept := p.kept(o.Place)
+// acceptOrder takes an order, and reports false if there are none to be had.
+func (p *provider) acceptOrder(o Order) bool {
+	kept := p.staying(o.Place)
 	other := Place{o.Zone, Spot}
 	if o.Kind == Spot {
 		other.Kind = Regular
 	}
-	desired := min(o.Desired, p.scaling.Max-len(p.kept(other)))
-	if o.Kind == Spot && desired > len(kept) && p.dry[o.Zone] > p.now {
+	desired := min(o.Desired, p.scaling.Max-len(p.staying(other)))
+	if o.Kind == Spot && desired > len(kept) && p.spotUnavailableUntil[o.Zone] > p.now {
 		return false
 	}
 	for len(kept) < desired {
-		u := &unit{place: o.Place, readyAt: p.now + p.scaling.Boot}
+		u := &testEndpoint{place: o.Place, readyAt: p.now + p.scaling.Boot}
 		p.units, kept = append(p.units, u), append(kept, u)
 	}
 	for _, u := range kept[max(desired, 0):] {
-		u.goesAt = p.now + 3*time.Second
+		u.terminatesAt = p.now + 3*time.Second
 	}
 	return true
 }
 
 // reclaim takes the spot endpoints of a zone away, and has none for a time; anywhere if all is set.
 func (p *provider) reclaim(zone string, dry time.Duration, all bool) {
-	for _, u := range p.kept(Place{zone, Spot}) {
-		u.goesAt = p.now + 2*time.Second
+	for _, u := range p.staying(Place{zone, Spot}) {
+		u.terminatesAt = p.now + 2*time.Second
 	}
 	for z := range p.scaling.ZonePrices {
 		if z == zone || all {
-			p.dry[z] = p.now + dry
+			p.spotUnavailableUntil[z] = p.now + dry
 		}
 	}
 }
@@ -119,33 +119,33 @@
 	for until := p.now + span; p.now < until; p.now += step {
 		kept := p.units[:0]
 		for _, u := range p.units {
-			if u.goesAt == 0 || u.goesAt > p.now {
+			if u.terminatesAt == 0 || u.terminatesAt > p.now {
 				kept = append(kept, u)
 				price := p.scaling.ZonePrices[u.place.Zone]
 				if u.place.Kind == Spot {
 					price *= p.scaling.SpotPrice
 				}
-				p.spent += price * step.Seconds()
+				p.cost += price * step.Seconds()
 			}
 		}
 		p.units = kept
 		fleet := p.fleet()
 		ready := fleet.Ready(Regular) + fleet.Ready(Spot)
-		p.least, p.most = min(p.least, ready), max(p.most, ready)
+		p.minReady, p.maxReady = min(p.minReady, ready), max(p.maxReady, ready)
 		now := start.Add(p.now)
 		for _, o := range p.plan.DueOrders(now, p.scaling, fleet, p.plan.ComputeDesired(now, p.scaling, fleet, need)) {
 			p.orders = append(p.orders, o)
-			if p.loses > 0 {
-				p.loses--
+			if p.ordersToLose > 0 {
+				p.ordersToLose--
 				continue
 			}
-			p.plan.RecordOrder(now, o, !p.take(o))
+			p.plan.RecordOrder(now, o, !p.acceptOrder(o))
 		}
 	}
 }
 
-// TestPlans plays what a provider does and fails to do.
-func TestPlans(t *testing.T) {
+// TestPlan plays what a provider does and fails to do.
+func TestPlan(t *testing.T) {
 	regularOnly := threeZones()
 	regularOnly.SpotPrice = 0
 	oneZone := threeZones()
@@ -162,20 +162,20 @@
 		}, 135, 0, 45, 15},
 		"a zone is taken, none to be had anywhere": {threeZones(), func(p *provider) {
 			p.run(30*time.Second, 90)
-			p.least = 1 << 30
+			p.minReady = 1 << 30
 			p.reclaim("b", 10*time.Second, true)
 			p.run(20*time.Second, 90)
 		}, 135, 0, 90, 25},
 		"a zone is taken while more is needed": {threeZones(), func(p *provider) {
 			p.run(30*time.Second, 90)
-			p.least = 1 << 30
+			p.minReady = 1 << 30
 			p.run(time.Second, 110)
 			p.reclaim("b", 10*time.Second, true)
 			p.run(20*time.Second, 110)
 		}, 165, 0, 90, 35},
 		"two zones are taken, one after the other": {threeZones(), func(p *provider) {
 			p.run(30*time.Second, 90)
-			p.least = 1 << 30
+			p.minReady = 1 << 30
 			p.reclaim("b", 8*time.Second, false)
 			p.run(3*time.Second, 90)
 			p.reclaim("c", 8*time.Second, false)
@@ -183,13 +183,13 @@
 		}, 135, 0, 45, 40},
 		"no spot to be had for long": {threeZones(), func(p *provider) {
 			for zone := range p.scaling.ZonePrices {
-				p.dry[zone] = time.Hour
+				p.spotUnavailableUntil[zone] = time.Hour
 			}
 			p.run(time.Minute, 90)
 		}, 0, 90, 90, 100},
 		"a zone without spot for long": {threeZones(), func(p *provider) {
 			p.run(30*time.Second, 90)
-			p.least = 1 << 30
+			p.minReady = 1 << 30
 			p.reclaim("a", time.Hour, false)
 			p.run(time.Minute, 120)
 		}, 120, 0, 90, 100},
@@ -200,7 +200,7 @@
 			p.run(30*time.Second, 40)
 		}, 0, 40, 30, 1},
 		"orders are lost": {threeZones(), func(p *provider) {
-			p.loses = 7
+			p.ordersToLose = 7
 			p.run(40*time.Second, 90)
 		}, 135, 0, 45, 25},
 		"less is needed": {threeZones(), func(p *provider) {
@@ -222,14 +222,14 @@
 			fleet := p.fleet()
 			c.Check(fleet.Ready(Spot), qt.Equals, test.spot, qt.Commentf("%v", fleet))
 			c.Check(fleet.Ready(Regular), qt.Equals, test.regular, qt.Commentf("%v", fleet))
-			c.Check(p.least >= test.least, qt.IsTrue, qt.Commentf("only %d ready at a time", p.least))
+			c.Check(p.minReady >= test.least, qt.IsTrue, qt.Commentf("only %d ready at a time", p.minReady))
 			c.Check(len(p.orders) <= test.orders, qt.IsTrue, qt.Commentf("%d orders: %v", len(p.orders), p.orders))
 		})
 	}
 }
 
-// TestOrdersDoNotFlap has nothing change for long: nothing is ordered.
-func TestOrdersDoNotFlap(t *testing.T) {
+// TestSteadyNeedSendsNoOrders has nothing change for long: nothing is ordered.
+func TestSteadyNeedSendsNoOrders(t *testing.T) {
 	c := qt.New(t)
 	p := newProvider(threeZones(), 30)
 	p.run(time.Minute, 90)
@@ -238,8 +238,8 @@
 	c.Check(p.orders[before:], qt.HasLen, 0)
 }
 
-// TestSize follows what is needed while the traffic changes. Steps are a fifth of a second.
-func TestSize(t *testing.T) {
+// TestNeedEstimate follows what is needed while the traffic changes. Steps are a fifth of a second.
+func TestNeedEstimate(t *testing.T) {
 	type span struct {
 		seconds int
 		reading float64
@@ -273,7 +273,7 @@
 	}
 }
 
-func TestFirst(t *testing.T) {
+func TestInitialNeed(t *testing.T) {
 	c := qt.New(t)
 	c.Check(InitialNeed(threeZones(), 3, 0.75), qt.Equals, 90)
 	c.Check(InitialNeed(threeZones(), 3, 0), qt.Equals, 0)
--- a/internal/front/capacity/size.go
+++ b/internal/front/capacity/size.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// mostReading is the part of the time that endpoints may read prompts on average, whichever zone loses its
+	// maxReadingFraction is the part of the time that endpoints may read prompts on average, whichever zone loses its
 	// spot endpoints.
-	mostReading = 0.67
-	// growTime is how long more must have been needed to be ordered, and growPart how much more: while prefixes are
+	maxReadingFraction = 0.67
+	// growTime is how long more must have been needed to be ordered, and growFactor how much more: while prefixes are
 	// read for the first time, more is to be read for some seconds than ever after.
 	growTime = 2 * time.Second
-	growPart = 1.25
-	// holdTime is how long less must have been needed, and shrinkPart how much less: an endpoint that goes takes along
+	growFactor = 1.25
+	// shrinkTime is how long less must have been needed, and shrinkFactor how much less: an endpoint that goes takes along
 	// some ten prefixes, which costs as much as a minute of a spot endpoint on the users' platform. Reckoned.
-	holdTime   = 90 * time.Second
-	shrinkPart = 0.7
+	shrinkTime   = 90 * time.Second
+	shrinkFactor = 0.7
 )
 
 // NeedEstimate follows how many endpoints of a service are needed. The zero value knows nothing.
@@ -40,13 +40,13 @@
 // left of a part of the most spot endpoints without those of one zone. It is 0 where spot endpoints are not worth
 // it: what is there stays, then.
 func InitialNeed(scaling *settings.Scaling, zones int, part float64) int {
-	return min(spotInZone(scaling, zones, math.MaxInt32), int(part*float64(scaling.Max))) * (zones - 1)
+	return min(spotPerZone(scaling, zones, math.MaxInt32), int(part*float64(scaling.Max))) * (zones - 1)
 }
 
 // Observe takes the work of all hosts now, and returns how many endpoints are needed.
 func (s *NeedEstimate) Observe(now time.Time, load engine.Load) int {
-	s.samples = append(s.samples, sample{at: now, need: ceilDiv(int(load.Reading*100), int(mostReading*100))})
-	for len(s.samples) > 0 && now.Sub(s.samples[0].at) > holdTime {
+	s.samples = append(s.samples, sample{at: now, need: ceilDiv(int(load.Reading*100), int(maxReadingFraction*100))})
+	for len(s.samples) > 0 && now.Sub(s.samples[0].at) > shrinkTime {
 		s.samples = s.samples[1:]
 	}
 	least, most := s.samples[len(s.samples)-1].need, 0
@@ -58,9 +58,9 @@
 	}
 	known := now.Sub(s.samples[0].at)
 	switch {
-	case known >= growTime && float64(least) > growPart*float64(s.Need):
+	case known >= growTime && float64(least) > growFactor*float64(s.Need):
 		s.Need = least
-	case known >= holdTime-growTime && float64(most) < shrinkPart*float64(s.Need):
+	case known >= shrinkTime-growTime && float64(most) < shrinkFactor*float64(s.Need):
 		s.Need = max(most, 1)
 	}
 	return s.Need
--- a/internal/front/leader/announce.go
+++ b/internal/front/leader/announce.go
@@ -7,18 +7,20 @@
 	"oxbowslip.dev/oxbowslip/internal/front/lease"
 )
 
-// Announcement is what a leader sends to all hosts.
+// Announcement is the message in which the leader announces its lease to all hosts.
 type Announcement struct {
 	Token uint64 `cbor:"1,keyasint"`
-	// Until is when its lease ends by the store's clock if it is not renewed, in ns. It is 0 if the lease was given up.
+	// Until is the end of the lease by the store's clock in ns, if it is not renewed. It is 0 if the lease was
+	// released.
 	Until freshness.StoreTime `cbor:"2,keyasint"`
-	// TrueTime is the true time at the zero of the store's clock, in ns since 1970, or 0 if it is not agreed on.
+	// TrueTime is the true time at the zero point of the store's clock, in ns since 1970, or 0 if the hosts have not
+	// agreed on it.
 	TrueTime int64 `cbor:"3,keyasint"`
-	// Reported is the window of usage up to which all are reported.
+	// Reported is the usage window up to which all windows have been reported.
 	Reported uint64 `cbor:"4,keyasint"`
 }
 
-// announce lets all hosts know who leads.
+// announce sends an announcement of this host to all hosts.
 func (l *Leader) announce() {
 	now := l.parts.Clock()
 	l.mu.Lock()
@@ -32,15 +34,15 @@
 	l.HandleAnnouncement(l.parts.Host, a)
 }
 
-// HandleAnnouncement notes an announcement of a host. An older one than the last is ignored.
+// HandleAnnouncement handles an announcement of a host. It ignores one that is older than the newest.
 func (l *Leader) HandleAnnouncement(host string, a Announcement) {
 	now := l.parts.Clock()
 	l.mu.Lock()
-	if a.Token < l.newest.Token || (a.Token == l.newest.Token && a.Until != 0 && a.Until < l.newest.Until) {
+	if a.Token < l.latest.Token || (a.Token == l.latest.Token && a.Until != 0 && a.Until < l.latest.Until) {
 		l.mu.Unlock()
 		return
 	}
-	l.newest, l.holder = a, host
+	l.latest, l.holder = a, host
 	if a.Until == 0 {
 		l.holder = ""
 	}
@@ -52,34 +54,34 @@
 	l.parts.OnAnnouncement(a)
 }
 
-// State is what a host knows of the leader.
+// State is what a host has received about the leader.
 type State struct {
-	// Holder is the host that leads, or empty if this host knows of none.
+	// Holder is the host that leads, or empty if this host knows of no valid lease.
 	Holder string
-	// Token is the fencing token of the newest lease that this host knows of, Left how long it lasts yet; below 0 if it has
-	// ended.
+	// Token is the fencing token of the newest lease that this host knows. Left is the time until it ends, negative
+	// if it has ended.
 	Token uint64
 	Left  time.Duration
-	// Reported is the window of usage up to which all are reported.
+	// Reported is the usage window up to which all windows have been reported.
 	Reported uint64
-	// Leads is set if this host's tasks run.
+	// Leads is set while this host's tasks run.
 	Leads bool
 }
 
-// State returns what this host knows of the leader.
+// State returns what this host has received about the leader.
 func (l *Leader) State() State {
 	holder := l.Holder()
 	now := l.parts.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	state := State{Holder: holder, Token: l.newest.Token, Reported: l.newest.Reported, Leads: l.mandate != nil}
-	if at, known := l.parts.StoreTime(now); known && l.newest.Until > 0 {
-		state.Left = time.Duration(l.newest.Until - at)
+	state := State{Holder: holder, Token: l.latest.Token, Reported: l.latest.Reported, Leads: l.mandate != nil}
+	if at, known := l.parts.StoreTime(now); known && l.latest.Until > 0 {
+		state.Left = time.Duration(l.latest.Until - at)
 	}
 	return state
 }
 
-// Holder returns the host that leads as far as this one knows, or nothing.
+// Holder returns the host that leads according to the announcements, or an empty string.
 func (l *Leader) Holder() string {
 	now := l.parts.Clock()
 	l.mu.Lock()
--- a/internal/front/leader/leader.go
+++ b/internal/front/leader/leader.go
@@ -1,11 +1,11 @@
-// Package leader keeps one host of the fleet the leader: the one that does what only one host may do at a time,
-// such as reports to the provider of the endpoints. The leader is the holder of a lease in the deployment's
-// store (package lease); nothing is elected among hosts.
+// Package leader makes sure that at most one host of the fleet is the leader. The leader performs the tasks that only
+// one host may perform at a time, such as the usage reports to the provider of the endpoints. The leader is the
+// holder of a lease in the deployment's store (package lease). Hosts do not elect it among themselves.
 //
-// It owns the calls for the lease, the announcements of the leader to its peers, and the start and end of the
-// leader's tasks. A task may act only by the Mandate that it gets, which it asks right before each call: a host
-// that was frozen, or whose renewals are lost, has no mandate any more. A host that is not the leader costs
-// nothing but the announcements that it receives.
+// The package owns the calls to the store about the lease, the leader's announcements to its peers, and the start and
+// end of the leader's tasks. A task may act only with its Mandate, which it checks immediately before each call: a
+// host that was suspended, or whose renewals are lost, no longer has a mandate. A host that does not lead makes no
+// calls and only receives announcements.
 package leader
 
 import (
@@ -22,21 +22,22 @@
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
 
-// ErrConflict is returned by a Store that did not do a write: the row has another version.
-var ErrConflict = merry.Sentinel("the lease's row has changed")
+// ErrConflict is returned by a Store that rejected a write because the row has another version.
+var ErrConflict = merry.Sentinel("the row of the lease has been changed by another write")
 
-// Store is where the lease is. Its calls block until the store answers or ctx ends; after an error other than
-// ErrConflict, a write may have been done, or may be done later.
+// Store holds the lease. Its calls block until the store answers or ctx ends. After an error other than ErrConflict,
+// the write may have been applied, or may be applied later.
 type Store interface {
-	// ReadLease reads the lease's row.
+	// ReadLease reads the row of the lease.
 	ReadLease(ctx context.Context) (lease.Answer, error)
-	// WriteLease writes the row and the records beside it, all or nothing. With ErrConflict, the answer has the row.
+	// WriteLease writes the row and the records beside it in one transaction. With ErrConflict, the answer contains
+	// the row.
 	WriteLease(ctx context.Context, w *lease.Write, beside []Record) (lease.Answer, error)
-	// Records returns all records.
+	// Records returns all records of leaders.
 	Records(ctx context.Context) ([]Record, error)
 }
 
-// Record is what a leader keeps in the store beside the lease. Only a leader writes records.
+// Record is data that a leader keeps in the store beside the lease. Only a leader writes records.
 type Record struct {
 	Key   string
 	Value []byte
@@ -44,100 +45,104 @@
 	Delete bool
 }
 
-// Peers sends to the other hosts.
+// Peers sends messages to the other hosts and orders them.
 type Peers interface {
 	// Announce sends an announcement to all hosts.
 	Announce(Announcement)
-	// Settled reports whether this host knows its peers, Before how many live hosts come before it in an
-	// order that all share.
+	// Settled reports whether this host knows its peers. Before returns the number of live hosts that come before it
+	// in an order that all hosts share.
 	Settled() bool
 	Before() int
 }
 
-// Task is what a leader does. Lead runs until ctx ends, which is when the mandate does. Tasks run at the same time.
+// Task is a task of the leader. Lead runs until ctx ends, which happens when the mandate does. Tasks run
+// concurrently.
 type Task interface {
 	Lead(ctx context.Context, m *Mandate)
 }
 
-// Parts are what a Leader works with.
+// Parts are the dependencies of a Leader.
 type Parts struct {
-	// Host is this host's name, Start a number that rises with each start of its process.
+	// Host is this host's name. Start is a number that increases with each start of its process.
 	Host  string
 	Start int64
-	// Duration is how long a lease lasts.
+	// Duration is the length of a lease.
 	Duration time.Duration
 	Store    Store
 	Peers    Peers
 	Tasks    []Task
 	Log      *logrus.Entry
 	Clock    func() time.Time
-	// Random returns numbers from 0 up to 1.
+	// Random returns random numbers in [0, 1).
 	Random func() float64
-	// StoreTime returns the least that the store's clock shows at a time, or false if it is not known.
+	// StoreTime returns a lower bound on the store's clock at a time, or false if it is not known.
 	StoreTime func(time.Time) (freshness.StoreTime, bool)
-	// OnAnnouncement is called with each announcement that counts, this host's own included.
+	// OnAnnouncement is called with each announcement that is not outdated, including those of this host.
 	OnAnnouncement func(a Announcement)
 }
 
-// Leader is this host's part in having one leader. It is safe for concurrent use.
+// Leader competes for the lease on behalf of this host and runs the leader's tasks while it holds it. It is safe for
+// concurrent use.
 type Leader struct {
 	parts Parts
-	// wake ends a wait of Run.
+	// wake ends a wait of Run early.
 	wake chan struct{}
 
 	mu    sync.Mutex
 	lease *lease.Lease
 	memo  lease.Memo
-	// newest is the newest announcement, holder the host that sent it, or empty if it gave the lease up.
-	newest Announcement
+	// latest is the newest announcement. holder is the host that sent it, or empty if that host released the lease.
+	latest Announcement
 	holder string
-	// freeAt is when this host takes the lease for free, avoidUntil until when it lets others lead.
-	freeAt     time.Time
-	avoidUntil time.Time
-	// renewedAt is when the last renewal was sent, failures how many have failed since one was done.
+	// freeAt is the time from which this host considers the lease free. standDownUntil is the time until which it
+	// lets other hosts take it first.
+	freeAt         time.Time
+	standDownUntil time.Time
+	// renewedAt is the time at which the last renewal was sent. failures is the number of failed writes since the
+	// last successful one.
 	renewedAt time.Time
 	failures  int
-	// kept are what is to be written with the next renewal.
-	kept []*keeping
-	// mandate is that of the tasks that run.
+	// pendingWrites are the records to be written with the next renewal.
+	pendingWrites []*pendingWrite
+	// mandate is the mandate of the running tasks, or nil.
 	mandate *Mandate
-	// resigned is set once this host wants the lease no more.
+	// resigned is set once this host must not take the lease again because it is about to stop.
 	resigned bool
 	takenAt  time.Time
 	provider providerHealth
 }
 
-// keeping are records that a task wants to have in the store.
-type keeping struct {
+// pendingWrite holds records that a task waits to have written to the store.
+type pendingWrite struct {
 	records []Record
-	// done is closed when they are there, or never will be; written is set before if they are.
+	// done is closed when the records are written or can no longer be. written is set before if they are.
 	done    chan struct{}
 	written bool
 }
 
-// New returns a host's part that does nothing yet.
+// New returns a Leader that does not compete for the lease until Run is called.
 func New(parts Parts) *Leader {
 	return &Leader{parts: parts, wake: make(chan struct{}, 1), lease: lease.New(parts.Host, parts.Start, parts.Duration)}
 }
 
-// Run takes the lease where it is free, and leads until done is closed.
+// Run takes the lease whenever it is free and it is the turn of this host, and leads, until done is closed.
 func (l *Leader) Run(done <-chan struct{}) {
 	ctx, cancel := lifetime.Context(done)
 	defer cancel()
-	defer l.end("the host stops")
+	defer l.stopTasks("the host stops")
 	for ctx.Err() == nil {
 		if l.Leads() {
-			l.lead(ctx)
+			l.maintainLease(ctx)
 		} else {
-			l.stand(ctx)
+			l.tryToTakeLease(ctx)
 		}
 		l.sleep(ctx)
 	}
 }
 
-// sleep waits until there may be something to do.
+// sleep waits for checkInterval, a wake-up or the end of ctx.
 func (l *Leader) sleep(ctx context.Context) {
-	timer := time.NewTimer(lookInterval)
+	timer := time.NewTimer(checkInterval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -146,7 +151,7 @@
 	}
 }
 
-// wakeUp makes Run look at once.
+// wakeUp ends the current wait of Run.
 func (l *Leader) wakeUp() {
 	lifetime.Wake(l.wake)
 }
@@ -158,14 +163,14 @@
 	return l.mandate != nil
 }
 
-// read reads the lease's row.
+// read reads the row of the lease.
 func (l *Leader) read(ctx context.Context) (lease.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	return l.parts.Store.ReadLease(ctx)
 }
 
-// write does a write of the lease, and reports whether it was done.
+// write sends a write of the lease, and reports whether the store confirmed it.
 func (l *Leader) write(ctx context.Context, w *lease.Write, beside []Record) bool {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -181,12 +186,12 @@
 		l.lease.Observe(answer)
 	}
 	l.failures++
-	l.parts.Log.WithError(err).WithFields(logrus.Fields{"token": w.Record.Token, "sequence": w.Record.Sequence, "failures": l.failures}).Warn("the lease was not written")
+	l.parts.Log.WithError(err).WithFields(logrus.Fields{"token": w.Record.Token, "sequence": w.Record.Sequence, "failures": l.failures}).Warn("the write of the lease was rejected or not answered")
 	return false
 }
 
-// begin starts the tasks of a leader.
-func (l *Leader) begin() {
+// startTasks starts the leader's tasks.
+func (l *Leader) startTasks() {
 	now := l.parts.Clock()
 	l.mu.Lock()
 	token, until, ok := l.lease.Holds(now)
@@ -202,56 +207,57 @@
 	l.mu.Unlock()
 	l.parts.Log.WithFields(logrus.Fields{
 		"token": token, "for_ms": until.Sub(now).Milliseconds(), "reported": memo.Reported, "failing": memo.Failing,
-	}).Info("leads")
+	}).Info("took the lease; this host is the leader and starts its tasks")
 	l.announce()
 	for _, task := range l.parts.Tasks {
 		m.running.Go(func() { task.Lead(ctx, m) })
 	}
 }
 
-// end ends the tasks of a leader, if they run.
-func (l *Leader) end(reason string) {
+// stopTasks ends the leader's tasks, if they run, and waits for them.
+func (l *Leader) stopTasks(reason string) {
 	l.mu.Lock()
 	m, takenAt := l.mandate, l.takenAt
 	l.mandate = nil
-	for _, k := range l.kept {
-		close(k.done)
+	for _, p := range l.pendingWrites {
+		close(p.done)
 	}
-	l.kept = nil
+	l.pendingWrites = nil
 	l.mu.Unlock()
 	if m == nil {
 		return
 	}
 	m.cancel()
 	m.running.Wait()
-	l.parts.Log.WithFields(logrus.Fields{"token": m.token, "reason": reason, "led_ms": l.parts.Clock().Sub(takenAt).Milliseconds()}).Warn("leads no more")
+	l.parts.Log.WithFields(logrus.Fields{"token": m.token, "reason": reason, "led_ms": l.parts.Clock().Sub(takenAt).Milliseconds()}).Warn("this host is no longer the leader; its tasks have ended")
 }
 
-// lead renews the lease when that is due, or ends the tasks once it is lost.
-func (l *Leader) lead(ctx context.Context) {
+// maintainLease renews the lease if a renewal is due, releases it if this host should no longer lead, and ends the
+// tasks if it is lost.
+func (l *Leader) maintainLease(ctx context.Context) {
 	now := l.parts.Clock()
 	l.mu.Lock()
 	_, _, holds := l.lease.Holds(now)
-	due := len(l.kept) > 0 || now.Sub(l.renewedAt) >= renewInterval
+	due := len(l.pendingWrites) > 0 || now.Sub(l.renewedAt) >= renewInterval
 	if l.failures > 0 {
 		due = now.Sub(l.renewedAt) >= retryInterval
 	}
-	unable := l.provider.isUnable(now, l.memo.Failing)
+	unreachable := l.provider.isUnreachable(now, l.memo.Failing)
 	resigned := l.resigned
 	l.mu.Unlock()
 	switch {
 	case !holds:
-		l.end("the lease was lost")
+		l.stopTasks("the lease was lost")
 	case resigned:
-		l.giveUp(ctx, "the host is leaving")
-	case unable:
-		l.giveUp(ctx, "the provider does not answer this host")
+		l.releaseLease(ctx, "the host is leaving")
+	case unreachable:
+		l.releaseLease(ctx, "the provider does not answer this host")
 	case due:
 		l.renew(ctx)
 	}
 }
 
-// renew renews the lease, with what the tasks want to have in the store.
+// renew renews the lease, and writes the records of the tasks with it.
 func (l *Leader) renew(ctx context.Context) {
 	var beside []Record
 	for _, task := range l.parts.Tasks {
@@ -261,9 +267,9 @@
 	}
 	now := l.parts.Clock()
 	l.mu.Lock()
-	kept := l.kept
-	for _, k := range kept {
-		beside = append(beside, k.records...)
+	pending := l.pendingWrites
+	for _, p := range pending {
+		beside = append(beside, p.records...)
 	}
 	write := l.lease.Renew(now, l.memo)
 	l.renewedAt = now
@@ -272,18 +278,18 @@
 		return
 	}
 	l.mu.Lock()
-	l.kept = l.kept[len(kept):]
+	l.pendingWrites = l.pendingWrites[len(pending):]
 	l.mu.Unlock()
-	for _, k := range kept {
-		k.written = true
-		close(k.done)
+	for _, p := range pending {
+		p.written = true
+		close(p.done)
 	}
 	l.announce()
 }
 
-// giveUp ends the tasks and gives up the lease, so that another host can lead at once.
-func (l *Leader) giveUp(ctx context.Context, reason string) {
-	l.end(reason)
+// releaseLease ends the tasks and releases the lease, so that another host does not have to wait for its end.
+func (l *Leader) releaseLease(ctx context.Context, reason string) {
+	l.stopTasks(reason)
 	now := l.parts.Clock()
 	l.mu.Lock()
 	if _, _, holds := l.lease.Holds(now); !holds {
@@ -293,7 +299,7 @@
 	if !l.resigned {
 		l.memo.Failing++
 	}
-	l.avoidUntil = now.Add(avoidTime << min(l.memo.Failing, mostDoublings))
+	l.standDownUntil = now.Add(standDownTime << min(l.memo.Failing, maxDoublings))
 	write := l.lease.Release(now, l.memo)
 	l.mu.Unlock()
 	if l.write(ctx, &write, nil) {
@@ -301,7 +307,7 @@
 	}
 }
 
-// Resign lets another host lead: this one is about to stop. It does not block.
+// Resign ends the leadership of this host for good, as it is about to stop. It does not block.
 func (l *Leader) Resign() {
 	l.mu.Lock()
 	l.resigned = true
--- a/internal/front/leader/leader_test.go
+++ b/internal/front/leader/leader_test.go
@@ -21,10 +21,10 @@
 
 const leaseTime = 3 * time.Second
 
-// errAway is what a store that is away answers.
-var errAway = merry.Sentinel("away")
+// errUnreachable is the error of a store that does not answer.
+var errUnreachable = merry.Sentinel("away")
 
-// memoryStore is a store in memory, in a bubble of testing/synctest.
+// memoryStore is a store in memory, for a bubble of testing/synctest.
 type memoryStore struct {
 	mu       sync.Mutex
 	started  time.Time
@@ -32,13 +32,13 @@
 	row      lease.Row
 	records  map[string][]byte
 	calls    int
-	// away are the hosts whose calls it does not answer; lossy ones get no answers to writes that are done.
-	away  map[string]bool
-	lossy map[string]bool
+	// unreachable are the hosts that get no answer. lossy are those whose writes are applied but not answered.
+	unreachable map[string]bool
+	lossy       map[string]bool
 }
 
 func newMemoryStore() *memoryStore {
-	return &memoryStore{started: time.Now(), revision: 5, records: make(map[string][]byte), away: make(map[string]bool), lossy: make(map[string]bool)}
+	return &memoryStore{started: time.Now(), revision: 5, records: make(map[string][]byte), unreachable: make(map[string]bool), lossy: make(map[string]bool)}
 }
 
 func (s *memoryStore) at() freshness.StoreTime {
@@ -51,23 +51,23 @@
 	host string
 }
 
-// silence blocks like a store that does not answer, if it is away for the host.
-func (s hostStore) silence(ctx context.Context) error {
+// answerDelay waits as long as an answer takes, or until ctx ends if the store is unreachable for the host.
+func (s hostStore) answerDelay(ctx context.Context) error {
 	s.mu.Lock()
 	s.calls++
-	away := s.away[s.host]
+	unreachable := s.unreachable[s.host]
 	s.mu.Unlock()
-	if !away {
+	if !unreachable {
 		time.Sleep(4 * time.Millisecond)
 		return nil
 	}
 	<-ctx.Done()
-	return merry.Wrap(errAway)
+	return merry.Wrap(errUnreachable)
 }
 
 func (s hostStore) ReadLease(ctx context.Context) (lease.Answer, error) {
 	sent := time.Now()
-	if err := s.silence(ctx); err != nil {
+	if err := s.answerDelay(ctx); err != nil {
 		return lease.Answer{}, err
 	}
 	s.mu.Lock()
@@ -77,7 +77,7 @@
 
 func (s hostStore) WriteLease(ctx context.Context, w *lease.Write, beside []Record) (lease.Answer, error) {
 	sent := time.Now()
-	if err := s.silence(ctx); err != nil {
+	if err := s.answerDelay(ctx); err != nil {
 		return lease.Answer{}, err
 	}
 	s.mu.Lock()
@@ -97,14 +97,14 @@
 		}
 	}
 	if s.lossy[s.host] {
-		return lease.Answer{}, merry.Wrap(errAway)
+		return lease.Answer{}, merry.Wrap(errUnreachable)
 	}
 	answer.Revision = s.revision
 	return answer, nil
 }
 
 func (s hostStore) Records(ctx context.Context) ([]Record, error) {
-	if err := s.silence(ctx); err != nil {
+	if err := s.answerDelay(ctx); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -116,22 +116,22 @@
 	return records, nil
 }
 
-// hosts are some hosts that share a store.
-type hosts struct {
-	store   *memoryStore
-	leaders []*Leader
-	done    []chan struct{}
-	running sync.WaitGroup
-	mu      sync.Mutex
-	acts    []act
-	// deaf are the hosts that get no announcements.
-	deaf map[string]bool
-	// unable are the hosts that the provider does not answer.
-	unable map[string]bool
+// testFleet is a fleet of hosts that share a store and a provider.
+type testFleet struct {
+	store         *memoryStore
+	leaders       []*Leader
+	done          []chan struct{}
+	running       sync.WaitGroup
+	mu            sync.Mutex
+	providerCalls []providerCall
+	// noAnnouncements are the hosts that receive no announcements.
+	noAnnouncements map[string]bool
+	// noProviderAnswers are the hosts whose calls the provider does not answer.
+	noProviderAnswers map[string]bool
 }
 
-// act is a call that reached the provider.
-type act struct {
+// providerCall is a call that reached the provider.
+type providerCall struct {
 	at    time.Duration
 	host  string
 	token uint64
@@ -139,7 +139,7 @@
 
 // hostPeers are the peers of one host.
 type hostPeers struct {
-	all    *hosts
+	all    *testFleet
 	name   string
 	before int
 }
@@ -148,26 +148,26 @@
 func (p hostPeers) Before() int   { return p.before }
 func (p hostPeers) Announce(a Announcement) {
 	for _, l := range p.all.leaders {
-		if l.parts.Host != p.name && !p.all.deaf[l.parts.Host] {
+		if l.parts.Host != p.name && !p.all.noAnnouncements[l.parts.Host] {
 			l.HandleAnnouncement(p.name, a)
 		}
 	}
 }
 
-// caller is a task that calls the provider all the time.
-type caller struct {
-	all  *hosts
+// providerCaller is a task that calls the provider every 50 ms.
+type providerCaller struct {
+	all  *testFleet
 	name string
 }
 
-func (c *caller) Lead(ctx context.Context, m *Mandate) {
+func (c *providerCaller) Lead(ctx context.Context, m *Mandate) {
 	for ctx.Err() == nil {
 		if token, _, ok := m.Fence(); ok {
 			c.all.mu.Lock()
-			c.all.acts = append(c.all.acts, act{at: time.Since(c.all.store.started), host: c.name, token: token})
-			unable := c.all.unable[c.name]
+			c.all.providerCalls = append(c.all.providerCalls, providerCall{at: time.Since(c.all.store.started), host: c.name, token: token})
+			unanswered := c.all.noProviderAnswers[c.name]
 			c.all.mu.Unlock()
-			if unable {
+			if unanswered {
 				m.RecordNoAnswer()
 			} else {
 				m.RecordAnswer()
@@ -180,9 +180,9 @@
 	}
 }
 
-// start starts a number of hosts.
-func start(number int) *hosts {
-	all := &hosts{store: newMemoryStore(), deaf: make(map[string]bool), unable: make(map[string]bool)}
+// startFleet starts a fleet of a number of hosts.
+func startFleet(number int) *testFleet {
+	all := &testFleet{store: newMemoryStore(), noAnnouncements: make(map[string]bool), noProviderAnswers: make(map[string]bool)}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	for n := range number {
@@ -190,8 +190,8 @@
 		random := rand.New(rand.NewPCG(uint64(n), 1))
 		all.leaders = append(all.leaders, New(Parts{
 			Host: name, Start: int64(n + 1), Duration: leaseTime, Store: hostStore{all.store, name}, Peers: hostPeers{all, name, n},
-			Tasks: []Task{&caller{all, name}}, Log: logrus.NewEntry(log), Clock: time.Now, Random: random.Float64,
-			StoreTime: func(time.Time) (freshness.StoreTime, bool) { return all.store.at(), true },
+			Tasks: []Task{&providerCaller{all, name}}, Log: logrus.NewEntry(log), Clock: time.Now, Random: random.Float64,
+			StoreTime:      func(time.Time) (freshness.StoreTime, bool) { return all.store.at(), true },
 			OnAnnouncement: func(Announcement) {},
 		}))
 	}
@@ -203,13 +203,13 @@
 	return all
 }
 
-// kill ends a host without a word.
-func (h *hosts) kill(n int) {
+// kill stops a host without a resignation.
+func (h *testFleet) kill(n int) {
 	close(h.done[n])
 	h.done[n] = nil
 }
 
-func (h *hosts) stop() {
+func (h *testFleet) stop() {
 	for _, done := range h.done {
 		if done != nil {
 			close(done)
@@ -218,24 +218,25 @@
 	h.running.Wait()
 }
 
-// check checks what must hold of the calls, and returns the hosts that acted, in order.
-func (h *hosts) check(c *qt.C) []string {
+// checkCalls checks the rules of the lease on the calls that the provider received, and returns the order in which
+// hosts made them.
+func (h *testFleet) checkCalls(c *qt.C) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var order []string
 	holders := make(map[uint64]string)
 	last := make(map[string]time.Duration)
-	for i, a := range h.acts {
+	for i, a := range h.providerCalls {
 		if i > 0 {
-			c.Check(a.token >= h.acts[i-1].token, qt.IsTrue, qt.Commentf("a lower token after a higher one: %v", h.acts[i-1:i+1]))
+			c.Check(a.token >= h.providerCalls[i-1].token, qt.IsTrue, qt.Commentf("a call with a lower token after one with a higher token: %v", h.providerCalls[i-1:i+1]))
 		}
 		if holder, ok := holders[a.token]; ok {
-			c.Check(holder, qt.Equals, a.host, qt.Commentf("the same token"))
+			c.Check(holder, qt.Equals, a.host, qt.Commentf("two hosts used the same token"))
 		}
 		holders[a.token] = a.host
 		if len(order) == 0 || order[len(order)-1] != a.host {
 			if before, ok := last[a.host]; ok {
-				c.Check(a.at-before > leaseTime, qt.IsTrue, qt.Commentf("%s acts %s after it did, and another one between", a.host, a.at-before))
+				c.Check(a.at-before > leaseTime, qt.IsTrue, qt.Commentf("%s made a call %s after its previous one, and another host called in between", a.host, a.at-before))
 			}
 			order = append(order, a.host)
 		}
@@ -244,18 +245,18 @@
 	return order
 }
 
-// lastActs returns when each host acted last.
-func (h *hosts) lastActs() map[string]time.Duration {
+// lastCalls returns the time of the last call of each host.
+func (h *testFleet) lastCalls() map[string]time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	last := make(map[string]time.Duration)
-	for _, a := range h.acts {
+	for _, a := range h.providerCalls {
 		last[a.host] = a.at
 	}
 	return last
 }
 
-func (h *hosts) set(faults map[string]bool, host string, is bool) {
+func (h *testFleet) setFault(faults map[string]bool, host string, is bool) {
 	h.store.mu.Lock()
 	defer h.store.mu.Unlock()
 	h.mu.Lock()
@@ -263,51 +264,51 @@
 	faults[host] = is
 }
 
-func TestHostsTakeTurns(t *testing.T) {
+func TestLeadershipChanges(t *testing.T) {
 	tests := map[string]struct {
-		play func(h *hosts)
+		play func(h *testFleet)
 		want []string
 	}{
-		"all is well": {func(*hosts) { time.Sleep(time.Minute) }, []string{"a"}},
-		"the leader is killed": {func(h *hosts) {
+		"no faults": {func(*testFleet) { time.Sleep(time.Minute) }, []string{"a"}},
+		"the leader is killed": {func(h *testFleet) {
 			time.Sleep(10 * time.Second)
 			h.kill(0)
 			time.Sleep(10 * time.Second)
 		}, []string{"a", "b"}},
-		"the leader stops as planned": {func(h *hosts) {
+		"the leader resigns": {func(h *testFleet) {
 			time.Sleep(10 * time.Second)
 			h.leaders[0].Resign()
 			time.Sleep(2 * time.Second)
 		}, []string{"a", "b"}},
-		"leaders stop one after the other": {func(h *hosts) {
+		"leaders resign one after the other": {func(h *testFleet) {
 			time.Sleep(10 * time.Second)
 			h.leaders[0].Resign()
 			time.Sleep(time.Second)
 			h.leaders[1].Resign()
 			time.Sleep(2 * time.Second)
 		}, []string{"a", "b", "c"}},
-		"the store does not answer the leader": {func(h *hosts) {
+		"the store does not answer the leader": {func(h *testFleet) {
 			time.Sleep(10 * time.Second)
-			h.set(h.store.away, "a", true)
+			h.setFault(h.store.unreachable, "a", true)
 			time.Sleep(20 * time.Second)
-			h.set(h.store.away, "a", false)
+			h.setFault(h.store.unreachable, "a", false)
 			time.Sleep(10 * time.Second)
 		}, []string{"a", "b"}},
-		"the store answers nobody for a while": {func(h *hosts) {
+		"the store answers no host for 20 s": {func(h *testFleet) {
 			time.Sleep(10 * time.Second)
 			for _, host := range []string{"a", "b", "c"} {
-				h.set(h.store.away, host, true)
+				h.setFault(h.store.unreachable, host, true)
 			}
 			time.Sleep(20 * time.Second)
-			h.set(h.store.away, "b", false)
+			h.setFault(h.store.unreachable, "b", false)
 			time.Sleep(10 * time.Second)
 		}, []string{"a", "b"}},
-		"the leader's writes are done and not answered": {func(h *hosts) {
+		"the leader's writes are applied but not answered": {func(h *testFleet) {
 			time.Sleep(10 * time.Second)
-			h.set(h.store.lossy, "a", true)
+			h.setFault(h.store.lossy, "a", true)
 			time.Sleep(20 * time.Second)
 		}, []string{"a"}},
-		"another writer spoils the row": {func(h *hosts) {
+		"another writer overwrites the row": {func(h *testFleet) {
 			time.Sleep(10 * time.Second)
 			h.store.mu.Lock()
 			h.store.revision++
@@ -315,8 +316,8 @@
 			h.store.mu.Unlock()
 			time.Sleep(20 * time.Second)
 		}, []string{"a"}},
-		"a host that gets no announcements": {func(h *hosts) {
-			h.set(h.deaf, "c", true)
+		"a host receives no announcements": {func(h *testFleet) {
+			h.setFault(h.noAnnouncements, "c", true)
 			time.Sleep(30 * time.Second)
 		}, []string{"a"}},
 	}
@@ -324,20 +325,21 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				h := start(3)
+				h := startFleet(3)
 				test.play(h)
 				h.stop()
-				c.Check(h.check(c), qt.DeepEquals, test.want)
+				c.Check(h.checkCalls(c), qt.DeepEquals, test.want)
 			})
 		})
 	}
 }
 
-// TestTheLeaderRenews checks what leading costs while all is well: a call a second, and nothing for the others.
-func TestTheLeaderRenews(t *testing.T) {
+// TestLeaderMakesOneStoreCallPerSecond checks the load on the store without faults: the leader calls it once a
+// second, and the other hosts do not call it.
+func TestLeaderMakesOneStoreCallPerSecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := start(20)
+		h := startFleet(20)
 		time.Sleep(time.Minute)
 		h.stop()
 		c.Check(h.store.calls <= 62, qt.IsTrue, qt.Commentf("%d calls in a minute", h.store.calls))
@@ -345,69 +347,71 @@
 	})
 }
 
-// TestNoCallNearTheEndOfALease has a leader lose the store: its last call begins while leastLeft is left, and the
-// next leader's first one comes after the lease.
-func TestNoCallNearTheEndOfALease(t *testing.T) {
+// TestNoCallNearLeaseEnd isolates the leader from the store: its last call starts while at least minTimeLeft of the
+// lease is left, and the first call of the next leader comes after the end of the lease.
+func TestNoCallNearLeaseEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := start(2)
+		h := startFleet(2)
 		time.Sleep(10 * time.Second)
-		h.set(h.store.away, "a", true)
+		h.setFault(h.store.unreachable, "a", true)
 		lost := time.Since(h.store.started)
 		time.Sleep(20 * time.Second)
 		h.stop()
-		c.Check(h.check(c), qt.DeepEquals, []string{"a", "b"})
-		c.Check(h.lastActs()["a"] <= lost+leaseTime-leastLeft, qt.IsTrue)
-		first := slices.IndexFunc(h.acts, func(a act) bool { return a.host == "b" })
-		c.Check(h.acts[first].at-h.lastActs()["a"] >= leastLeft, qt.IsTrue)
-		c.Check(leastLeft > lease.MaxFlightTime, qt.IsTrue, qt.Commentf("a call has some time"))
-		c.Check(renewInterval+storeTimeout+leastLeft <= leaseTime, qt.IsTrue, qt.Commentf("one renewal may be lost without a gap"))
+		c.Check(h.checkCalls(c), qt.DeepEquals, []string{"a", "b"})
+		c.Check(h.lastCalls()["a"] <= lost+leaseTime-minTimeLeft, qt.IsTrue)
+		first := slices.IndexFunc(h.providerCalls, func(a providerCall) bool { return a.host == "b" })
+		c.Check(h.providerCalls[first].at-h.lastCalls()["a"] >= minTimeLeft, qt.IsTrue)
+		c.Check(minTimeLeft > lease.MaxFlightTime, qt.IsTrue, qt.Commentf("a call has time before it must end"))
+		c.Check(renewInterval+storeTimeout+minTimeLeft <= leaseTime, qt.IsTrue, qt.Commentf("one renewal may be lost without a gap in leadership"))
 	})
 }
 
-// TestALeaderThatGetsNoAnswerGivesUp has the provider answer only some hosts, or none.
-func TestALeaderThatGetsNoAnswerGivesUp(t *testing.T) {
-	for _, unable := range []int{1, 2, 3} {
-		t.Run(fmt.Sprintf("%d of 3", unable), func(t *testing.T) {
+// TestLeaseIsReleasedWithoutProviderAnswers has the provider answer only some hosts, or none: leaders that get no
+// answer release the lease.
+func TestLeaseIsReleasedWithoutProviderAnswers(t *testing.T) {
+	for _, unanswered := range []int{1, 2, 3} {
+		t.Run(fmt.Sprintf("%d of 3", unanswered), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				h := start(3)
-				for n := range unable {
-					h.set(h.unable, string(rune('a'+n)), true)
+				h := startFleet(3)
+				for n := range unanswered {
+					h.setFault(h.noProviderAnswers, string(rune('a'+n)), true)
 				}
 				time.Sleep(2 * time.Minute)
 				h.stop()
-				order := h.check(c)
-				if unable < 3 {
-					c.Check(order[len(order)-1], qt.Equals, string(rune('a'+unable)), qt.Commentf("%q", order))
-					c.Check(len(order), qt.Equals, unable+1)
+				order := h.checkCalls(c)
+				if unanswered < 3 {
+					c.Check(order[len(order)-1], qt.Equals, string(rune('a'+unanswered)), qt.Commentf("%q", order))
+					c.Check(len(order), qt.Equals, unanswered+1)
 				} else {
-					c.Check(len(order) <= 7, qt.IsTrue, qt.Commentf("%q: where the provider answers nobody, leaders change ever less often", order))
+					c.Check(len(order) <= 7, qt.IsTrue, qt.Commentf("%q: if the provider answers no host, leaders change less and less often", order))
 				}
 			})
 		})
 	}
 }
 
-// mandateNow returns the mandate of the tasks that run.
-func (l *Leader) mandateNow() *Mandate {
+// currentMandate returns the mandate of the running tasks.
+func (l *Leader) currentMandate() *Mandate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.mandate
 }
 
-// TestRecordsAreKept checks what a task learns of records that it wants to have in the store.
-func TestRecordsAreKept(t *testing.T) {
+// TestWriteRecords checks the result of WriteRecords when the records are written, when the lease ends before they
+// are, and after its end.
+func TestWriteRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := start(2)
+		h := startFleet(2)
 		time.Sleep(10 * time.Second)
-		m := h.leaders[0].mandateNow()
+		m := h.leaders[0].currentMandate()
 		c.Assert(m.WriteRecords(t.Context(), Record{Key: "k", Value: []byte("v")}), qt.IsNil)
 		c.Check(string(h.store.records["k"]), qt.Equals, "v")
-		h.set(h.store.away, "a", true)
+		h.setFault(h.store.unreachable, "a", true)
 		err := m.WriteRecords(t.Context(), Record{Key: "k", Value: []byte("w")})
-		c.Check(err, qt.ErrorIs, ErrLeadershipLost, qt.Commentf("the lease ended meanwhile"))
+		c.Check(err, qt.ErrorIs, ErrLeadershipLost, qt.Commentf("the lease ended before the records were written"))
 		c.Check(string(h.store.records["k"]), qt.Equals, "v")
 		c.Check(m.WriteRecords(t.Context(), Record{Key: "k"}), qt.ErrorIs, ErrLeadershipLost)
 		h.stop()
--- a/internal/front/leader/mandate.go
+++ b/internal/front/leader/mandate.go
@@ -11,13 +11,13 @@
 )
 
 // ErrLeadershipLost is returned to a task whose mandate has ended.
-var ErrLeadershipLost = merry.Sentinel("this host leads no more")
+var ErrLeadershipLost = merry.Sentinel("this host is no longer the leader")
 
-// Fence is asked right before a call of a leader is sent. It returns the fencing token for the call, and how long from
-// now it may take, whatever has come of it; or false if nothing may be sent.
+// Fence is called immediately before a call of the leader is sent. It returns the fencing token for the call and the
+// longest time that the call may take, including its abort; or false if the call must not be sent.
 type Fence func() (token uint64, left time.Duration, ok bool)
 
-// Mandate is what allows a task to act as the leader.
+// Mandate allows a task to act as the leader until the lease ends.
 type Mandate struct {
 	leader  *Leader
 	token   uint64
@@ -25,37 +25,38 @@
 	running sync.WaitGroup
 }
 
-// Fence is the Fence of the mandate: nothing may be sent once the lease has ended, or ends so soon that a call
-// could still be on its way when another host leads.
+// Fence implements the type Fence: no call may be sent once the lease has ended, or when it ends so soon that the
+// call could still be in flight while another host leads.
 func (m *Mandate) Fence() (token uint64, left time.Duration, ok bool) {
 	now := m.leader.parts.Clock()
 	m.leader.mu.Lock()
 	defer m.leader.mu.Unlock()
 	token, expires, ok := m.leader.lease.Holds(now)
-	if !ok || token != m.token || expires.Sub(now) < leastLeft {
+	if !ok || token != m.token || expires.Sub(now) < minTimeLeft {
 		return 0, 0, false
 	}
 	return token, expires.Sub(now) - lease.MaxFlightTime, true
 }
 
-// WriteRecords has records written to the store beside the lease, and returns once they are there.
+// WriteRecords writes records to the store together with the next renewal of the lease. It blocks until they are
+// written, the mandate has ended or ctx ends.
 func (m *Mandate) WriteRecords(ctx context.Context, records ...Record) error {
-	k := &keeping{records: records, done: make(chan struct{})}
+	p := &pendingWrite{records: records, done: make(chan struct{})}
 	l := m.leader
 	l.mu.Lock()
 	if l.mandate != m {
 		l.mu.Unlock()
 		return merry.Wrap(ErrLeadershipLost)
 	}
-	l.kept = append(l.kept, k)
+	l.pendingWrites = append(l.pendingWrites, p)
 	l.mu.Unlock()
 	l.wakeUp()
 	select {
-	case <-k.done:
+	case <-p.done:
 	case <-ctx.Done():
 		return merry.Wrap(ctx.Err())
 	}
-	if !k.written {
+	if !p.written {
 		return merry.Wrap(ErrLeadershipLost)
 	}
 	return nil
@@ -68,21 +69,21 @@
 	return m.leader.parts.Store.Records(ctx)
 }
 
-// Memo returns what leaders leave to their successors.
+// Memo returns the state that leaders pass on to their successors.
 func (m *Mandate) Memo() lease.Memo {
 	m.leader.mu.Lock()
 	defer m.leader.mu.Unlock()
 	return m.leader.memo
 }
 
-// UpdateMemo changes what is left to successors. It is stored with the next renewal.
+// UpdateMemo changes the state that is passed on to successors. It is stored with the next renewal.
 func (m *Mandate) UpdateMemo(change func(*lease.Memo)) {
 	m.leader.mu.Lock()
 	defer m.leader.mu.Unlock()
 	change(&m.leader.memo)
 }
 
-// RecordAnswer notes an answer of the provider, Unanswered a call that got none.
+// RecordAnswer records an answer of the provider.
 func (m *Mandate) RecordAnswer() {
 	m.leader.mu.Lock()
 	defer m.leader.mu.Unlock()
@@ -90,15 +91,15 @@
 	m.leader.memo.Failing = 0
 }
 
-// RecordNoAnswer notes a call to the provider that got no answer.
+// RecordNoAnswer records a call to the provider that got no answer.
 func (m *Mandate) RecordNoAnswer() {
 	m.leader.mu.Lock()
 	defer m.leader.mu.Unlock()
 	m.leader.provider.unanswered++
 }
 
-// Checkpointer is a task that has records for each renewal.
+// Checkpointer is a task that has records to write with each renewal.
 type Checkpointer interface {
-	// Checkpoint returns the records that have changed.
+	// Checkpoint returns the records that have changed since its last call.
 	Checkpoint() []Record
 }
--- a/internal/front/leader/rules.go
+++ b/internal/front/leader/rules.go
@@ -3,56 +3,59 @@
 import "time"
 
 const (
-	// lookInterval is the time between two looks at whether something is to be done: short against what is left of a
-	// lease whose holder fell silent.
-	lookInterval = 100 * time.Millisecond
-	// renewInterval is the time between two renewals: two may fail before a lease of 3 s ends. Each costs one call to
-	// the store.
+	// checkInterval is the time between two checks of whether the lease is due for an action. It is short compared
+	// with the rest of a lease whose holder has become unresponsive.
+	checkInterval = 100 * time.Millisecond
+	// renewInterval is the time between two renewals, each of which costs one call to the store. Two renewals may
+	// fail before a lease of 3 s ends.
 	renewInterval = time.Second
-	// retryInterval is the same after one that failed.
+	// retryInterval is the time to the next renewal after a failed one.
 	retryInterval = 300 * time.Millisecond
-	// storeTimeout bounds a call for the lease: a store that is sixty times slower than usual answers within 240 ms on
-	// the users' platform.
+	// storeTimeout is the timeout of a call to the store about the lease. On the users' platform, a store that is
+	// sixty times slower than usual answers within 240 ms.
 	storeTimeout = 700 * time.Millisecond
-	// standInterval is the mean time between two tries to take the lease after one that failed, standSpread the part of
-	// it over which they are spread.
-	standInterval = 500 * time.Millisecond
-	standSpread   = 1
-	// standStep is by how much later a host stands for each host before it: the first one has taken the lease and
-	// announced it by then. mostStandDelay bounds that.
-	standStep      = 150 * time.Millisecond
-	mostStandDelay = 4 * time.Second
-	// avoidTime is how long a host that gave up the lease lets others lead first.
-	avoidTime = 10 * time.Second
+	// takeRetryInterval is the mean time between two attempts to take the lease after a failed one. takeRetrySpread
+	// is the fraction of it over which the attempts are spread.
+	takeRetryInterval = 500 * time.Millisecond
+	takeRetrySpread   = 1
+	// takeDelayPerHost is the additional delay of a host's attempt for each live host before it in the order of
+	// hosts. In that time, the first host takes the lease and announces it. maxTakeDelay limits the sum.
+	takeDelayPerHost = 150 * time.Millisecond
+	maxTakeDelay     = 4 * time.Second
+	// standDownTime is how long a host that released the lease lets other hosts take it first.
+	standDownTime = 10 * time.Second
 )
 
-// standDelay returns how long a host with a number of hosts before it waits once the lease is free.
-func standDelay(before int) time.Duration {
-	return min(time.Duration(before)*standStep, mostStandDelay)
+// takeDelay returns how long a host waits after the lease has become free if a number of live hosts come before it.
+func takeDelay(before int) time.Duration {
+	return min(time.Duration(before)*takeDelayPerHost, maxTakeDelay)
 }
 
-// leastLeft is what must be left of the lease for a call to be sent: it must end lease.Flight before the lease does.
-// With renewals every second, more than that is left of a lease of 3 s unless one fails.
-const leastLeft = time.Second
+// minTimeLeft is the shortest rest of the lease with which a call may be sent, as the call must end
+// lease.MaxFlightTime before the lease does. With a renewal every second, the rest of a lease of 3 s is longer than
+// this unless a renewal fails.
+const minTimeLeft = time.Second
 
 const (
-	// unableAfter is how long the provider must not have answered a leader for it to let another host try, and
-	// leastUnanswered how many calls. Where it answers nobody, the time doubles with each leader that gives up, up to
-	// mostDoublings times. A report is due after 10 s on the users' platform.
-	unableAfter     = 2500 * time.Millisecond
-	leastUnanswered = 2
-	mostDoublings   = 5
+	// A leader releases the lease, so that another host can try, if the provider has answered none of its calls for
+	// providerTimeout and at least minUnanswered calls got no answer. The time doubles with each consecutive leader
+	// that got no answer, at most maxDoublings times, for the case that the provider answers no host. A report is due
+	// after 10 s on the users' platform.
+	providerTimeout = 2500 * time.Millisecond
+	minUnanswered   = 2
+	maxDoublings    = 5
 )
 
-// providerHealth is what a leader has seen of the provider.
+// providerHealth is a leader's record of the provider's answers.
 type providerHealth struct {
-	// answeredAt is when it last answered, or when the leader began; unanswered are the calls since.
+	// answeredAt is the time of the last answer, or the start of the leadership before the first one. unanswered is
+	// the number of calls without an answer since then.
 	answeredAt time.Time
 	unanswered int
 }
 
-// isUnable reports whether a leader should let another host try, after a number of leaders in a row that got
-// no answer.
-func (p *providerHealth) isUnable(now time.Time, failing int) bool {
-	return p.unanswered >= leastUnanswered && now.Sub(p.answeredAt) > unableAfter<<min(failing, mostDoublings)
+// isUnreachable reports whether a leader should release the lease, after a number of consecutive leaders that got no
+// answer.
+func (p *providerHealth) isUnreachable(now time.Time, failing int) bool {
+	return p.unanswered >= minUnanswered && now.Sub(p.answeredAt) > providerTimeout<<min(failing, maxDoublings)
 }
--- a/internal/front/leader/stand.go
+++ b/internal/front/leader/stand.go
@@ -7,14 +7,14 @@
 	"oxbowslip.dev/oxbowslip/internal/backoff"
 )
 
-// stand takes the lease if it is free and this host's turn.
-func (l *Leader) stand(ctx context.Context) {
-	if !l.mayStand() {
+// tryToTakeLease takes the lease if it is free and it is the turn of this host.
+func (l *Leader) tryToTakeLease(ctx context.Context) {
+	if !l.mayTryToTakeLease() {
 		return
 	}
 	answer, err := l.read(ctx)
 	if err != nil {
-		l.postpone(backoff.Spread(standInterval, standSpread, l.parts.Random()))
+		l.delayNextTry(backoff.Spread(takeRetryInterval, takeRetrySpread, l.parts.Random()))
 		return
 	}
 	now := l.parts.Clock()
@@ -23,21 +23,21 @@
 	wait := l.lease.WaitTime(now)
 	if wait > 0 {
 		l.mu.Unlock()
-		l.postpone(wait)
+		l.delayNextTry(wait)
 		return
 	}
 	l.memo = l.lease.Memo()
 	write := l.lease.Take(now)
 	l.mu.Unlock()
 	if !l.write(ctx, &write, nil) {
-		l.postpone(backoff.Spread(standInterval, standSpread, l.parts.Random()))
+		l.delayNextTry(backoff.Spread(takeRetryInterval, takeRetrySpread, l.parts.Random()))
 		return
 	}
-	l.begin()
+	l.startTasks()
 }
 
-// mayStand reports whether the lease seems to be free and it is this host's turn.
-func (l *Leader) mayStand() bool {
+// mayTryToTakeLease reports whether the lease appears to be free and it is the turn of this host.
+func (l *Leader) mayTryToTakeLease() bool {
 	if !l.parts.Peers.Settled() {
 		return false
 	}
@@ -51,11 +51,11 @@
 	if l.freeAt.IsZero() {
 		l.freeAt = now
 	}
-	return !now.Before(l.freeAt.Add(standDelay(before))) && !now.Before(l.avoidUntil)
+	return !now.Before(l.freeAt.Add(takeDelay(before))) && !now.Before(l.standDownUntil)
 }
 
-// postpone lets this host stand no sooner than after a wait.
-func (l *Leader) postpone(wait time.Duration) {
+// delayNextTry delays the next attempt to take the lease.
+func (l *Leader) delayNextTry(wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.freeAt = l.parts.Clock().Add(wait)
--- a/internal/front/lease/lease.go
+++ b/internal/front/lease/lease.go
@@ -1,24 +1,24 @@
-// Package lease decides when one host of a fleet may act for all of them. The lease is one row in the
-// deployment's store: a host takes it, renews it and gives it up by writes that the store does only if the
-// row is still the one that the host has seen.
+// Package lease implements the rules of the lease that lets one host of a fleet act as its leader. The lease is one
+// row in the deployment's store. Hosts take, renew and release it by conditional writes: the store applies a write
+// only if the row still has the version that the host has read.
 //
-// It owns the rules and this host's view of the row. It does no input or output and has no clock: package
-// leader makes the calls and reports what came of them, with this host's monotonic time around each. It
-// relies on the store for two things only: a conditional write is done whole or not at all, and the store's
-// own clock is steady. It does not rely on any host's time of day, on answers that arrive, or on the order in
-// which calls are done.
+// The package owns the rules and this host's view of the row. It does no input or output and reads no clock: package
+// leader makes the calls and passes in their results, with this host's monotonic time before and after each call. It
+// relies on two properties of the store: a conditional write is applied completely or not at all, and the store's own
+// clock is steady. It does not rely on any host's time of day, on the delivery of answers, or on the order in which
+// calls are applied.
 //
-// What holds, whatever is lost, late, frozen or repeated (TestModel):
+// These rules hold when messages are lost, delayed or repeated, and when hosts are suspended (TestModel):
 //
-//   - A host acts only until Duration after it sent the write that took or renewed the lease, by its own
-//     monotonic clock. Nobody takes the lease before that moment has passed.
-//   - Tokens rise from holder to holder, and no two holders have the same.
-//   - A host that held the lease takes it from another one only once Duration has passed since its own end,
-//     so that no two hosts act in turns within that time.
+//   - A host acts only until Duration after it sent the write that took or renewed the lease, by its own monotonic
+//     clock. No other host takes the lease before then.
+//   - Fencing tokens increase from holder to holder. No two holders have the same token.
+//   - A host that held the lease takes it from another host only once Duration has passed since its own lease ended.
+//     So two hosts don't act alternately within that time.
 //
-// The store may come back from an older copy, in a new era (package era). It may have lost the row then, or have an older one,
-// and its clock may be another. So what a row of an earlier era says does not count, and nobody takes the lease until a lease
-// that was given in that era has ended.
+// The store may be restored from an older backup, which starts a new era (package era). The row may then be lost or
+// out of date, and the store's clock may differ. So a row of an earlier era is ignored, and no host takes the lease
+// until a lease given in the earlier era must have ended.
 package lease
 
 import (
@@ -29,87 +29,88 @@
 	"oxbowslip.dev/oxbowslip/internal/front/freshness"
 )
 
-// Margin is how much longer than a lease lasts others wait before they take it: the clocks of hosts and of the store
-// drift apart by less than 1 ms within a lease of some seconds, and a host may take some ms between looking at its
-// lease and sending.
+// Margin is added to the duration of a lease before another host takes it. The clocks of hosts and store drift apart
+// by less than 1 ms within a lease of some seconds, and some milliseconds may pass between a host's check of its
+// lease and the sending of a call.
 const Margin = 100 * time.Millisecond
 
-// MaxFlightTime is how long bytes of a call may be on their way once it has been given up and its connection reset: on a link
-// whose queue is full. A holder's calls end that long before its lease, and one that gives the lease up keeps it that
-// long from others. Packets that wait for longer count as a fault of the machine on the users' platform.
+// MaxFlightTime is the longest time for which bytes of a call may still be in flight after the call was aborted and
+// its connection reset, on a link whose queue is full. A holder's calls end this long before its lease does, and a
+// released lease stays blocked for this long. Packets that are delayed for longer count as a fault of the machine on
+// the users' platform.
 const MaxFlightTime = 500 * time.Millisecond
 
-// maxDuration bounds what a record may say of how long it lasts, so that a faulty one does not keep the lease from all
+// maxDuration limits the duration that is read from a record, so that a faulty record can't block the lease for all
 // hosts.
 const maxDuration = time.Minute
 
 // Row is the row of the lease in the store.
 type Row struct {
-	// Version is the store's revision (package era) at which the row was written; 0 means that there is none.
+	// Version is the store's revision (package era) at which the row was written, or 0 if the row does not exist.
 	Version uint64
-	// Record is nil if the row can't be read: it was not written by a host.
+	// Record is nil if the row can't be decoded because no host wrote it.
 	Record *Record
 }
 
-// Record is what hosts write into the row.
+// Record is the content of the row, as hosts write it.
 type Record struct {
-	// Holder is the name of the host that holds the lease, or empty if it was given up.
+	// Holder is the name of the host that holds the lease, or empty if the lease was released.
 	Holder string `json:"holder"`
-	// Start distinguishes the holder's processes, Sequence counts the writes of one.
+	// Start identifies the holder's process. Sequence numbers the writes of that process.
 	Start    int64  `json:"start"`
 	Sequence uint64 `json:"sequence"`
 	// Token is the fencing token of the holder.
 	Token uint64 `json:"token"`
 	// Era is the era of the store in which the record was written.
 	Era uint64 `json:"era,omitzero"`
-	// Until is when the lease ends, by the store's clock in ns, or ended if it was given up. Duration is how
-	// long it lasts by the holder's settings, which may differ from this host's.
+	// Until is the time at which the lease ends, or ended if it was released, by the store's clock in ns. Duration is
+	// the length of the lease by the holder's settings, which may differ from this host's.
 	Until    freshness.StoreTime `json:"until"`
 	Duration time.Duration       `json:"duration"`
-	// Former are the hosts before the holder, as long as they must not take the lease again.
+	// Former lists the previous holders that must not take the lease again yet.
 	Former []FormerHolder `json:"former,omitzero"`
-	// Memo is what holders leave to their successors.
+	// Memo is the state that holders pass on to their successors.
 	Memo Memo `json:"memo,omitzero"`
 }
 
-// FormerHolder is a host that held the lease, and when its lease ended by the store's clock. Without a name it may be any:
-// the row could not be read.
+// FormerHolder is a host that held the lease, with the time at which its lease ended by the store's clock. An empty
+// name stands for any host: the row could not be read.
 type FormerHolder struct {
 	Host  string              `json:"host"`
 	Until freshness.StoreTime `json:"until"`
 }
 
-// Memo is what holders leave to their successors. The lease does not depend on it.
+// Memo is the state that holders pass on to their successors. The rules of the lease do not depend on it.
 type Memo struct {
-	// Reported is the newest window of usage up to which all have been reported.
+	// Reported is the newest usage window such that it and all windows before it have been reported.
 	Reported uint64 `json:"reported,omitzero"`
-	// TrueTime is the true time at the zero of the store's clock, in ns since 1970.
+	// TrueTime is the true time at the zero point of the store's clock, in ns since 1970.
 	TrueTime int64 `json:"true_time,omitzero"`
-	// Era is the era of the store in which a holder last made sure of what was reported.
+	// Era is the era of the store in which a holder last recovered the reports.
 	Era uint64 `json:"era,omitzero"`
-	// Failing counts the holders in a row that got no answer from the provider.
+	// Failing is the number of consecutive holders that got no answer from the provider.
 	Failing int `json:"failing,omitzero"`
 }
 
-// Answer is an answer of the store to a call about the row.
+// Answer is the store's answer to a call about the row.
 type Answer struct {
-	// Sent and Received are this host's monotonic clock around the call.
+	// Sent and Received are this host's monotonic time before and after the call.
 	Sent, Received time.Time
-	// At is the store's clock when it answered, Revision its newest revision then.
+	// At is the store's clock at the time of the answer. Revision is its newest revision at that time.
 	At       freshness.StoreTime
 	Revision uint64
-	// Row is the row as it was then. An answer to a write that was done does not have it.
+	// Row is the row at that time. It is not set in an answer to a write that was applied.
 	Row Row
 }
 
-// Write is a write of the row that the store is to do if the row has the expected version.
+// Write is a conditional write: the store applies it only if the row has the expected version.
 type Write struct {
 	Expected uint64
 	Record   Record
 }
 
-// grant is a lease that this host holds.
-type grant struct {
+// heldLease is a lease that this host holds.
+type heldLease struct {
 	token   uint64
 	expires time.Time
 }
@@ -121,48 +122,51 @@
 	duration time.Duration
 
 	sequence uint64
-	// sentAt is when each write was sent that may still be done or has just been, by its number.
+	// sentAt holds, by sequence number, the time at which each write was sent that may still be applied or was the
+	// last one applied.
 	sentAt map[uint64]time.Time
-	grant  *grant
+	held   *heldLease
 
-	// row is the newest that is known of the row, seenAt when this host first saw it.
-	row    Row
-	seenAt time.Time
+	// row is the newest known state of the row. rowSeenAt is the time at which this host first saw that version.
+	row       Row
+	rowSeenAt time.Time
 	// last is the newest answer.
 	last Answer
 }
 
-// New returns the view of a host that knows nothing. Start is a number that rises with each start of the
+// New returns a host's view that has not read the row yet. Start is a number that increases with each start of the
 // host's process.
 func New(host string, start int64, duration time.Duration) *Lease {
 	return &Lease{host: host, start: start, duration: duration, sentAt: make(map[uint64]time.Time)}
 }
 
-// Observe notes an answer that shows the row. An answer that is older than another one is ignored.
+// Observe updates the view from an answer that contains the row. It ignores an answer that is older than the newest
+// one.
 func (l *Lease) Observe(a Answer) {
 	if a.Revision < l.last.Revision {
 		return
 	}
 	if a.Row.Version != l.row.Version || era.Of(a.Revision) != era.Of(l.last.Revision) {
-		l.seenAt = a.Received
+		l.rowSeenAt = a.Received
 	}
 	l.last, l.row = a, a.Row
-	l.grant = l.grantOf(l.record())
+	l.held = l.heldBy(l.currentRecord())
 }
 
-// record returns what the row says, or nil if it can't be read or was written in an earlier era.
-func (l *Lease) record() *Record {
+// currentRecord returns the record of the row, or nil if it could not be decoded or was written in an earlier era.
+func (l *Lease) currentRecord() *Record {
 	if r := l.row.Record; r != nil && r.Era == era.Of(l.last.Revision) {
 		return r
 	}
 	return nil
 }
 
-// isFree reports whether nobody has ever held the lease: there is no row, and the store can't have lost it.
-func (l *Lease) isFree() bool { return l.row.Version == 0 && era.Of(l.last.Revision) == 0 }
+// wasNeverHeld reports whether no host has ever held the lease: the row does not exist, and the store was never
+// restored, so it can't have lost the row.
+func (l *Lease) wasNeverHeld() bool { return l.row.Version == 0 && era.Of(l.last.Revision) == 0 }
 
-// grantOf returns what this host holds by a record, or nil.
-func (l *Lease) grantOf(r *Record) *grant {
+// heldBy returns the lease that a record gives to this process, or nil if it gives none.
+func (l *Lease) heldBy(r *Record) *heldLease {
 	if r == nil || r.Holder != l.host || r.Start != l.start {
 		return nil
 	}
@@ -170,30 +174,31 @@
 	if !known {
 		return nil
 	}
-	return &grant{token: r.Token, expires: sent.Add(l.duration)}
+	return &heldLease{token: r.Token, expires: sent.Add(l.duration)}
 }
 
-// ObserveWrite notes that a write was done.
+// ObserveWrite updates the view after a write that the store has applied.
 func (l *Lease) ObserveWrite(w *Write, a Answer) {
 	a.Row = Row{Version: a.Revision, Record: &w.Record}
 	l.Observe(a)
 	for sequence := range l.sentAt {
 		if sequence < w.Record.Sequence {
-			// The store did a later write on the same row: it will never do this one.
+			// The store has applied a later write to the same row, so it can no longer apply this one.
 			delete(l.sentAt, sequence)
 		}
 	}
 }
 
-// Holds returns the token under which this host may act, and until when.
+// Holds returns the fencing token with which this host may act and the time until which it may, or false if it does
+// not hold the lease.
 func (l *Lease) Holds(now time.Time) (token uint64, until time.Time, ok bool) {
-	if l.grant == nil || !now.Before(l.grant.expires) {
+	if l.held == nil || !now.Before(l.held.expires) {
 		return 0, time.Time{}, false
 	}
-	return l.grant.token, l.grant.expires, true
+	return l.held.token, l.held.expires, true
 }
 
-// Memo returns what the last holder left.
+// Memo returns the memo of the last holder.
 func (l *Lease) Memo() Memo {
 	if l.row.Record == nil {
 		return Memo{}
@@ -201,103 +206,104 @@
 	return l.row.Record.Memo
 }
 
-// Row returns the row as it was last seen.
+// Row returns the newest known state of the row.
 func (l *Lease) Row() Row { return l.row }
 
-// WaitTime returns how long this host has to wait before it may take the lease, judged by the row as it was last
-// seen; 0 means that it may now.
+// WaitTime returns how long this host must wait before it may take the lease, according to the newest known row. It
+// returns 0 if the host may take it now.
 func (l *Lease) WaitTime(now time.Time) time.Duration {
-	if l.isFree() {
+	if l.wasNeverHeld() {
 		return 0
 	}
-	// Whatever the row says, the lease of a holder that has not renewed it ends by then.
-	longest := l.seenAt.Add(l.longestDuration() + Margin).Sub(now)
+	// A lease that is not renewed has ended by then, whatever the content of the row.
+	longest := l.rowSeenAt.Add(l.maxHolderDuration() + Margin).Sub(now)
 	wait := longest
-	if r := l.record(); r != nil {
-		wait = l.leftUntil(r.Until, now) + Margin
+	if r := l.currentRecord(); r != nil {
+		wait = l.maxTimeUntil(r.Until, now) + Margin
 		for _, former := range r.Former {
 			if former.Host == l.host || former.Host == "" {
-				wait = max(wait, l.leftUntil(former.Until, now)+l.duration+Margin)
+				wait = max(wait, l.maxTimeUntil(former.Until, now)+l.duration+Margin)
 			}
 		}
 	}
 	return max(min(wait, longest), 0)
 }
 
-// longestDuration returns how long the holder's lease lasts at the most.
-func (l *Lease) longestDuration() time.Duration {
+// maxHolderDuration returns an upper bound on the duration of the holder's lease.
+func (l *Lease) maxHolderDuration() time.Duration {
 	if r := l.row.Record; r != nil {
 		return max(l.duration, min(r.Duration, maxDuration))
 	}
 	return l.duration
 }
 
-// leftUntil returns how long it takes at most until the store's clock shows a time.
-func (l *Lease) leftUntil(t freshness.StoreTime, now time.Time) time.Duration {
-	// The clock showed At when the answer was sent, and so at the latest when it arrived.
-	least := l.last.At + freshness.StoreTime(now.Sub(l.last.Received))
-	return time.Duration(t - least)
+// maxTimeUntil returns an upper bound on the time until the store's clock reaches t.
+func (l *Lease) maxTimeUntil(t freshness.StoreTime, now time.Time) time.Duration {
+	// The store's clock read At when the answer was sent, which was no later than its arrival here.
+	earliest := l.last.At + freshness.StoreTime(now.Sub(l.last.Received))
+	return time.Duration(t - earliest)
 }
 
-// latest returns the latest that the store's clock may show.
-func (l *Lease) latest(now time.Time) freshness.StoreTime {
+// latestStoreTime returns an upper bound on the current reading of the store's clock.
+func (l *Lease) latestStoreTime(now time.Time) freshness.StoreTime {
 	return l.last.At + freshness.StoreTime(now.Sub(l.last.Sent))
 }
 
-// Take returns the write that takes the lease. The row must have been seen, and Wait must be over.
+// Take returns the write that takes the lease. The caller must have read the row, and WaitTime must return 0.
 func (l *Lease) Take(now time.Time) Write {
 	record := Record{Token: l.last.Revision + 1}
 	record.Memo = l.Memo()
-	before := l.record()
+	before := l.currentRecord()
 	switch {
 	case before != nil:
 		record.Token = max(record.Token, before.Token+1)
-		record.Former = l.formerHosts(now)
+		record.Former = l.blockedFormerHolders(now)
 		if before.Holder != "" && before.Holder != l.host {
 			record.Former = append(record.Former, FormerHolder{Host: before.Holder, Until: before.Until})
 		}
-	case !l.isFree():
-		record.Former = []FormerHolder{{Until: l.latest(now)}}
+	case !l.wasNeverHeld():
+		record.Former = []FormerHolder{{Until: l.latestStoreTime(now)}}
 	}
-	return l.write(now, record)
+	return l.holderWrite(now, record)
 }
 
-// Renew returns the write that renews a lease which this host holds.
+// Renew returns the write that renews the lease. This host must hold it.
 func (l *Lease) Renew(now time.Time, memo Memo) Write {
 	record := Record{Token: l.row.Record.Token, Former: l.row.Record.Former, Memo: memo}
-	return l.write(now, record)
+	return l.holderWrite(now, record)
 }
 
-// write completes a write that takes or renews the lease.
-func (l *Lease) write(now time.Time, record Record) Write {
+// holderWrite returns a write that makes this host the holder, from now for the duration of a lease.
+func (l *Lease) holderWrite(now time.Time, record Record) Write {
 	record.Holder, record.Duration = l.host, l.duration
-	record.Until = l.latest(now) + freshness.StoreTime(l.duration)
-	w := l.numbered(record)
+	record.Until = l.latestStoreTime(now) + freshness.StoreTime(l.duration)
+	w := l.newWrite(record)
 	l.sentAt[w.Record.Sequence] = now
 	return w
 }
 
-// Release returns the write that gives up a lease which this host holds, as of Flight from now. From now on it does
-// not act, whatever becomes of that write and of those before it. Its calls must have ended.
+// Release returns the write that releases the lease, with effect after MaxFlightTime. This host must hold the lease,
+// and its calls must have ended. From now on it does not act, whether or not the store applies this write or earlier
+// ones.
 func (l *Lease) Release(now time.Time, memo Memo) Write {
-	l.grant = nil
+	l.held = nil
 	clear(l.sentAt)
-	until := l.latest(now) + freshness.StoreTime(MaxFlightTime)
-	former := append(l.formerHosts(now), FormerHolder{Host: l.host, Until: until})
-	return l.numbered(Record{Token: l.row.Record.Token, Until: until, Former: former, Memo: memo})
+	until := l.latestStoreTime(now) + freshness.StoreTime(MaxFlightTime)
+	former := append(l.blockedFormerHolders(now), FormerHolder{Host: l.host, Until: until})
+	return l.newWrite(Record{Token: l.row.Record.Token, Until: until, Former: former, Memo: memo})
 }
 
-// numbered returns a write with the next number.
-func (l *Lease) numbered(record Record) Write {
+// newWrite returns a write with the next sequence number.
+func (l *Lease) newWrite(record Record) Write {
 	l.sequence++
 	record.Start, record.Sequence, record.Era = l.start, l.sequence, era.Of(l.last.Revision)
 	return Write{Expected: l.row.Version, Record: record}
 }
 
-// formerHosts returns the hosts of the row that held the lease before its holder, without this one and those
-// that may take the lease again.
-func (l *Lease) formerHosts(now time.Time) []FormerHolder {
+// blockedFormerHolders returns the former holders in the row that must not take the lease again yet, without this
+// host.
+func (l *Lease) blockedFormerHolders(now time.Time) []FormerHolder {
 	return slices.DeleteFunc(slices.Clone(l.row.Record.Former), func(f FormerHolder) bool {
-		return f.Host == l.host || l.leftUntil(f.Until, now)+l.duration+Margin <= 0
+		return f.Host == l.host || l.maxTimeUntil(f.Until, now)+l.duration+Margin <= 0
 	})
 }
--- a/internal/front/lease/model_test.go
+++ b/internal/front/lease/model_test.go
@@ -15,41 +15,42 @@
 	"oxbowslip.dev/oxbowslip/internal/front/freshness"
 )
 
-// The model: some hosts, each with a clock of its own speed, a store whose answers are late or lost, whose
-// writes are lost or done late, and which comes back from older copies with another clock, another writer that spoils the row, and calls of the holders that arrive at the
-// provider. Hosts freeze by not being chosen while time passes. All orders of events are played to a depth, and
-// random ones far deeper. What must hold is checked from what the provider receives.
+// The model consists of hosts, each with a clock of its own rate, a store, and a provider that receives the holders'
+// calls. The store's answers are delayed or lost, its writes are lost or applied late, another writer overwrites the
+// row, and the store is restored from older backups with a different clock. A host is suspended when no event of its
+// own is chosen while time passes. The tests play every order of events up to a depth, and random orders that are far
+// longer. The rules are checked on the calls that the provider receives.
 
 var (
-	modelDepth = flag.Int("model.depth", 4, "events of each order that is played of all")
-	modelWalks = flag.Int("model.walks", 3000, "random orders")
-	modelSeed  = flag.Uint64("model.seed", 1, "seed of the random orders")
+	modelDepth  = flag.Int("model.depth", 4, "number of events in the exhaustive search")
+	modelOrders = flag.Int("model.walks", 3000, "number of random orders of events")
+	modelSeed   = flag.Uint64("model.seed", 1, "seed of the random orders of events")
 )
 
 const (
-	leaseTime = 3 * time.Second
-	walkDepth = 40
-	// mutantWalks is how many random orders are played at the most to find a mutant.
-	mutantWalks = 30000
+	leaseTime   = 3 * time.Second
+	randomDepth = 40
+	// maxMutantOrders is the largest number of random orders that are played to find a mutant.
+	maxMutantOrders = 30000
 )
 
-// mutant is a fault that the model must find.
+// mutant is a fault in the rules that the model must find.
 type mutant string
 
 // The mutants.
 const (
-	noMutant          mutant = ""
-	countsFromAnswer  mutant = "a renewal counts from its answer"
-	doesNotWait       mutant = "a successor does not wait"
-	tokenFromMemory   mutant = "the token comes from memory"
-	doesNotLook       mutant = "a holder does not look before it sends"
-	forgetsFormer     mutant = "former holders are not remembered"
-	believesOldWrites mutant = "a host that gave the lease up counts its earlier writes"
-	standsStill       mutant = "the clock of a host stands still while it is suspended"
-	knowsNoEras       mutant = "versions of different eras are compared"
-	believesOldRows   mutant = "a row of an earlier era counts"
-	takesLostRows     mutant = "nobody waits for a lease whose row was lost"
-	tokensGoBack      mutant = "tokens are numbers without the era"
+	noMutant                 mutant = ""
+	renewalCountsFromAnswer  mutant = "a renewal counts from the arrival of its answer"
+	successorDoesNotWait     mutant = "a successor does not wait for the lease to end"
+	tokenFromMemory          mutant = "the token is counted in the host's memory"
+	noCheckBeforeCall        mutant = "a holder does not check its lease before a call"
+	formerHoldersDropped     mutant = "former holders are left out of the record"
+	writesBeforeReleaseCount mutant = "writes sent before a release still count"
+	clockStopsInSuspension   mutant = "a host's clock stops while it is suspended"
+	erasIgnored              mutant = "versions of different eras are compared"
+	rowsOfEarlierErasCount   mutant = "a row of an earlier era is valid"
+	noWaitAfterLostRow       mutant = "hosts do not wait for a lease whose row was lost"
+	tokenWithoutEra          mutant = "tokens do not contain the era"
 )
 
 // arrival is a call that reaches the provider.
@@ -59,54 +60,55 @@
 	token uint64
 }
 
-// writing is a write that the store may still do, of a start of a host.
-type writing struct {
+// lateWrite is a write of one process of a host that the store may still apply.
+type lateWrite struct {
 	host  int
 	start int64
 	sent  time.Time
 	write Write
 }
 
-// table is what the store has. The version of its row is a number in the era.
-type table struct {
+// storeState is the content of the store. The version of its row is a number without the era.
+type storeState struct {
 	revision uint64
 	row      Row
 }
 
-// keptCopies is how many states of the store it may come back from.
-const keptCopies = 3
+// maxBackups is the number of earlier states that the store may be restored from.
+const maxBackups = 3
 
-// modelHost is one host.
+// modelHost is one host of the model.
 type modelHost struct {
 	lease *Lease
 	name  string
 	start int64
-	// rate is the speed of its clock.
+	// rate is the rate of its clock.
 	rate float64
-	// asleep is how long it was suspended, for a mutant whose clock does not count that.
-	asleep time.Duration
-	// seen is set once it has read the row, memory is a token that a mutant remembers.
-	seen   bool
-	memory uint64
+	// suspended is the total time that the host was suspended, for the mutant whose clock doesn't count it.
+	suspended time.Duration
+	// hasRead is set once the host has read the row. rememberedToken is the token that a mutant keeps in memory.
+	hasRead         bool
+	rememberedToken uint64
 }
 
-// model is the state of everything.
+// model is the state of the whole model.
 type model struct {
 	mutant mutant
 	now    time.Duration
-	table
-	// copies are the states before, the newest last. The store's clock says shift more than the time.
-	copies   []table
-	era      uint64
-	shift    time.Duration
-	hosts    []*modelHost
-	late     []writing
-	arrivals []arrival
-	trace    []string
+	storeState
+	// backups are the earlier states, newest last. clockShift is the difference of the store's clock to the model's
+	// time.
+	backups    []storeState
+	era        uint64
+	clockShift time.Duration
+	hosts      []*modelHost
+	late       []lateWrite
+	arrivals   []arrival
+	trace      []string
 }
 
 func newModel(m mutant, hosts int) *model {
-	all := &model{mutant: m, table: table{revision: 7}}
+	all := &model{mutant: m, storeState: storeState{revision: 7}}
 	rates := []float64{1, 1.0005, 0.9995}
 	for i := range hosts {
 		h := &modelHost{name: string(rune('A' + i)), rate: rates[i]}
@@ -119,21 +121,22 @@
 // restart starts a host's process anew.
 func (w *model) restart(h *modelHost) {
 	h.start++
-	h.lease, h.seen = New(h.name, h.start, leaseTime), false
+	h.lease, h.hasRead = New(h.name, h.start, leaseTime), false
 }
 
-// local returns a host's clock.
-func (w *model) local(h *modelHost) time.Time {
-	return time.Unix(1000, 0).Add(time.Duration(float64(w.now-h.asleep) * h.rate))
+// localTime returns the reading of a host's clock.
+func (w *model) localTime(h *modelHost) time.Time {
+	return time.Unix(1000, 0).Add(time.Duration(float64(w.now-h.suspended) * h.rate))
 }
 
-// answer returns the store's answer to a call that was sent at a time and arrives now.
-func (w *model) answer(h *modelHost, sent time.Time, at time.Duration, t table) Answer {
-	answer := Answer{Sent: sent, Received: w.local(h), At: freshness.StoreTime(at+w.shift) + 1e9, Revision: w.inEra(t.revision), Row: t.row}
+// answer returns the store's answer, made at a time, to a call that was sent at a local time and whose answer arrives
+// now.
+func (w *model) answer(h *modelHost, sent time.Time, at time.Duration, t storeState) Answer {
+	answer := Answer{Sent: sent, Received: w.localTime(h), At: freshness.StoreTime(at+w.clockShift) + 1e9, Revision: w.revisionOf(t.revision), Row: t.row}
 	if t.row.Version > 0 {
-		answer.Row.Version = w.inEra(t.row.Version)
+		answer.Row.Version = w.revisionOf(t.row.Version)
 	}
-	if w.mutant == believesOldRows && t.row.Record != nil {
+	if w.mutant == rowsOfEarlierErasCount && t.row.Record != nil {
 		record := *t.row.Record
 		record.Era = w.era
 		answer.Row.Record = &record
@@ -141,9 +144,9 @@
 	return answer
 }
 
-// inEra returns the revision of a number now.
-func (w *model) inEra(number uint64) uint64 {
-	if w.mutant == knowsNoEras {
+// revisionOf returns the revision of a number in the current era.
+func (w *model) revisionOf(number uint64) uint64 {
+	if w.mutant == erasIgnored {
 		return number
 	}
 	revision, err := era.Revision(w.era, number)
@@ -153,69 +156,70 @@
 	return revision
 }
 
-// change has the store write the row.
-func (w *model) change(record *Record) {
-	w.copies = append(slices.Clone(w.copies[max(len(w.copies)-keptCopies+1, 0):]), w.table)
+// writeRow writes the row in the store.
+func (w *model) writeRow(record *Record) {
+	w.backups = append(slices.Clone(w.backups[max(len(w.backups)-maxBackups+1, 0):]), w.storeState)
 	w.revision++
 	w.row = Row{Version: w.revision, Record: record}
 }
 
-// restore has the store come back from a copy, with a clock that says less.
+// restore restores the store from a backup, with a clock that was set back.
 func (w *model) restore(i int) {
-	w.table, w.copies = w.copies[i], slices.Clone(w.copies[:i])
+	w.storeState, w.backups = w.backups[i], slices.Clone(w.backups[:i])
 	w.era++
-	w.shift -= 2 * leaseTime
+	w.clockShift -= 2 * leaseTime
 }
 
-// do has the store do a write, and reports whether its condition held.
-func (w *model) do(write *Write) bool {
+// applyWrite applies a write in the store, and reports whether the write's condition held.
+func (w *model) applyWrite(write *Write) bool {
 	if w.row.Version != era.Number(write.Expected) {
 		return false
 	}
 	record := write.Record
-	w.change(&record)
+	w.writeRow(&record)
 	return true
 }
 
-// fate is what becomes of a call.
-type fate int
+// callOutcome is the outcome of a call.
+type callOutcome int
 
-// The fates.
+// The outcomes.
 const (
-	answered fate = iota
-	// slow is answered after a third of a lease.
-	slow
-	// unanswered is done without an answer, lost is not done, doneLate is done some time later.
-	unanswered
-	lost
-	doneLate
-	fates
+	outcomeAnswered callOutcome = iota
+	// outcomeSlow delays the answer by a third of a lease.
+	outcomeSlow
+	// outcomeUnanswered applies the write and loses the answer. outcomeLost loses the write. outcomeAppliedLate
+	// applies it some time later.
+	outcomeUnanswered
+	outcomeLost
+	outcomeAppliedLate
+	numOutcomes
 )
 
-// weights are how often the fates come.
-var weights = [fates]int{answered: 18, slow: 4, unanswered: 4, lost: 4, doneLate: 4}
+// outcomeWeights are the relative frequencies of the outcomes.
+var outcomeWeights = [numOutcomes]int{outcomeAnswered: 18, outcomeSlow: 4, outcomeUnanswered: 4, outcomeLost: 4, outcomeAppliedLate: 4}
 
-// event is one thing that may happen. In random orders it is as likely as its weight says: what hosts do in a row
-// comes often, so that walks get far.
+// event is an event that is possible in the current state. In random orders its probability is proportional to its
+// weight. The steps of a normal sequence have high weights, so that random orders get through many leases.
 type event struct {
 	name   string
 	weight int
 	play   func()
 }
 
-// events returns all that may happen now.
+// events returns all possible events in the current state.
 func (w *model) events() []event {
 	events := []event{
 		{"time: a third of a lease", 6, func() { w.now += leaseTime / 3 }},
 		{"time: a lease", 1, func() { w.now += leaseTime + 2*Margin }},
-		{"another writer spoils the row", 1, func() { w.change(nil) }},
+		{"another writer overwrites the row", 1, func() { w.writeRow(nil) }},
 	}
-	for i := range w.copies {
-		events = append(events, event{fmt.Sprintf("the store comes back from copy %d", i), 1, func() { w.restore(i) }})
+	for i := range w.backups {
+		events = append(events, event{fmt.Sprintf("the store is restored from backup %d", i), 1, func() { w.restore(i) }})
 	}
 	for i := range w.late {
 		name := "a late write of " + w.hosts[w.late[i].host].name
-		events = append(events, event{name, 3, func() { w.doLate(i) }}, event{name + ", answered", 2, func() { w.answerLate(i) }})
+		events = append(events, event{name, 3, func() { w.applyLate(i) }}, event{name + ", answered", 2, func() { w.applyLateAndAnswer(i) }})
 	}
 	for i := range w.hosts {
 		events = append(events, w.eventsOf(i)...)
@@ -223,171 +227,171 @@
 	return events
 }
 
-// doLate does a late write, and reports whether its condition held.
-func (w *model) doLate(i int) (late writing, done bool) {
+// applyLate applies a late write, and reports whether its condition held.
+func (w *model) applyLate(i int) (late lateWrite, done bool) {
 	late = w.late[i]
 	w.late = slices.Delete(slices.Clone(w.late), i, i+1)
-	return late, w.do(&late.write)
+	return late, w.applyWrite(&late.write)
 }
 
-// answerLate does a late write and answers it, if its host has not started again.
-func (w *model) answerLate(i int) {
-	late, done := w.doLate(i)
+// applyLateAndAnswer applies a late write, and delivers the answer if the host has not restarted since.
+func (w *model) applyLateAndAnswer(i int) {
+	late, done := w.applyLate(i)
 	if h := w.hosts[late.host]; h.start == late.start {
-		w.answered(h, &late.write, done, w.answer(h, late.sent, w.now, w.table))
+		w.deliverAnswer(h, &late.write, done, w.answer(h, late.sent, w.now, w.storeState))
 	}
 }
 
-// eventsOf returns what a host may do now.
+// eventsOf returns the possible events of one host.
 func (w *model) eventsOf(i int) []event {
 	h := w.hosts[i]
-	now := w.local(h)
+	now := w.localTime(h)
 	_, _, holds := h.lease.Holds(now)
 	events := []event{
-		{h.name + " reads", 6, func() { w.read(h, answered) }},
-		{h.name + " reads slowly", 1, func() { w.read(h, slow) }},
-		{h.name + " starts again", 1, func() { w.restart(h) }},
+		{h.name + " reads", 6, func() { w.read(h, outcomeAnswered) }},
+		{h.name + " reads slowly", 1, func() { w.read(h, outcomeSlow) }},
+		{h.name + " restarts", 1, func() { w.restart(h) }},
 		{h.name + " is suspended", 2, func() { w.suspend(h) }},
 	}
-	mayTake := h.lease.WaitTime(now) == 0 || w.mutant == doesNotWait || (w.mutant == takesLostRows && h.lease.row.Version == 0)
-	if !holds && h.seen && mayTake {
-		for f := range fates {
-			events = append(events, event{fmt.Sprintf("%s takes the lease (%d)", h.name, f), weights[f], func() { w.write(i, w.take(h), f) }})
+	mayTake := h.lease.WaitTime(now) == 0 || w.mutant == successorDoesNotWait || (w.mutant == noWaitAfterLostRow && h.lease.row.Version == 0)
+	if !holds && h.hasRead && mayTake {
+		for f := range numOutcomes {
+			events = append(events, event{fmt.Sprintf("%s takes the lease (%d)", h.name, f), outcomeWeights[f], func() { w.write(i, w.take(h), f) }})
 		}
 	}
 	if holds {
-		for f := range fates {
-			events = append(events, event{fmt.Sprintf("%s renews (%d)", h.name, f), weights[f] / 3, func() { w.write(i, h.lease.Renew(now, Memo{}), f) }})
-			events = append(events, event{fmt.Sprintf("%s gives the lease up (%d)", h.name, f), weights[f] / 3, func() { w.release(i, f) }})
+		for f := range numOutcomes {
+			events = append(events, event{fmt.Sprintf("%s renews (%d)", h.name, f), outcomeWeights[f] / 3, func() { w.write(i, h.lease.Renew(now, Memo{}), f) }})
+			events = append(events, event{fmt.Sprintf("%s releases the lease (%d)", h.name, f), outcomeWeights[f] / 3, func() { w.release(i, f) }})
 		}
 	}
-	if holds || (w.mutant == doesNotLook && h.lease.grant != nil) {
-		events = append(events, event{h.name + " acts", 12, func() { w.act(h, false) }}, event{h.name + " acts, and the call takes long", 3, func() { w.act(h, true) }})
+	if holds || (w.mutant == noCheckBeforeCall && h.lease.held != nil) {
+		events = append(events, event{h.name + " calls the provider", 12, func() { w.callProvider(h, false) }}, event{h.name + " calls the provider, and the call takes until the end of the lease", 3, func() { w.callProvider(h, true) }})
 	}
 	return events
 }
 
-// suspend has a host suspended for a third of a lease. Its clock counts that time.
+// suspend suspends a host for a third of a lease. Its clock counts that time.
 func (w *model) suspend(h *modelHost) {
 	w.now += leaseTime / 3
-	if w.mutant == standsStill {
-		h.asleep += leaseTime / 3
+	if w.mutant == clockStopsInSuspension {
+		h.suspended += leaseTime / 3
 	}
 }
 
-func (w *model) read(h *modelHost, f fate) {
-	sent, at := w.local(h), w.now
-	if f == slow {
+func (w *model) read(h *modelHost, f callOutcome) {
+	sent, at := w.localTime(h), w.now
+	if f == outcomeSlow {
 		w.now += leaseTime / 3
 	}
-	h.lease.Observe(w.answer(h, sent, at, w.table))
-	h.seen = true
+	h.lease.Observe(w.answer(h, sent, at, w.storeState))
+	h.hasRead = true
 }
 
 func (w *model) take(h *modelHost) Write {
-	write := h.lease.Take(w.local(h))
+	write := h.lease.Take(w.localTime(h))
 	if w.mutant == tokenFromMemory {
-		h.memory++
-		write.Record.Token = h.memory
+		h.rememberedToken++
+		write.Record.Token = h.rememberedToken
 	}
-	if w.mutant == tokensGoBack {
+	if w.mutant == tokenWithoutEra {
 		write.Record.Token = era.Number(write.Record.Token)
 	}
-	if w.mutant == forgetsFormer {
+	if w.mutant == formerHoldersDropped {
 		write.Record.Former = nil
 	}
 	return write
 }
 
-func (w *model) release(i int, f fate) {
+func (w *model) release(i int, f callOutcome) {
 	h := w.hosts[i]
 	sent := make(map[uint64]time.Time)
 	for sequence, at := range h.lease.sentAt {
 		sent[sequence] = at
 	}
-	// Its calls under way are reset.
+	// The calls in flight are reset.
 	for n := range w.arrivals {
 		if w.arrivals[n].host == h.name {
 			w.arrivals[n].at = min(w.arrivals[n].at, w.now+MaxFlightTime)
 		}
 	}
-	write := h.lease.Release(w.local(h), Memo{})
-	if w.mutant == forgetsFormer {
+	write := h.lease.Release(w.localTime(h), Memo{})
+	if w.mutant == formerHoldersDropped {
 		write.Record.Former = nil
 	}
-	if w.mutant == believesOldWrites {
+	if w.mutant == writesBeforeReleaseCount {
 		h.lease.sentAt = sent
 	}
 	w.write(i, write, f)
 }
 
-// write sends a write of a host.
-func (w *model) write(i int, write Write, f fate) {
+// write sends a write of a host to the store.
+func (w *model) write(i int, write Write, f callOutcome) {
 	h := w.hosts[i]
-	sent, at := w.local(h), w.now
+	sent, at := w.localTime(h), w.now
 	switch f {
-	case lost:
+	case outcomeLost:
 		return
-	case doneLate:
-		w.late = append(slices.Clone(w.late), writing{host: i, start: h.start, sent: sent, write: write})
+	case outcomeAppliedLate:
+		w.late = append(slices.Clone(w.late), lateWrite{host: i, start: h.start, sent: sent, write: write})
 		return
 	}
-	done := w.do(&write)
-	if f == unanswered {
+	done := w.applyWrite(&write)
+	if f == outcomeUnanswered {
 		return
 	}
-	if f == slow {
+	if f == outcomeSlow {
 		w.now += leaseTime / 3
 	}
-	w.answered(h, &write, done, w.answer(h, sent, at, w.table))
+	w.deliverAnswer(h, &write, done, w.answer(h, sent, at, w.storeState))
 }
 
-// answered hands the answer to a write to its host.
-func (w *model) answered(h *modelHost, write *Write, done bool, answer Answer) {
+// deliverAnswer passes the answer to a write to its host.
+func (w *model) deliverAnswer(h *modelHost, write *Write, done bool, answer Answer) {
 	if done {
 		h.lease.ObserveWrite(write, answer)
 	} else {
 		h.lease.Observe(answer)
 	}
-	if w.mutant == countsFromAnswer && h.lease.grant != nil {
-		h.lease.grant.expires = answer.Received.Add(leaseTime)
+	if w.mutant == renewalCountsFromAnswer && h.lease.held != nil {
+		h.lease.held.expires = answer.Received.Add(leaseTime)
 	}
 }
 
-// act sends a call to the provider. It arrives at once, or at the end of the lease.
-func (w *model) act(h *modelHost, long bool) {
-	a := arrival{at: w.now, host: h.name, token: h.lease.grant.token}
-	if left := time.Duration(float64(h.lease.grant.expires.Sub(w.local(h))) / h.rate); long && left > 0 {
+// callProvider sends a call to the provider, which arrives immediately or, if it is long, at the end of the lease.
+func (w *model) callProvider(h *modelHost, long bool) {
+	a := arrival{at: w.now, host: h.name, token: h.lease.held.token}
+	if left := time.Duration(float64(h.lease.held.expires.Sub(w.localTime(h))) / h.rate); long && left > 0 {
 		a.at += left
 	}
 	w.arrivals = append(slices.Clone(w.arrivals), a)
 }
 
-// broken returns what must hold and does not, or nothing.
-func (w *model) broken() string {
+// violation returns the rule that is violated, or an empty string.
+func (w *model) violation() string {
 	arrivals := slices.SortedStableFunc(slices.Values(w.arrivals), func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
 	holders := make(map[uint64]string)
 	for i, a := range arrivals {
 		if i > 0 && a.token < arrivals[i-1].token {
-			return "a lower token after a higher one"
+			return "a call with a lower token after one with a higher token"
 		}
 		if holder, ok := holders[a.token]; ok && holder != a.host {
 			return "two holders with the same token"
 		}
 		holders[a.token] = a.host
-		between := false
+		otherBetween := false
 		for j := i - 1; j >= 0 && a.at-arrivals[j].at <= leaseTime; j-- {
 			if arrivals[j].host != a.host {
-				between = true
-			} else if between {
-				return "two hosts act in turns"
+				otherBetween = true
+			} else if otherBetween {
+				return "two hosts act alternately within the duration of a lease"
 			}
 		}
 	}
 	return ""
 }
 
-// clone returns a copy, to go on from in several ways.
+// clone returns a deep copy, from which the search continues with another event.
 func (w *model) clone() *model {
 	c := *w
 	c.hosts = nil
@@ -397,9 +401,9 @@
 		for sequence, at := range h.lease.sentAt {
 			l.sentAt[sequence] = at
 		}
-		if l.grant != nil {
-			g := *l.grant
-			l.grant = &g
+		if l.held != nil {
+			g := *l.held
+			l.held = &g
 		}
 		copied.lease = &l
 		c.hosts = append(c.hosts, &copied)
@@ -408,17 +412,17 @@
 	return &c
 }
 
-// signature returns the same text for states from which the same can follow.
+// signature returns the same text for states with the same possible continuations.
 func (w *model) signature() string {
-	text := fmt.Sprint(w.row.Version, w.revision, recordText(w.row.Record), w.now, w.era, w.shift)
-	for _, c := range w.copies {
+	text := fmt.Sprint(w.row.Version, w.revision, recordText(w.row.Record), w.now, w.era, w.clockShift)
+	for _, c := range w.backups {
 		text += fmt.Sprint("|copy", c.row.Version, c.revision, recordText(c.row.Record))
 	}
 	for _, h := range w.hosts {
 		l := h.lease
-		text += fmt.Sprint("|", h.start, h.seen, l.sequence, l.sentAt, l.row.Version, recordText(l.row.Record), l.seenAt.UnixNano(), l.last.At, l.last.Revision)
-		if l.grant != nil {
-			text += fmt.Sprint(*l.grant)
+		text += fmt.Sprint("|", h.start, h.hasRead, l.sequence, l.sentAt, l.row.Version, recordText(l.row.Record), l.rowSeenAt.UnixNano(), l.last.At, l.last.Revision)
+		if l.held != nil {
+			text += fmt.Sprint(*l.held)
 		}
 	}
 	for _, late := range w.late {
@@ -434,10 +438,10 @@
 	return fmt.Sprint(*r)
 }
 
-// playAll plays all orders of events to a depth, and returns the first that breaks what must hold.
+// playAll plays all orders of events up to a depth, and returns the first one that violates a rule.
 func (w *model) playAll(depth int, seen map[string]int) string {
-	if broken := w.broken(); broken != "" {
-		return fmt.Sprintf("%s: %q", broken, w.trace)
+	if violation := w.violation(); violation != "" {
+		return fmt.Sprintf("%s: %q", violation, w.trace)
 	}
 	if depth == 0 {
 		return ""
@@ -450,8 +454,8 @@
 	for i := range w.events() {
 		next := w.clone()
 		next.playEvent(i)
-		if broken := next.playAll(depth-1, seen); broken != "" {
-			return broken
+		if violation := next.playAll(depth-1, seen); violation != "" {
+			return violation
 		}
 	}
 	return ""
@@ -463,21 +467,21 @@
 	e.play()
 }
 
-// walk plays a random order of events.
-func walk(m mutant, seed uint64) string {
+// playRandom plays one random order of events.
+func playRandom(m mutant, seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 0))
 	w := newModel(m, 2+int(seed%2))
-	for range walkDepth {
-		w.playEvent(pick(w.events(), random))
-		if broken := w.broken(); broken != "" {
-			return fmt.Sprintf("seed %d: %s: %q", seed, broken, w.trace)
+	for range randomDepth {
+		w.playEvent(pickEvent(w.events(), random))
+		if violation := w.violation(); violation != "" {
+			return fmt.Sprintf("seed %d: %s: %q", seed, violation, w.trace)
 		}
 	}
 	return ""
 }
 
-// pick returns the place of a random event.
-func pick(events []event, random *rand.Rand) int {
+// pickEvent returns the index of a random event.
+func pickEvent(events []event, random *rand.Rand) int {
 	sum := 0
 	for _, e := range events {
 		sum += e.weight
@@ -491,11 +495,11 @@
 	return 0
 }
 
-// walks plays random orders until one breaks what must hold.
-func walks(m mutant, number int) string {
+// playRandomOrders plays random orders until one violates a rule, and returns that one.
+func playRandomOrders(m mutant, number int) string {
 	for n := range number {
-		if broken := walk(m, *modelSeed*1_000_000+uint64(n)); broken != "" {
-			return broken
+		if violation := playRandom(m, *modelSeed*1_000_000+uint64(n)); violation != "" {
+			return violation
 		}
 	}
 	return ""
@@ -503,20 +507,20 @@
 
 func TestModel(t *testing.T) {
 	c := qt.New(t)
-	// The row must have been read before anything can happen to it: that is not worth events.
+	// Nothing can happen before a host has read the row, so the search starts after the first reads.
 	w := newModel(noMutant, 2)
 	for _, h := range w.hosts {
-		w.read(h, answered)
+		w.read(h, outcomeAnswered)
 	}
 	c.Check(w.playAll(*modelDepth, make(map[string]int)), qt.Equals, "")
-	c.Check(walks(noMutant, *modelWalks), qt.Equals, "")
+	c.Check(playRandomOrders(noMutant, *modelOrders), qt.Equals, "")
 }
 
-// TestModelFindsMutants shows that the model finds each fault that the rules are there for.
+// TestModelFindsMutants checks that the model detects each fault that the rules prevent.
 func TestModelFindsMutants(t *testing.T) {
-	for _, m := range []mutant{countsFromAnswer, doesNotWait, tokenFromMemory, doesNotLook, forgetsFormer, believesOldWrites, standsStill, knowsNoEras, believesOldRows, takesLostRows, tokensGoBack} {
+	for _, m := range []mutant{renewalCountsFromAnswer, successorDoesNotWait, tokenFromMemory, noCheckBeforeCall, formerHoldersDropped, writesBeforeReleaseCount, clockStopsInSuspension, erasIgnored, rowsOfEarlierErasCount, noWaitAfterLostRow, tokenWithoutEra} {
 		t.Run(string(m), func(t *testing.T) {
-			found := walks(m, mutantWalks)
+			found := playRandomOrders(m, maxMutantOrders)
 			qt.Check(t, found, qt.Not(qt.Equals), "")
 			t.Log(found)
 		})
--- a/internal/front/reporter/lead.go
+++ b/internal/front/reporter/lead.go
@@ -22,16 +22,16 @@
 
 // The keys of the records: the fixed report of a window, and the counts that are not fixed yet.
 const (
-	keyFixed      = "usage/"
-	keyCheckpoint = "usage-counts"
+	fixedKeyPrefix      = "usage/"
+	checkpointKey = "usage-counts"
 )
 
 // fixedKey returns the key of a window's report.
-func fixedKey(w usage.Window) string { return keyFixed + strconv.FormatUint(uint64(w), 10) }
+func fixedKey(w usage.Window) string { return fixedKeyPrefix + strconv.FormatUint(uint64(w), 10) }
 
-// windowOf returns the window whose report a record is, or 0.
-func windowOf(key string) usage.Window {
-	number, ok := strings.CutPrefix(key, keyFixed)
+// windowOfKey returns the window whose report a record is, or 0.
+func windowOfKey(key string) usage.Window {
+	number, ok := strings.CutPrefix(key, fixedKeyPrefix)
 	window, err := strconv.ParseUint(number, 10, 64)
 	if !ok || err != nil {
 		return 0
@@ -64,10 +64,10 @@
 	}
 	since := r.parts.Clock()
 	for lifetime.Sleep(ctx, reportInterval) {
-		r.collect(m, since)
-		for _, w := range r.due() {
+		r.collectCounts(m, since)
+		for _, w := range r.dueWindows() {
 			if err := r.report(ctx, m, w); err != nil {
-				r.failed(ctx, m, w, err)
+				r.recordFailure(ctx, m, w, err)
 				lifetime.Sleep(ctx, retryInterval)
 			}
 		}
@@ -84,10 +84,10 @@
 	now := r.parts.Clock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	clear(r.settled)
+	clear(r.reportedLater)
 	clear(r.fixed)
 	clear(r.inStore)
-	r.stored = nil
+	r.lastCheckpoint = nil
 	oldest := r.parts.UsageClock.Window(now) - keptReports
 	reported := max(usage.Window(m.Memo().Reported), r.known.reported)
 	r.reported = max(reported, oldest)
@@ -106,7 +106,7 @@
 
 // loadRecord takes over one record. The lock is held.
 func (r *Reporter) loadRecord(record *leader.Record) error {
-	if window := windowOf(record.Key); window > 0 {
+	if window := windowOfKey(record.Key); window > 0 {
 		var counts usage.Counts
 		if err := json.Unmarshal(record.Value, &counts); err != nil {
 			return merry.Wrap(err)
@@ -115,7 +115,7 @@
 		r.known.add(window, counts)
 		return nil
 	}
-	if record.Key != keyCheckpoint {
+	if record.Key != checkpointKey {
 		return nil
 	}
 	var shares []storedShare
@@ -146,20 +146,20 @@
 			shares = append(shares, storedShare{Host: source.Host, Incarnation: source.Incarnation, Windows: s.Windows})
 		}
 	}
-	data, err := canonical.Marshal(shares)
+	data, err := canonicalMode.Marshal(shares)
 	if err != nil {
 		r.parts.Log.WithError(err).Error("the counts can't be encoded")
 		return nil
 	}
-	if string(data) == string(r.stored) {
+	if string(data) == string(r.lastCheckpoint) {
 		return nil
 	}
-	r.stored = data
-	return []leader.Record{{Key: keyCheckpoint, Value: data}}
+	r.lastCheckpoint = data
+	return []leader.Record{{Key: checkpointKey, Value: data}}
 }
 
-// canonical encodes equal maps alike.
-var canonical = func() cbor.EncMode {
+// canonicalMode encodes equal maps alike.
+var canonicalMode = func() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
 		panic(err) // The options above are valid.
@@ -167,10 +167,10 @@
 	return mode
 }()
 
-// collect adds this host's own counts, and agrees on the true time: on the median of what all hosts offer, or of what there
+// collectCounts adds this host's own counts, and agrees on the true time: on the median of what all hosts offer, or of what there
 // is once this host has led for a while. Of the first two offers one may be wrong, and windows that have not begun would
 // be reported as over.
-func (r *Reporter) collect(m mandate, since time.Time) {
+func (r *Reporter) collectCounts(m mandate, since time.Time) {
 	senders := r.parts.Peers.Senders()
 	own := r.ownShare()
 	r.merge(usage.Source(senders[0]), &own)
@@ -180,16 +180,16 @@
 	}
 	r.mu.Lock()
 	var offers []usage.ClockOffset
-	for source, zero := range r.zeros {
+	for source, zero := range r.offsets {
 		if !alive[source] {
-			delete(r.zeros, source)
+			delete(r.offsets, source)
 			continue
 		}
 		offers = append(offers, zero)
 	}
 	r.ledger.Drop(r.reported, func(s usage.Source) bool { return alive[s] })
 	r.mu.Unlock()
-	if len(offers) < len(senders) && r.parts.Clock().Sub(since) < offerTime {
+	if len(offers) < len(senders) && r.parts.Clock().Sub(since) < offsetWaitTime {
 		return
 	}
 	if zero, ok := usage.MedianOffset(offers); ok {
@@ -198,15 +198,15 @@
 	}
 }
 
-// due returns the windows that have ended and are not reported, if their counts are complete or late.
-func (r *Reporter) due() []usage.Window {
+// dueWindows returns the windows that have ended and are not reported, if their counts are complete or late.
+func (r *Reporter) dueWindows() []usage.Window {
 	now := r.parts.Clock()
 	senders := r.parts.Peers.Senders()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var due []usage.Window
-	for w := r.reported + 1; r.parts.UsageClock.SinceEnd(w, now) >= settleTime; w++ {
-		if r.settled[w] {
+	for w := r.reported + 1; r.parts.UsageClock.SinceEnd(w, now) >= windowCheckDelay; w++ {
+		if r.reportedLater[w] {
 			continue
 		}
 		end := r.parts.UsageClock.TrueTime(now) - r.parts.UsageClock.SinceEnd(w, now)
@@ -214,7 +214,7 @@
 		for _, sender := range senders {
 			complete = complete && r.ledger.AsOf(usage.Source(sender)) >= end
 		}
-		late := r.parts.UsageClock.SinceEnd(w, now) >= time.Duration(latePart*float64(r.parts.DueAfter))
+		late := r.parts.UsageClock.SinceEnd(w, now) >= time.Duration(lateFraction*float64(r.parts.DueAfter))
 		if _, fixed := r.fixed[w]; fixed || complete || late {
 			due = append(due, w)
 		}
@@ -232,30 +232,30 @@
 	inStore := r.inStore[w]
 	r.mu.Unlock()
 	if !inStore {
-		if err := r.fix(ctx, m, w, counts); err != nil {
+		if err := r.storeFixedReport(ctx, m, w, counts); err != nil {
 			return err
 		}
 	}
-	r.shareFixed(w, counts)
+	r.broadcastFixedReport(w, counts)
 	if err := r.parts.Provider.ReportUsage(ctx, m.Fence, w, counts); err != nil {
 		return err
 	}
 	m.RecordAnswer()
-	r.settle(m, w, counts)
+	r.markReported(m, w, counts)
 	return nil
 }
 
-// shareFixed lets all hosts know a report that is about to be sent, also one that a former leader has fixed: that one may have
+// broadcastFixedReport lets all hosts know a report that is about to be sent, also one that a former leader has fixed: that one may have
 // ended before it could.
-func (r *Reporter) shareFixed(w usage.Window, counts usage.Counts) {
+func (r *Reporter) broadcastFixedReport(w usage.Window, counts usage.Counts) {
 	r.mu.Lock()
 	r.known.add(w, counts)
 	r.mu.Unlock()
 	r.parts.Peers.Broadcast(envelope.KindFixedReports, fixedReports{Windows: usage.Windows{w: counts}})
 }
 
-// fix stores the report of a window before it is sent for the first time.
-func (r *Reporter) fix(ctx context.Context, m mandate, w usage.Window, counts usage.Counts) error {
+// storeFixedReport stores the report of a window before it is sent for the first time.
+func (r *Reporter) storeFixedReport(ctx context.Context, m mandate, w usage.Window, counts usage.Counts) error {
 	value, err := json.Marshal(counts, json.Deterministic(true))
 	if err != nil {
 		return merry.Wrap(err)
@@ -274,18 +274,18 @@
 	r.mu.Lock()
 	r.fixed[w], r.inStore[w] = counts, true
 	for _, removed := range records[1:] {
-		delete(r.inStore, windowOf(removed.Key))
+		delete(r.inStore, windowOfKey(removed.Key))
 	}
 	r.mu.Unlock()
 	return nil
 }
 
-// settle notes that a window was reported.
-func (r *Reporter) settle(m mandate, w usage.Window, counts usage.Counts) {
+// markReported notes that a window was reported.
+func (r *Reporter) markReported(m mandate, w usage.Window, counts usage.Counts) {
 	now := r.parts.Clock()
 	r.mu.Lock()
-	r.settled[w] = true
-	r.raiseReported()
+	r.reportedLater[w] = true
+	r.advanceReported()
 	reported, hosts := r.reported, len(r.ledger.Shares())
 	r.mu.Unlock()
 	r.parts.Meter.Drop(reported)
@@ -300,8 +300,8 @@
 	}).Info("reported")
 }
 
-// failed notes why a window was not reported.
-func (r *Reporter) failed(ctx context.Context, m mandate, w usage.Window, err error) {
+// recordFailure notes why a window was not reported.
+func (r *Reporter) recordFailure(ctx context.Context, m mandate, w usage.Window, err error) {
 	if ctx.Err() != nil || errors.Is(err, leader.ErrLeadershipLost) {
 		return
 	}
--- a/internal/front/reporter/recovery.go
+++ b/internal/front/reporter/recovery.go
@@ -27,11 +27,11 @@
 	Windows  usage.Windows `cbor:"3,keyasint"`
 }
 
-// askFixed is a message that asks a host for the reports that it knows.
-type askFixed struct{}
+// fixedReportsRequest is a message that asks a host for the reports that it knows.
+type fixedReportsRequest struct{}
 
-// known is what a host knows of reports, whatever the store has.
-type known struct {
+// knownReports is what a host knows of reports, whatever the store has.
+type knownReports struct {
 	// since is the true time from which on nothing was missed, or 0 if no other host has told of one.
 	since    time.Duration
 	reported usage.Window
@@ -40,7 +40,7 @@
 }
 
 // add adds a report.
-func (k *known) add(w usage.Window, counts usage.Counts) {
+func (k *knownReports) add(w usage.Window, counts usage.Counts) {
 	if _, ok := k.windows[w]; ok {
 		return
 	}
@@ -53,7 +53,7 @@
 }
 
 // merge adds what another host knows.
-func (k *known) merge(m *fixedReports) {
+func (k *knownReports) merge(m *fixedReports) {
 	if since := time.Duration(m.Since); since > 0 && (k.since == 0 || since < k.since) {
 		k.since = since
 	}
@@ -82,14 +82,14 @@
 
 // fixedReports returns all that this host knows.
 func (r *Reporter) fixedReports() fixedReports {
-	since := r.knowsSince()
+	since := r.completeSince()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return fixedReports{Since: int64(since), Reported: uint64(r.known.reported), Windows: r.known.windows.Clone()}
 }
 
-// knowsSince returns the true time from which on this host has got what leaders send.
-func (r *Reporter) knowsSince() time.Duration {
+// completeSince returns the true time from which on this host has got what leaders send.
+func (r *Reporter) completeSince() time.Duration {
 	now := r.parts.Clock()
 	return r.parts.UsageClock.TrueTime(now) - now.Sub(r.started) + joinTime
 }
@@ -106,19 +106,19 @@
 	if m.Memo().Era == era.Of(token) {
 		return true
 	}
-	r.parts.Peers.Broadcast(envelope.KindAskFixed, askFixed{})
-	if !lifetime.Sleep(ctx, askTime) {
+	r.parts.Peers.Broadcast(envelope.KindAskFixed, fixedReportsRequest{})
+	if !lifetime.Sleep(ctx, fixedReportsWaitTime) {
 		return false
 	}
-	r.takeKnown()
+	r.adoptKnownReports()
 	m.UpdateMemo(func(memo *lease.Memo) { memo.Era = era.Of(token) })
 	return true
 }
 
-// takeKnown takes over the reports that hosts know, and leaves out the windows of which they can't know whether they were
+// adoptKnownReports takes over the reports that hosts know, and leaves out the windows of which they can't know whether they were
 // reported.
-func (r *Reporter) takeKnown() {
-	now, since := r.parts.Clock(), r.knowsSince()
+func (r *Reporter) adoptKnownReports() {
+	now, since := r.parts.Clock(), r.completeSince()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.known.since > 0 {
@@ -135,18 +135,18 @@
 	for w := r.reported + 1; r.parts.UsageClock.SinceEnd(w, now) > r.parts.UsageClock.TrueTime(now)-since; w++ {
 		if _, fixed := r.fixed[w]; !fixed {
 			leftOut = append(leftOut, w)
-			r.settled[w] = true
+			r.reportedLater[w] = true
 		}
 	}
-	r.raiseReported()
+	r.advanceReported()
 	r.parts.Log.WithFields(logrus.Fields{"reported": r.reported, "fixed": len(r.fixed), "left_out": leftOut}).Warn("the store was restored, reports are taken over from hosts")
 }
 
-// raiseReported raises the window up to which all are reported. The lock is held.
-func (r *Reporter) raiseReported() {
-	for r.settled[r.reported+1] {
+// advanceReported raises the window up to which all are reported. The lock is held.
+func (r *Reporter) advanceReported() {
+	for r.reportedLater[r.reported+1] {
 		r.reported++
-		delete(r.settled, r.reported)
+		delete(r.reportedLater, r.reported)
 		delete(r.fixed, r.reported)
 	}
 }
--- a/internal/front/reporter/reporter.go
+++ b/internal/front/reporter/reporter.go
@@ -69,25 +69,25 @@
 
 	mu     sync.Mutex
 	ledger *usage.Ledger
-	// zeros are what hosts offer as the true time.
-	zeros map[usage.Source]usage.ClockOffset
+	// offsets are what hosts offer as the true time.
+	offsets map[usage.Source]usage.ClockOffset
 	// reported is the window up to which all are reported, settled the reported ones after it.
 	reported usage.Window
-	settled  map[usage.Window]bool
+	reportedLater  map[usage.Window]bool
 	// fixed are the reports that must not change any more, inStore those that the store has, by window.
 	fixed   map[usage.Window]usage.Counts
 	inStore map[usage.Window]bool
-	// stored is the checkpoint that was written last.
-	stored []byte
+	// lastCheckpoint is the checkpoint that was written last.
+	lastCheckpoint []byte
 	// known is what this host knows of reports, also while it does not lead.
-	known known
+	known knownReports
 }
 
 // New returns a reporter that knows no counts.
 func New(parts Parts) *Reporter {
 	return &Reporter{
-		parts: parts, started: parts.Clock(), known: known{windows: make(usage.Windows)}, ledger: usage.NewLedger(), zeros: make(map[usage.Source]usage.ClockOffset),
-		settled: make(map[usage.Window]bool), fixed: make(map[usage.Window]usage.Counts), inStore: make(map[usage.Window]bool),
+		parts: parts, started: parts.Clock(), known: knownReports{windows: make(usage.Windows)}, ledger: usage.NewLedger(), offsets: make(map[usage.Source]usage.ClockOffset),
+		reportedLater: make(map[usage.Window]bool), fixed: make(map[usage.Window]usage.Counts), inStore: make(map[usage.Window]bool),
 	}
 }
 
@@ -142,7 +142,7 @@
 	defer r.mu.Unlock()
 	r.ledger.Merge(source, usage.Share{AsOf: time.Duration(s.AsOf), Windows: s.Windows})
 	if s.Zero != 0 {
-		r.zeros[source] = usage.ClockOffset(s.Zero)
+		r.offsets[source] = usage.ClockOffset(s.Zero)
 	}
 }
 
--- a/internal/front/reporter/reporter_test.go
+++ b/internal/front/reporter/reporter_test.go
@@ -27,7 +27,7 @@
 
 const (
 	window = 5 * time.Second
-	due    = 10 * time.Second
+	reportDue    = 10 * time.Second
 )
 
 // network is some hosts, the records that leaders keep, and a provider.
@@ -40,10 +40,10 @@
 	leading string
 	// received are the reports that reached the provider, in order.
 	received []report
-	// fails is how the provider ends the next calls.
-	fails []error
-	// lost are the answers of the provider that are lost.
-	lost int
+	// nextErrors is how the provider ends the next calls.
+	nextErrors []error
+	// lostAnswers are the answers of the provider that are lost.
+	lostAnswers int
 	// era is that of the store.
 	era uint64
 	log *logrus.Entry
@@ -62,11 +62,11 @@
 	name    string
 	meter   *usage.Meter
 	clock   *usage.Clock
-	// ahead is how wrong its time of day is.
-	ahead time.Duration
+	// skew is how wrong its time of day is.
+	skew time.Duration
 	done  chan struct{}
-	// silent hosts are known to the others but send nothing.
-	silent bool
+	// sendsNothing hosts are known to the others but send nothing.
+	sendsNothing bool
 	cancel context.CancelFunc
 	ended  chan struct{}
 }
@@ -86,13 +86,13 @@
 	h := &host{network: n, name: name, done: make(chan struct{})}
 	// The monotonic clock is not wrong.
 	store := func(now time.Time) (freshness.StoreTime, bool) {
-		return freshness.StoreTime(now.Sub(n.started) - h.ahead + time.Minute), true
+		return freshness.StoreTime(now.Sub(n.started) - h.skew + time.Minute), true
 	}
 	h.clock = usage.NewClock(window, store, func(at time.Time) time.Time { return at })
 	h.meter = usage.NewMeter(h.clock)
 	h.Reporter = New(Parts{
-		Meter: h.meter, UsageClock: h.clock, DueAfter: due, Provider: n, Peers: h, Leader: func() string { return n.leader() },
-		Log: n.log, Clock: func() time.Time { return time.Now().Add(h.ahead) }, Random: func() float64 { return 0.5 },
+		Meter: h.meter, UsageClock: h.clock, DueAfter: reportDue, Provider: n, Peers: h, Leader: func() string { return n.leader() },
+		Log: n.log, Clock: func() time.Time { return time.Now().Add(h.skew) }, Random: func() float64 { return 0.5 },
 	})
 	n.mu.Lock()
 	n.hosts[name] = h
@@ -172,7 +172,7 @@
 	if err != nil {
 		panic(err)
 	}
-	if receiver == nil || h.silent {
+	if receiver == nil || h.sendsNothing {
 		return
 	}
 	handle := map[envelope.Kind]envelope.Handler{
@@ -207,21 +207,21 @@
 	n.era++
 }
 
-// fail has the next calls of the provider end with errors, failures returns how many are left of them.
-func (n *network) fail(errs ...error) {
+// setErrors has the next calls of the provider end with errors, failures returns how many are left of them.
+func (n *network) setErrors(errs ...error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.fails = errs
+	n.nextErrors = errs
 }
 
-func (n *network) failures() int {
+func (n *network) errorsLeft() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.fails)
+	return len(n.nextErrors)
 }
 
-// forget has a host have missed all that leaders sent.
-func (h *host) forget() {
+// dropKnownReports has a host have missed all that leaders sent.
+func (h *host) dropKnownReports() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	clear(h.known.windows)
@@ -229,7 +229,7 @@
 
 // awaitReports waits until the provider has received a number of reports.
 func (n *network) awaitReports(number int) {
-	for n.reports() < number {
+	for n.numReports() < number {
 		time.Sleep(100 * time.Millisecond)
 	}
 }
@@ -278,8 +278,8 @@
 func (h *host) RecordAnswer()   {}
 func (h *host) RecordNoAnswer() {}
 
-// renew stores the checkpoint of the leader.
-func (h *host) renew() {
+// storeCheckpoint stores the checkpoint of the leader.
+func (h *host) storeCheckpoint() {
 	for _, r := range h.Checkpoint() {
 		h.network.mu.Lock()
 		h.network.records[r.Key] = r.Value
@@ -291,21 +291,21 @@
 func (n *network) ReportUsage(_ context.Context, _ leader.Fence, w usage.Window, counts usage.Counts) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.fails) > 0 {
-		err := n.fails[0]
-		n.fails = n.fails[1:]
+	if len(n.nextErrors) > 0 {
+		err := n.nextErrors[0]
+		n.nextErrors = n.nextErrors[1:]
 		return err
 	}
 	n.received = append(n.received, report{w, maps.Clone(counts)})
-	if n.lost > 0 {
-		n.lost--
+	if n.lostAnswers > 0 {
+		n.lostAnswers--
 		return merry.New("no answer")
 	}
 	return nil
 }
 
-// counts returns the counts of all windows together, and checks that no window was reported differently.
-func (n *network) counts(c *qt.C) usage.Counts {
+// totalCounts returns the counts of all windows together, and checks that no window was reported differently.
+func (n *network) totalCounts(c *qt.C) usage.Counts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	windows := make(map[usage.Window]usage.Counts)
@@ -323,17 +323,17 @@
 	return sum
 }
 
-// reports returns how many reports the provider has received.
-func (n *network) reports() int {
+// numReports returns how many reports the provider has received.
+func (n *network) numReports() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.received)
 }
 
-// count counts a number of requests at a host.
-func (h *host) count(workspace string, number int) {
+// countRequests counts a number of requests at a host.
+func (h *host) countRequests(workspace string, number int) {
 	for range number {
-		h.meter.Began(workspace, time.Now().Add(h.ahead))
+		h.meter.Began(workspace, time.Now().Add(h.skew))
 	}
 }
 
@@ -349,61 +349,61 @@
 	}{
 		"all hosts": {func(n *network) {
 			n.lead("a")
-			n.hosts["a"].count("x", 2)
-			n.hosts["b"].count("x", 3)
-			n.hosts["c"].count("y", 4)
+			n.hosts["a"].countRequests("x", 2)
+			n.hosts["b"].countRequests("x", 3)
+			n.hosts["c"].countRequests("y", 4)
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 5, "y": 4}},
 		"a host that was killed after it sent": {func(n *network) {
 			n.lead("a")
-			n.hosts["b"].count("x", 3)
+			n.hosts["b"].countRequests("x", 3)
 			time.Sleep(time.Second)
 			n.kill("b")
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 3}},
 		"another leader": {func(n *network) {
 			n.lead("a")
-			n.hosts["b"].count("x", 3)
-			n.hosts["a"].count("x", 1)
+			n.hosts["b"].countRequests("x", 3)
+			n.hosts["a"].countRequests("x", 1)
 			time.Sleep(time.Second)
 			n.depose(n.hosts["a"])
 			n.lead("b")
-			n.hosts["c"].count("x", 1)
+			n.hosts["c"].countRequests("x", 1)
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 5}},
 		"the leader is killed, its counts are in the store": {func(n *network) {
 			h := n.lead("a")
-			n.hosts["a"].count("x", 2)
+			n.hosts["a"].countRequests("x", 2)
 			time.Sleep(time.Second)
-			h.renew()
+			h.storeCheckpoint()
 			n.kill("a")
 			n.lead("b")
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 2}},
 		"all hosts are killed, and others come": {func(n *network) {
 			h := n.lead("a")
-			n.hosts["a"].count("x", 2)
-			n.hosts["b"].count("y", 3)
+			n.hosts["a"].countRequests("x", 2)
+			n.hosts["b"].countRequests("y", 3)
 			time.Sleep(time.Second)
-			h.renew()
+			h.storeCheckpoint()
 			n.kill("a")
 			n.kill("b")
 			n.kill("c")
 			n.add("d").clock.SetOffset(usage.ClockOffset(n.memo.TrueTime))
 			n.lead("d")
-			n.hosts["d"].count("x", 1)
+			n.hosts["d"].countRequests("x", 1)
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 3, "y": 3}},
 		"an answer is lost": {func(n *network) {
 			n.lead("a")
-			n.lost = 2
-			n.hosts["b"].count("x", 3)
+			n.lostAnswers = 2
+			n.hosts["b"].countRequests("x", 3)
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 3}},
 		"an answer is lost, and the next leader knows less": {func(n *network) {
 			n.lead("a")
-			n.hosts["a"].count("x", 3)
-			n.lost = 1
+			n.hosts["a"].countRequests("x", 3)
+			n.lostAnswers = 1
 			n.awaitReports(1)
 			n.kill("a")
 			n.lead("b")
@@ -411,8 +411,8 @@
 		}, usage.Counts{"x": 3}},
 		"the store loses a report of which no answer came, another leads": {func(n *network) {
 			n.lead("a")
-			n.hosts["a"].count("x", 3)
-			n.lost = 1
+			n.hosts["a"].countRequests("x", 3)
+			n.lostAnswers = 1
 			n.awaitReports(1)
 			n.kill("a")
 			n.restore()
@@ -422,16 +422,16 @@
 		"a leader ends once it has fixed a report, the next one sends it and the store loses it": {func(n *network) {
 			n.lead("a")
 			n.awaitReports(1)
-			n.hosts["a"].count("x", 3)
-			n.fail(merry.New("no answer"), merry.New("no answer"))
-			for n.failures() == 2 {
+			n.hosts["a"].countRequests("x", 3)
+			n.setErrors(merry.New("no answer"), merry.New("no answer"))
+			for n.errorsLeft() == 2 {
 				time.Sleep(100 * time.Millisecond)
 			}
 			n.kill("a")
-			n.hosts["b"].forget()
-			n.hosts["c"].forget()
-			n.fail()
-			n.lost = 1
+			n.hosts["b"].dropKnownReports()
+			n.hosts["c"].dropKnownReports()
+			n.setErrors()
+			n.lostAnswers = 1
 			n.lead("b")
 			n.awaitReports(2)
 			n.kill("b")
@@ -441,58 +441,58 @@
 		}, usage.Counts{"x": 3}},
 		"the store loses reports, and who leads next has just started": {func(n *network) {
 			n.lead("a")
-			n.hosts["a"].count("x", 3)
+			n.hosts["a"].countRequests("x", 3)
 			n.awaitReports(2)
 			n.kill("a")
 			n.restore()
 			zero := usage.ClockOffset(n.memo.TrueTime)
 			n.add("d").clock.SetOffset(zero)
 			n.lead("d")
-			n.hosts["b"].count("x", 2)
+			n.hosts["b"].countRequests("x", 2)
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 5}},
 		"the store loses reports, and all hosts were killed": {func(n *network) {
 			h := n.lead("a")
-			n.hosts["a"].count("x", 2)
-			h.renew()
-			counts := n.records[keyCheckpoint]
-			n.hosts["a"].count("x", 1)
+			n.hosts["a"].countRequests("x", 2)
+			h.storeCheckpoint()
+			counts := n.records[checkpointKey]
+			n.hosts["a"].countRequests("x", 1)
 			n.awaitReports(1)
 			n.add("d").clock.SetOffset(usage.ClockOffset(n.memo.TrueTime))
 			for _, name := range []string{"a", "b", "c"} {
 				n.kill(name)
 			}
 			n.restore()
-			n.records[keyCheckpoint] = counts
+			n.records[checkpointKey] = counts
 			time.Sleep(joinTime)
 			n.lead("d")
 			time.Sleep(window)
-			n.hosts["d"].count("y", 1)
+			n.hosts["d"].countRequests("y", 1)
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 3, "y": 1}},
 		"the provider refuses for a while": {func(n *network) {
 			n.lead("a")
-			n.fails = []error{merry.Wrap(ErrRefused), merry.Wrap(ErrRefused), merry.New("no answer")}
-			n.hosts["b"].count("x", 3)
+			n.nextErrors = []error{merry.Wrap(ErrRefused), merry.Wrap(ErrRefused), merry.New("no answer")}
+			n.hosts["b"].countRequests("x", 3)
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 3}},
 		"a host whose time of day is wrong": {func(n *network) {
-			n.hosts["c"].ahead = 20 * time.Second
+			n.hosts["c"].skew = 20 * time.Second
 			n.lead("a")
 			time.Sleep(time.Second)
-			n.hosts["c"].count("x", 3)
+			n.hosts["c"].countRequests("x", 3)
 			time.Sleep(4 * window)
 		}, usage.Counts{"x": 3}},
 		"a host that sends nothing is not waited for too long": {func(n *network) {
-			n.hosts["c"].silent = true
+			n.hosts["c"].sendsNothing = true
 			n.lead("a")
-			n.hosts["b"].count("x", 3)
+			n.hosts["b"].countRequests("x", 3)
 			time.Sleep(window + 8*time.Second)
 		}, usage.Counts{"x": 3}},
 		"nothing was counted twice over many windows": {func(n *network) {
 			n.lead("a")
 			for range 40 {
-				n.hosts["b"].count("x", 3)
+				n.hosts["b"].countRequests("x", 3)
 				time.Sleep(time.Second)
 			}
 			time.Sleep(3 * window)
@@ -505,7 +505,7 @@
 				n := newNetwork("a", "b", "c")
 				test.play(n)
 				n.stop()
-				c.Check(n.counts(c), qt.DeepEquals, test.want)
+				c.Check(n.totalCounts(c), qt.DeepEquals, test.want)
 			})
 		})
 	}
@@ -533,18 +533,18 @@
 		n.records["usage/x"] = []byte("{}")
 		n.records[fmt.Sprintf("usage/%d", now)] = []byte("not JSON")
 		n.records[fmt.Sprintf("usage/%d", now-1)] = []byte(`{"x":7}`)
-		n.records[keyCheckpoint] = []byte("\xff\xff")
+		n.records[checkpointKey] = []byte("\xff\xff")
 		n.records["another"] = nil
 		n.lead("a")
 		time.Sleep(2 * window)
 		n.stop()
-		c.Check(n.counts(c), qt.DeepEquals, usage.Counts{"x": 7})
+		c.Check(n.totalCounts(c), qt.DeepEquals, usage.Counts{"x": 7})
 	})
 }
 
 func TestShareInterval(t *testing.T) {
 	c := qt.New(t)
-	c.Check(shareInterval(8), qt.Equals, leastShareInterval)
+	c.Check(shareInterval(8), qt.Equals, minShareInterval)
 	c.Check(shareInterval(380), qt.Equals, 1900*time.Millisecond)
-	c.Check(time.Duration(latePart*float64(due)) > window, qt.IsTrue, qt.Commentf("hosts that freeze for some seconds are waited for"))
+	c.Check(time.Duration(lateFraction*float64(reportDue)) > window, qt.IsTrue, qt.Commentf("hosts that freeze for some seconds are waited for"))
 }
--- a/internal/front/scaler/scaler.go
+++ b/internal/front/scaler/scaler.go
@@ -51,17 +51,17 @@
 // Scaler orders endpoints while this host leads.
 type Scaler struct {
 	parts    Parts
-	services map[string]*service
+	services map[string]*serviceState
 }
 
-// service is what is known of one service.
-type service struct {
+// serviceState is what is known of one service.
+type serviceState struct {
 	plan *capacity.Plan
 	size capacity.NeedEstimate
 }
 
 // New returns a scaler that has ordered nothing.
-func New(parts Parts) *Scaler { return &Scaler{parts: parts, services: make(map[string]*service)} }
+func New(parts Parts) *Scaler { return &Scaler{parts: parts, services: make(map[string]*serviceState)} }
 
 const (
 	// planInterval is the time between two looks at what is to be ordered.
@@ -119,17 +119,17 @@
 			s.parts.Log.WithError(err).Warn("what is needed can't be read and is found out again")
 		}
 		for name, need := range needs {
-			s.of(name).size.Need = need
+			s.serviceState(name).size.Need = need
 		}
 	}
 	return true
 }
 
-// of returns what is known of a service.
-func (s *Scaler) of(name string) *service {
+// serviceState returns what is known of a service.
+func (s *Scaler) serviceState(name string) *serviceState {
 	known := s.services[name]
 	if known == nil {
-		known = &service{plan: capacity.NewPlan()}
+		known = &serviceState{plan: capacity.NewPlan()}
 		s.services[name] = known
 	}
 	return known
@@ -138,7 +138,7 @@
 // scale orders what is due of a service.
 func (s *Scaler) scale(ctx context.Context, m mandate, name string, scaling *settings.Scaling) {
 	now := s.parts.Clock()
-	of := s.of(name)
+	of := s.serviceState(name)
 	fleet := s.parts.Inventory.Fleet(name)
 	load := s.parts.Load(name)
 	before := of.size.Need
@@ -150,7 +150,7 @@
 			"service": name, "need": need, "before": before, "reading": load.Reading, "requests": load.Requests, "open": load.Open,
 			"ready": fleet.Ready(capacity.Regular) + fleet.Ready(capacity.Spot),
 		}).Info("endpoints needed")
-		s.keep(ctx, m)
+		s.storeNeeds(ctx, m)
 	}
 	if of.size.Need == 0 {
 		return
@@ -161,8 +161,8 @@
 	}
 }
 
-// keep leaves what is needed to the next leader.
-func (s *Scaler) keep(ctx context.Context, m mandate) {
+// storeNeeds leaves what is needed to the next leader.
+func (s *Scaler) storeNeeds(ctx context.Context, m mandate) {
 	needs := make(map[string]int, len(s.services))
 	for name, of := range s.services {
 		needs[name] = of.size.Need
@@ -177,7 +177,7 @@
 }
 
 // order sends one order.
-func (s *Scaler) order(ctx context.Context, m mandate, name string, of *service, fleet capacity.Fleet, order capacity.Order) {
+func (s *Scaler) order(ctx context.Context, m mandate, name string, of *serviceState, fleet capacity.Fleet, order capacity.Order) {
 	err := s.parts.Provider.Scale(ctx, m.Fence, name, order)
 	log := s.parts.Log.WithFields(logrus.Fields{
 		"service": name, "zone": order.Zone, "kind": order.Kind, "desired": order.Desired, "ready": fleet[order.Place].Ready,
--- a/internal/front/scaler/scaler_test.go
+++ b/internal/front/scaler/scaler_test.go
@@ -19,8 +19,8 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// fake is the store, the provider and the mandate of a leader.
-type fake struct {
+// fakeLeadership is the store, the provider and the mandate of a leader.
+type fakeLeadership struct {
 	records    map[string][]byte
 	orders     []capacity.Order
 	err        error
@@ -28,18 +28,18 @@
 	unanswered int
 }
 
-func (f *fake) Fence() (uint64, time.Duration, bool) { return 1, time.Second, true }
-func (f *fake) RecordAnswer()                            { f.answered++ }
-func (f *fake) RecordNoAnswer()                          { f.unanswered++ }
+func (f *fakeLeadership) Fence() (uint64, time.Duration, bool) { return 1, time.Second, true }
+func (f *fakeLeadership) RecordAnswer()                            { f.answered++ }
+func (f *fakeLeadership) RecordNoAnswer()                          { f.unanswered++ }
 
-func (f *fake) WriteRecords(_ context.Context, records ...leader.Record) error {
+func (f *fakeLeadership) WriteRecords(_ context.Context, records ...leader.Record) error {
 	for _, r := range records {
 		f.records[r.Key] = r.Value
 	}
 	return nil
 }
 
-func (f *fake) Records(context.Context) ([]leader.Record, error) {
+func (f *fakeLeadership) Records(context.Context) ([]leader.Record, error) {
 	var records []leader.Record
 	for key, value := range f.records {
 		records = append(records, leader.Record{Key: key, Value: value})
@@ -47,13 +47,13 @@
 	return records, nil
 }
 
-func (f *fake) Scale(_ context.Context, _ leader.Fence, _ string, order capacity.Order) error {
+func (f *fakeLeadership) Scale(_ context.Context, _ leader.Fence, _ string, order capacity.Order) error {
 	f.orders = append(f.orders, order)
 	return f.err
 }
 
-// play has a scaler lead for some seconds.
-func play(f *fake, reading float64, lasts time.Duration) {
+// runScaler has a scaler lead for some seconds.
+func runScaler(f *fakeLeadership, reading float64, lasts time.Duration) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	holder := settings.NewHolder()
@@ -93,8 +93,8 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				f := &fake{records: test.records, err: test.err}
-				play(f, test.reading, 5*time.Second)
+				f := &fakeLeadership{records: test.records, err: test.err}
+				runScaler(f, test.reading, 5*time.Second)
 				desired := make(map[capacity.Place]int)
 				for _, o := range f.orders {
 					desired[o.Place] = o.Desired
--- a/internal/front/usage/clock.go
+++ b/internal/front/usage/clock.go
@@ -22,40 +22,40 @@
 // Clock finds the windows of this host's times. It is safe for concurrent use.
 type Clock struct {
 	length time.Duration
-	// store returns the store's clock at a time of this host, or false if it is not known.
-	store func(time.Time) (freshness.StoreTime, bool)
+	// storeTime returns the store's clock at a time of this host, or false if it is not known.
+	storeTime func(time.Time) (freshness.StoreTime, bool)
 	// timeOfDay returns the time of day at a time of this host.
 	timeOfDay func(time.Time) time.Time
 
 	mu     sync.Mutex
-	zero   ClockOffset
-	agreed bool
+	offset   ClockOffset
+	hasOffset bool
 }
 
 // NewClock returns a clock for windows of a length.
 func NewClock(length time.Duration, store func(time.Time) (freshness.StoreTime, bool), timeOfDay func(time.Time) time.Time) *Clock {
-	return &Clock{length: length, store: store, timeOfDay: timeOfDay}
+	return &Clock{length: length, storeTime: store, timeOfDay: timeOfDay}
 }
 
 // SetOffset puts in force what the hosts have agreed on.
 func (c *Clock) SetOffset(zero ClockOffset) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.zero, c.agreed = zero, true
+	c.offset, c.hasOffset = zero, true
 }
 
 // LocalOffset returns what this host's time of day says, or false if the store's clock is not known.
 func (c *Clock) LocalOffset(now time.Time) (ClockOffset, bool) {
-	at, known := c.store(now)
+	at, known := c.storeTime(now)
 	return ClockOffset(c.timeOfDay(now).UnixNano()) - ClockOffset(at), known
 }
 
 // TrueTime returns the true time since the start of 1970: by what was agreed on, or else by this host's time of day.
 func (c *Clock) TrueTime(now time.Time) time.Duration {
 	c.mu.Lock()
-	zero, agreed := c.zero, c.agreed
+	zero, agreed := c.offset, c.hasOffset
 	c.mu.Unlock()
-	if at, known := c.store(now); agreed && known {
+	if at, known := c.storeTime(now); agreed && known {
 		return time.Duration(zero) + time.Duration(at)
 	}
 	return time.Duration(c.timeOfDay(now).UnixNano())
--- a/internal/front/usage/usage.go
+++ b/internal/front/usage/usage.go
@@ -15,8 +15,8 @@
 // Counts are requests by workspace.
 type Counts map[string]uint64
 
-// raise merges counts of the same host: each is the higher of the two.
-func (c Counts) raise(other Counts) {
+// mergeMax merges counts of the same host: each is the higher of the two.
+func (c Counts) mergeMax(other Counts) {
 	for workspace, count := range other {
 		c[workspace] = max(c[workspace], count)
 	}
@@ -28,17 +28,17 @@
 // Clone returns a copy.
 func (w Windows) Clone() Windows {
 	windows := make(Windows, len(w))
-	windows.raise(w)
+	windows.mergeMax(w)
 	return windows
 }
 
-// raise merges counts of the same host.
-func (w Windows) raise(other Windows) {
+// mergeMax merges counts of the same host.
+func (w Windows) mergeMax(other Windows) {
 	for window, counts := range other {
 		if w[window] == nil {
 			w[window] = make(Counts, len(counts))
 		}
-		w[window].raise(counts)
+		w[window].mergeMax(counts)
 	}
 }
 
@@ -47,9 +47,9 @@
 	maps.DeleteFunc(w, func(window Window, _ Counts) bool { return window <= upTo })
 }
 
-// keptWindows is how many windows a host keeps that nobody has reported: at a length of 5 s, twice as long as the
+// maxUnreportedWindows is how many windows a host keeps that nobody has reported: at a length of 5 s, twice as long as the
 // users' platform waits for a report. What is older is too late.
-const keptWindows = 8
+const maxUnreportedWindows = 8
 
 // Meter counts the requests of this host. It is safe for concurrent use. A nil Meter counts nothing.
 type Meter struct {
@@ -73,8 +73,8 @@
 	defer m.mu.Unlock()
 	counts := m.windows[window]
 	if counts == nil {
-		if window > keptWindows {
-			m.windows.drop(window - keptWindows)
+		if window > maxUnreportedWindows {
+			m.windows.drop(window - maxUnreportedWindows)
 		}
 		counts = make(Counts)
 		m.windows[window] = counts
@@ -123,7 +123,7 @@
 		known.Windows = make(Windows, len(share.Windows))
 	}
 	known.AsOf = max(known.AsOf, share.AsOf)
-	known.Windows.raise(share.Windows)
+	known.Windows.mergeMax(share.Windows)
 	l.shares[source] = known
 }
 
--- a/internal/front/usage/usage_test.go
+++ b/internal/front/usage/usage_test.go
@@ -46,9 +46,9 @@
 // sameTime is the time of day of a machine that was not suspended.
 func sameTime(at time.Time) time.Time { return at }
 
-// TestASuspendedHostOffersTheSameZero has a machine suspended: its time of day has counted that by itself, and the host's
+// TestSuspensionDoesNotChangeOffset has a machine suspended: its time of day has counted that by itself, and the host's
 // clock, which adds it to both of its readings, would count it twice.
-func TestASuspendedHostOffersTheSameZero(t *testing.T) {
+func TestSuspensionDoesNotChangeOffset(t *testing.T) {
 	c := qt.New(t)
 	const slept = 40 * time.Second
 	store := func(steady time.Duration) func(time.Time) (freshness.StoreTime, bool) {
@@ -61,7 +61,7 @@
 	c.Check(woken.TrueTime(start.Add(slept).Add(slept)), qt.Equals, time.Duration(start.Add(slept).UnixNano()))
 }
 
-func TestMedian(t *testing.T) {
+func TestMedianOffset(t *testing.T) {
 	tests := map[string]struct {
 		offers []ClockOffset
 		want   ClockOffset
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestMergingTwiceChangesNothing merges what hosts send again, late and out of order.
-func TestMergingTwiceChangesNothing(t *testing.T) {
+// TestMergeIsIdempotent merges what hosts send again, late and out of order.
+func TestMergeIsIdempotent(t *testing.T) {
 	a, b := Source{"a", 1}, Source{"b", 1}
 	share := func(asOf time.Duration, x uint64) Share {
 		return Share{AsOf: asOf, Windows: Windows{7: Counts{"x": x}}}
@@ -136,11 +136,11 @@
 	copied := m.Windows()
 	copied[first]["x"] = 9
 	c.Check(m.Windows()[first]["x"], qt.Equals, uint64(3))
-	for range 2 * keptWindows {
+	for range 2 * maxUnreportedWindows {
 		now = now.Add(5 * time.Second)
 		m.Began("y", now)
 	}
-	c.Check(len(m.Windows()) <= keptWindows+1, qt.IsTrue, qt.Commentf("nobody reports: old windows are forgotten"))
+	c.Check(len(m.Windows()) <= maxUnreportedWindows+1, qt.IsTrue, qt.Commentf("nobody reports: old windows are forgotten"))
 	m.Drop(clock.Window(now))
 	c.Check(m.Windows(), qt.HasLen, 0)
 	var none *Meter
