--- a/internal/front/reporter/lead.go
+++ b/internal/front/reporter/lead.go
@@ -20,16 +20,17 @@
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
 
-// The keys of the records: the fixed report of a window, and the counts that are not fixed yet.
+// The keys of the records in the store: the fixed report of a window, and the checkpoint of the counts without a
+// fixed report.
 const (
-	fixedKeyPrefix      = "usage/"
-	checkpointKey = "usage-counts"
+	fixedKeyPrefix = "usage/"
+	checkpointKey  = "usage-counts"
 )
 
-// fixedKey returns the key of a window's report.
+// fixedKey returns the key of the fixed report of a window.
 func fixedKey(w usage.Window) string { return fixedKeyPrefix + strconv.FormatUint(uint64(w), 10) }
 
-// windowOfKey returns the window whose report a record is, or 0.
+// windowOfKey returns the window of a fixed report by its key, or 0 if the key is not that of a fixed report.
 func windowOfKey(key string) usage.Window {
 	number, ok := strings.CutPrefix(key, fixedKeyPrefix)
 	window, err := strconv.ParseUint(number, 10, 64)
@@ -39,7 +40,7 @@
 	return usage.Window(window)
 }
 
-// mandate is what the reports need of a leader.Mandate.
+// mandate is the part of leader.Mandate that the reporter uses.
 type mandate interface {
 	Fence() (token uint64, left time.Duration, ok bool)
 	WriteRecords(ctx context.Context, records ...leader.Record) error
@@ -50,7 +51,7 @@
 	RecordNoAnswer()
 }
 
-// Lead reports the windows that end, until ctx does. It implements leader.Task.
+// Lead reports the windows that end, until ctx ends. It implements leader.Task.
 func (r *Reporter) Lead(ctx context.Context, m *leader.Mandate) { r.lead(ctx, m) }
 
 func (r *Reporter) lead(ctx context.Context, m mandate) {
@@ -74,11 +75,11 @@
 	}
 }
 
-// load takes over what former leaders have left. It reports whether that could be read.
+// load reads the records of former leaders. It returns false if the store did not answer.
 func (r *Reporter) load(ctx context.Context, m mandate) bool {
 	records, err := m.Records(ctx)
 	if err != nil {
-		r.parts.Log.WithError(err).Warn("what former leaders left can't be read yet")
+		r.parts.Log.WithError(err).Warn("the usage records of former leaders can't be read; no window is reported until they can")
 		return false
 	}
 	now := r.parts.Clock()
@@ -92,19 +93,19 @@
 	reported := max(usage.Window(m.Memo().Reported), r.known.reported)
 	r.reported = max(reported, oldest)
 	if reported == 0 {
-		// A fleet that has just started reports the window in which it did.
+		// A new fleet starts with the window in which it began.
 		r.reported = r.parts.UsageClock.Window(now) - 1
 	}
 	for i := range records {
 		if err := r.loadRecord(&records[i]); err != nil {
-			r.parts.Log.WithError(err).WithField("key", records[i].Key).Warn("a record can't be read and is left out")
+			r.parts.Log.WithError(err).WithField("key", records[i].Key).Warn("a usage record can't be decoded; it is ignored")
 		}
 	}
-	r.parts.Log.WithFields(logrus.Fields{"reported": r.reported, "fixed": len(r.fixed), "hosts": len(r.ledger.Shares())}).Info("takes over the reports")
+	r.parts.Log.WithFields(logrus.Fields{"reported": r.reported, "fixed": len(r.fixed), "hosts": len(r.ledger.Shares())}).Info("read the usage records of former leaders; this host reports usage from now on")
 	return true
 }
 
-// loadRecord takes over one record. The lock is held.
+// loadRecord adopts one record. The caller holds the lock.
 func (r *Reporter) loadRecord(record *leader.Record) error {
 	if window := windowOfKey(record.Key); window > 0 {
 		var counts usage.Counts
@@ -128,15 +129,15 @@
 	return nil
 }
 
-// storedShare is what one start of a host has counted, in the checkpoint.
+// storedShare is the part of the checkpoint with the counts of one incarnation of a host.
 type storedShare struct {
 	Host        string        `cbor:"1,keyasint"`
 	Incarnation uint32        `cbor:"2,keyasint"`
 	Windows     usage.Windows `cbor:"3,keyasint"`
 }
 
-// Checkpoint returns the counts that are not reported, if they have changed since the last time. It implements
-// leader.Checkpointer.
+// Checkpoint returns the counts of the windows that have not been reported, if they have changed since its last call.
+// It implements leader.Checkpointer.
 func (r *Reporter) Checkpoint() []leader.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,7 +149,7 @@
 	}
 	data, err := canonicalMode.Marshal(shares)
 	if err != nil {
-		r.parts.Log.WithError(err).Error("the counts can't be encoded")
+		r.parts.Log.WithError(err).Error("the usage counts can't be encoded; the checkpoint is skipped")
 		return nil
 	}
 	if string(data) == string(r.lastCheckpoint) {
@@ -158,7 +159,7 @@
 	return []leader.Record{{Key: checkpointKey, Value: data}}
 }
 
-// canonicalMode encodes equal maps alike.
+// canonicalMode encodes equal maps to equal bytes.
 var canonicalMode = func() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
@@ -167,9 +168,9 @@
 	return mode
 }()
 
-// collectCounts adds this host's own counts, and agrees on the true time: on the median of what all hosts offer, or of what there
-// is once this host has led for a while. Of the first two offers one may be wrong, and windows that have not begun would
-// be reported as over.
+// collectCounts adds this host's own counts, and agrees on the offset of the store's clock to true time: the median
+// of the offsets of all hosts, or of those received once this host has led for offsetWaitTime. With only two offsets,
+// the wrong one may be chosen, and windows that have not begun would be reported as ended.
 func (r *Reporter) collectCounts(m mandate, since time.Time) {
 	senders := r.parts.Peers.Senders()
 	own := r.ownShare()
@@ -179,26 +180,27 @@
 		alive[usage.Source(sender)] = true
 	}
 	r.mu.Lock()
-	var offers []usage.ClockOffset
-	for source, zero := range r.offsets {
+	var offsets []usage.ClockOffset
+	for source, offset := range r.offsets {
 		if !alive[source] {
 			delete(r.offsets, source)
 			continue
 		}
-		offers = append(offers, zero)
+		offsets = append(offsets, offset)
 	}
 	r.ledger.Drop(r.reported, func(s usage.Source) bool { return alive[s] })
 	r.mu.Unlock()
-	if len(offers) < len(senders) && r.parts.Clock().Sub(since) < offsetWaitTime {
+	if len(offsets) < len(senders) && r.parts.Clock().Sub(since) < offsetWaitTime {
 		return
 	}
-	if zero, ok := usage.MedianOffset(offers); ok {
-		m.UpdateMemo(func(memo *lease.Memo) { memo.TrueTime = int64(zero) })
-		r.parts.UsageClock.SetOffset(zero)
+	if offset, ok := usage.MedianOffset(offsets); ok {
+		m.UpdateMemo(func(memo *lease.Memo) { memo.TrueTime = int64(offset) })
+		r.parts.UsageClock.SetOffset(offset)
 	}
 }
 
-// dueWindows returns the windows that have ended and are not reported, if their counts are complete or late.
+// dueWindows returns the windows that have ended and have not been reported, if their report is fixed, their counts
+// are complete, or the report would be late.
 func (r *Reporter) dueWindows() []usage.Window {
 	now := r.parts.Clock()
 	senders := r.parts.Peers.Senders()
@@ -222,7 +224,7 @@
 	return due
 }
 
-// report fixes the report of a window, if no leader has, and sends it.
+// report fixes the report of a window, unless a former leader has, and sends it to the provider.
 func (r *Reporter) report(ctx context.Context, m mandate, w usage.Window) error {
 	r.mu.Lock()
 	counts, fixed := r.fixed[w]
@@ -245,8 +247,8 @@
 	return nil
 }
 
-// broadcastFixedReport lets all hosts know a report that is about to be sent, also one that a former leader has fixed: that one may have
-// ended before it could.
+// broadcastFixedReport sends a fixed report to all hosts before it goes to the provider. This includes reports fixed
+// by a former leader, which may have ended before it could broadcast them.
 func (r *Reporter) broadcastFixedReport(w usage.Window, counts usage.Counts) {
 	r.mu.Lock()
 	r.known.add(w, counts)
@@ -254,7 +256,7 @@
 	r.parts.Peers.Broadcast(envelope.KindFixedReports, fixedReports{Windows: usage.Windows{w: counts}})
 }
 
-// storeFixedReport stores the report of a window before it is sent for the first time.
+// storeFixedReport writes the report of a window to the store before it is first sent, and deletes old reports.
 func (r *Reporter) storeFixedReport(ctx context.Context, m mandate, w usage.Window, counts usage.Counts) error {
 	value, err := json.Marshal(counts, json.Deterministic(true))
 	if err != nil {
@@ -280,7 +282,7 @@
 	return nil
 }
 
-// markReported notes that a window was reported.
+// markReported marks a window as reported.
 func (r *Reporter) markReported(m mandate, w usage.Window, counts usage.Counts) {
 	now := r.parts.Clock()
 	r.mu.Lock()
@@ -297,10 +299,10 @@
 	r.parts.Log.WithFields(logrus.Fields{
 		"window": w, "requests": requests, "workspaces": len(counts), "hosts": hosts,
 		"after_end_ms": r.parts.UsageClock.SinceEnd(w, now).Milliseconds(),
-	}).Info("reported")
+	}).Info("the usage of a window was reported to the provider")
 }
 
-// recordFailure notes why a window was not reported.
+// recordFailure records and logs a failed report of a window.
 func (r *Reporter) recordFailure(ctx context.Context, m mandate, w usage.Window, err error) {
 	if ctx.Err() != nil || errors.Is(err, leader.ErrLeadershipLost) {
 		return
@@ -310,5 +312,5 @@
 	} else {
 		m.RecordNoAnswer()
 	}
-	r.parts.Log.WithError(err).WithField("window", fmt.Sprint(w)).Warn("a window is not reported yet")
+	r.parts.Log.WithError(err).WithField("window", fmt.Sprint(w)).Warn("the usage report of a window failed; it will be sent again")
 }
--- a/internal/front/reporter/recovery.go
+++ b/internal/front/reporter/recovery.go
@@ -14,32 +14,36 @@
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
 
-// A store that comes back from an older copy has lost the newest reports that leaders fixed there. All hosts remember them, and
-// the first leader of an era asks for them before it reports anything. Windows of which nobody can know whether they were
-// reported are left out: a report that is missing is better than two that differ.
+// A store that is restored from an older backup has lost the newest fixed reports. All hosts keep the reports that
+// they receive, and the first leader of an era asks for them before it reports a window. Windows that may have been
+// reported, but of which no host can have the report, are left out: a missing report is better than two different
+// ones.
 
-// fixedReports is a message with reports that must not change, from the leader that fixed them or a host that was asked.
+// fixedReports is a message with fixed reports, sent by the leader that fixed them or by a host that was asked for
+// them.
 type fixedReports struct {
-	// Since is the true time in ns from which on the sender knows all, or 0 if it does not say.
+	// Since is the true time in ns from which on the sender has received all fixed reports, or 0 if it does not state
+	// one.
 	Since int64 `cbor:"1,keyasint"`
-	// Reported is the window up to which all have been reported.
+	// Reported is the window up to which all windows have been reported.
 	Reported uint64        `cbor:"2,keyasint"`
 	Windows  usage.Windows `cbor:"3,keyasint"`
 }
 
-// fixedReportsRequest is a message that asks a host for the reports that it knows.
+// fixedReportsRequest is a message that asks a host for the fixed reports that it has received.
 type fixedReportsRequest struct{}
 
-// knownReports is what a host knows of reports, whatever the store has.
+// knownReports are the fixed reports that a host has received, independent of the store.
 type knownReports struct {
-	// since is the true time from which on nothing was missed, or 0 if no other host has told of one.
+	// since is the earliest true time from which on another host has received all fixed reports, or 0 if none has
+	// stated one.
 	since    time.Duration
 	reported usage.Window
-	// windows are the newest reports. One that is known is never replaced.
+	// windows are the newest reports. A report is never replaced.
 	windows usage.Windows
 }
 
-// add adds a report.
+// add adds a report, unless the window has one.
 func (k *knownReports) add(w usage.Window, counts usage.Counts) {
 	if _, ok := k.windows[w]; ok {
 		return
@@ -52,7 +56,7 @@
 	}
 }
 
-// merge adds what another host knows.
+// merge adds the reports that another host has received.
 func (k *knownReports) merge(m *fixedReports) {
 	if since := time.Duration(m.Since); since > 0 && (k.since == 0 || since < k.since) {
 		k.since = since
@@ -63,11 +67,11 @@
 	}
 }
 
-// HandleFixedReports handles the reports that a peer knows.
+// HandleFixedReports handles the fixed reports of a peer.
 func (r *Reporter) HandleFixedReports(from envelope.Sender, body []byte) {
 	var m fixedReports
 	if err := cbor.Unmarshal(body, &m); err != nil {
-		r.parts.Log.WithError(err).WithField("peer", from.Host).Warn("a peer's reports can't be read")
+		r.parts.Log.WithError(err).WithField("peer", from.Host).Warn("a peer's fixed reports can't be decoded; they are dropped")
 		return
 	}
 	r.mu.Lock()
@@ -75,12 +79,12 @@
 	r.known.merge(&m)
 }
 
-// HandleFixedReportsRequest sends a peer the reports that this host knows.
+// HandleFixedReportsRequest sends a peer the fixed reports that this host has received.
 func (r *Reporter) HandleFixedReportsRequest(from envelope.Sender, _ []byte) {
 	r.parts.Peers.SendTo(from.Host, envelope.KindFixedReports, r.fixedReports())
 }
 
-// fixedReports returns all that this host knows.
+// fixedReports returns a message with all fixed reports that this host has received.
 func (r *Reporter) fixedReports() fixedReports {
 	since := r.completeSince()
 	r.mu.Lock()
@@ -88,14 +92,14 @@
 	return fixedReports{Since: int64(since), Reported: uint64(r.known.reported), Windows: r.known.windows.Clone()}
 }
 
-// completeSince returns the true time from which on this host has got what leaders send.
+// completeSince returns the true time from which on this host has received all messages of leaders.
 func (r *Reporter) completeSince() time.Duration {
 	now := r.parts.Clock()
 	return r.parts.UsageClock.TrueTime(now) - now.Sub(r.started) + joinTime
 }
 
-// recoverReports makes up for what the store has lost, if this is the first leader of an era that gets so far. It reports false if
-// ctx has ended.
+// recoverReports restores the fixed reports that the store has lost, unless a leader of the current era has done so.
+// It returns false if ctx has ended.
 func (r *Reporter) recoverReports(ctx context.Context, m mandate) bool {
 	token, _, ok := m.Fence()
 	for ; !ok; token, _, ok = m.Fence() {
@@ -115,8 +119,8 @@
 	return true
 }
 
-// adoptKnownReports takes over the reports that hosts know, and leaves out the windows of which they can't know whether they were
-// reported.
+// adoptKnownReports adopts the fixed reports that hosts have received, and leaves out the windows that may have been
+// reported without a host that has the report.
 func (r *Reporter) adoptKnownReports() {
 	now, since := r.parts.Clock(), r.completeSince()
 	r.mu.Lock()
@@ -139,10 +143,10 @@
 		}
 	}
 	r.advanceReported()
-	r.parts.Log.WithFields(logrus.Fields{"reported": r.reported, "fixed": len(r.fixed), "left_out": leftOut}).Warn("the store was restored, reports are taken over from hosts")
+	r.parts.Log.WithFields(logrus.Fields{"reported": r.reported, "fixed": len(r.fixed), "left_out": leftOut}).Warn("the store was restored from a backup; fixed usage reports are recovered from hosts, windows without one are not reported")
 }
 
-// advanceReported raises the window up to which all are reported. The lock is held.
+// advanceReported advances r.reported over the reported windows after it. The caller holds the lock.
 func (r *Reporter) advanceReported() {
 	for r.reportedLater[r.reported+1] {
 		r.reported++
--- a/internal/front/reporter/reporter.go
+++ b/internal/front/reporter/reporter.go
@@ -1,14 +1,13 @@
-// Package reporter brings the counts of usage of all hosts together and reports each window to the provider,
-// once.
+// Package reporter collects the usage counts of all hosts and reports each window to the provider exactly once.
 //
-// Each host sends its counts of the windows that are not reported to the leader, again and again. The leader adds
-// them up, keeps them in the store with each renewal of its lease, and once a window is complete fixes its
-// report there before the first call. Every later leader sends the very same report. So what a host that died
-// had counted is lost only from its last message to the leader on, and of a fleet that died as a whole from the
-// last renewal on.
+// Each host repeatedly sends the leader its counts of the windows that have not been reported. The leader adds them
+// up and writes them to the store with each renewal of its lease. Once a window is complete, the leader fixes its
+// report: it stores the report before the first call to the provider, and every later leader sends the identical
+// report. So if a host crashes, only the counts since its last message to the leader are lost, and if the whole fleet
+// crashes, only those since the last renewal.
 //
-// It owns the ledger of the leader and the state of each window. It relies on package usage for the counts and on
-// package leader for the mandate and the records.
+// The package owns the leader's ledger and the state of each window. It relies on package usage for the counts, and
+// on package leader for the mandate and the records.
 package reporter
 
 import (
@@ -27,63 +26,66 @@
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
 
-// Provider takes the reports.
+// Provider receives the reports.
 type Provider interface {
-	// ReportUsage reports the counts of a window. It blocks until the provider answers, ctx ends or the fence does.
-	// An error that is ErrRefused was an answer.
+	// ReportUsage reports the counts of a window. It blocks until the provider answers, ctx ends or the time of the
+	// fence has passed. An error that is ErrRefused means that the provider answered.
 	ReportUsage(ctx context.Context, fence leader.Fence, window usage.Window, counts usage.Counts) error
 }
 
-// ErrRefused is returned by a Provider that answered and did not take a report.
-var ErrRefused = merry.Sentinel("the provider refused")
+// ErrRefused is returned by a Provider that answered but did not accept a report.
+var ErrRefused = merry.Sentinel("the provider rejected the usage report")
 
-// Peers are the other hosts.
+// Peers sends messages to the other hosts.
 type Peers interface {
-	// Senders returns the live hosts, this one first.
+	// Senders returns the live hosts, starting with this one.
 	Senders() []envelope.Sender
 	SendTo(host string, kind envelope.Kind, message any)
-	// Broadcast sends a message to all other hosts. It may be lost.
+	// Broadcast sends a message to all other hosts, without a guarantee of delivery.
 	Broadcast(kind envelope.Kind, message any)
 }
 
-// Parts are what a Reporter works with.
+// Parts are the dependencies of a Reporter.
 type Parts struct {
-	Meter *usage.Meter
+	Meter      *usage.Meter
 	UsageClock *usage.Clock
-	// DueAfter is how long after the end of a window its report is due.
-	DueAfter      time.Duration
+	// DueAfter is the time from the end of a window until its report is due.
+	DueAfter time.Duration
 	Provider Provider
 	Peers    Peers
-	// Leader returns the host that leads, or nothing if this host knows of none.
+	// Leader returns the host that leads, or an empty string if it is not known.
 	Leader func() string
 	Log    *logrus.Entry
 	Clock  func() time.Time
-	// Random returns numbers from 0 up to 1.
+	// Random returns random numbers in [0, 1).
 	Random func() float64
 }
 
-// Reporter is a host's part in the reports. It is safe for concurrent use.
+// Reporter sends this host's counts to the leader, and reports the counts of all hosts while this host leads. It is
+// safe for concurrent use.
 type Reporter struct {
 	parts   Parts
 	started time.Time
 
 	mu     sync.Mutex
 	ledger *usage.Ledger
-	// offsets are what hosts offer as the true time.
+	// offsets are the offsets of the store's clock to true time as hosts determined them by their time of day.
 	offsets map[usage.Source]usage.ClockOffset
-	// reported is the window up to which all are reported, settled the reported ones after it.
-	reported usage.Window
-	reportedLater  map[usage.Window]bool
-	// fixed are the reports that must not change any more, inStore those that the store has, by window.
+	// reported is the window up to which all windows have been reported. reportedLater are the reported windows after
+	// it.
+	reported      usage.Window
+	reportedLater map[usage.Window]bool
+	// fixed holds, by window, the reports that must not change any more. inStore marks the windows whose fixed report
+	// is in the store.
 	fixed   map[usage.Window]usage.Counts
 	inStore map[usage.Window]bool
-	// lastCheckpoint is the checkpoint that was written last.
+	// lastCheckpoint is the checkpoint that was returned last.
 	lastCheckpoint []byte
-	// known is what this host knows of reports, also while it does not lead.
+	// known holds the reports that this host has received. It is maintained also while this host does not lead.
 	known knownReports
 }
 
-// New returns a reporter that knows no counts.
+// New returns a reporter without counts.
 func New(parts Parts) *Reporter {
 	return &Reporter{
 		parts: parts, started: parts.Clock(), known: knownReports{windows: make(usage.Windows)}, ledger: usage.NewLedger(), offsets: make(map[usage.Source]usage.ClockOffset),
@@ -91,11 +93,12 @@
 	}
 }
 
-// share is what a host sends to the leader.
+// share is the message in which a host sends its counts to the leader.
 type share struct {
-	// AsOf is until when it has counted, in ns of true time.
+	// AsOf is the true time in ns up to which the counts are complete.
 	AsOf int64 `cbor:"1,keyasint"`
-	// Zero is what its own time of day says of the store's clock, or 0.
+	// Zero is the offset of the store's clock to true time according to the host's time of day, or 0 if it is not
+	// known.
 	Zero    int64         `cbor:"2,keyasint"`
 	Windows usage.Windows `cbor:"3,keyasint"`
 }
@@ -116,12 +119,12 @@
 	}
 }
 
-// ownShare returns what this host has counted.
+// ownShare returns the counts of this host.
 func (r *Reporter) ownShare() share {
 	now := r.parts.Clock()
 	s := share{AsOf: int64(r.parts.UsageClock.TrueTime(now)), Windows: r.parts.Meter.Windows()}
-	if zero, known := r.parts.UsageClock.LocalOffset(now); known {
-		s.Zero = int64(zero)
+	if offset, known := r.parts.UsageClock.LocalOffset(now); known {
+		s.Zero = int64(offset)
 	}
 	return s
 }
@@ -130,13 +133,13 @@
 func (r *Reporter) HandleCounts(from envelope.Sender, body []byte) {
 	var s share
 	if err := cbor.Unmarshal(body, &s); err != nil {
-		r.parts.Log.WithError(err).WithField("peer", from.Host).Warn("a peer's counts can't be read")
+		r.parts.Log.WithError(err).WithField("peer", from.Host).Warn("a peer's usage counts can't be decoded; they are dropped")
 		return
 	}
 	r.merge(usage.Source(from), &s)
 }
 
-// merge adds what a host has counted.
+// merge adds the counts of a host to the ledger.
 func (r *Reporter) merge(source usage.Source, s *share) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,7 +149,7 @@
 	}
 }
 
-// HandleAnnouncement takes what a leader announces.
+// HandleAnnouncement applies a leader's announcement.
 func (r *Reporter) HandleAnnouncement(a leader.Announcement) {
 	if a.TrueTime != 0 {
 		r.parts.UsageClock.SetOffset(usage.ClockOffset(a.TrueTime))
--- a/internal/front/reporter/reporter_test.go
+++ b/internal/front/reporter/reporter_test.go
@@ -26,11 +26,11 @@
 )
 
 const (
-	window = 5 * time.Second
-	reportDue    = 10 * time.Second
+	window    = 5 * time.Second
+	reportDue = 10 * time.Second
 )
 
-// network is some hosts, the records that leaders keep, and a provider.
+// network is a fleet of hosts with the records of its leaders and a provider.
 type network struct {
 	mu      sync.Mutex
 	started time.Time
@@ -40,35 +40,35 @@
 	leading string
 	// received are the reports that reached the provider, in order.
 	received []report
-	// nextErrors is how the provider ends the next calls.
+	// nextErrors are the errors with which the next calls of the provider end.
 	nextErrors []error
-	// lostAnswers are the answers of the provider that are lost.
+	// lostAnswers is the number of next answers of the provider that are lost.
 	lostAnswers int
-	// era is that of the store.
+	// era is the era of the store.
 	era uint64
 	log *logrus.Entry
 }
 
-// report is one that the provider received.
+// report is a report that the provider received.
 type report struct {
 	window usage.Window
 	counts usage.Counts
 }
 
-// host is one host.
+// host is one host of the network. It also implements the peers and the mandate of its reporter.
 type host struct {
 	*Reporter
 	network *network
 	name    string
 	meter   *usage.Meter
 	clock   *usage.Clock
-	// skew is how wrong its time of day is.
+	// skew is the error of its time of day.
 	skew time.Duration
-	done  chan struct{}
-	// sendsNothing hosts are known to the others but send nothing.
+	done chan struct{}
+	// sendsNothing is set for a host that the others know but that sends no messages.
 	sendsNothing bool
-	cancel context.CancelFunc
-	ended  chan struct{}
+	cancel       context.CancelFunc
+	ended        chan struct{}
 }
 
 func newNetwork(names ...string) *network {
@@ -84,7 +84,7 @@
 // add starts a host.
 func (n *network) add(name string) *host {
 	h := &host{network: n, name: name, done: make(chan struct{})}
-	// The monotonic clock is not wrong.
+	// Only the time of day is wrong; the monotonic clock is right.
 	store := func(now time.Time) (freshness.StoreTime, bool) {
 		return freshness.StoreTime(now.Sub(n.started) - h.skew + time.Minute), true
 	}
@@ -107,7 +107,7 @@
 	return n.leading
 }
 
-// kill ends a host without a word; the others know at once.
+// kill stops a host without a message. The other hosts detect it immediately.
 func (n *network) kill(name string) {
 	n.mu.Lock()
 	h := n.hosts[name]
@@ -119,7 +119,7 @@
 	}
 }
 
-// lead makes a host the leader until depose.
+// lead makes a host the leader until depose is called.
 func (n *network) lead(name string) *host {
 	h := n.hosts[name]
 	n.mu.Lock()
@@ -150,7 +150,7 @@
 	}
 }
 
-// The peers of a host.
+// The host as the peers of its reporter.
 
 func (h *host) Senders() []envelope.Sender {
 	h.network.mu.Lock()
@@ -181,9 +181,9 @@
 	handle(envelope.Sender{Host: h.name, Incarnation: 1}, body)
 }
 
-// The mandate of a host that leads.
+// The host as the mandate of its reporter.
 
-// Broadcast reaches all hosts, whose handlers run at once.
+// Broadcast delivers a message to all other hosts and runs their handlers before it returns.
 func (h *host) Broadcast(kind envelope.Kind, message any) {
 	for _, to := range h.Senders()[1:] {
 		h.SendTo(to.Host, kind, message)
@@ -195,10 +195,10 @@
 	return token, time.Second, err == nil
 }
 
-// lostWindows is how many windows the store loses when it is restored.
+// lostWindows is the number of windows whose reports the store loses in a restore.
 const lostWindows = 3
 
-// restore has the store lose the records, and come back with an older memo.
+// restore deletes the records and sets the memo back, as a restore of the store from an older backup does.
 func (n *network) restore() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -207,7 +207,8 @@
 	n.era++
 }
 
-// setErrors has the next calls of the provider end with errors, failures returns how many are left of them.
+// setErrors sets the errors with which the next calls of the provider end. errorsLeft returns the number of those
+// that have not been used.
 func (n *network) setErrors(errs ...error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -220,7 +221,7 @@
 	return len(n.nextErrors)
 }
 
-// dropKnownReports has a host have missed all that leaders sent.
+// dropKnownReports deletes the reports that a host has received from leaders.
 func (h *host) dropKnownReports() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -278,7 +279,7 @@
 func (h *host) RecordAnswer()   {}
 func (h *host) RecordNoAnswer() {}
 
-// storeCheckpoint stores the checkpoint of the leader.
+// storeCheckpoint writes the checkpoint of the leader to the store.
 func (h *host) storeCheckpoint() {
 	for _, r := range h.Checkpoint() {
 		h.network.mu.Lock()
@@ -287,7 +288,7 @@
 	}
 }
 
-// ReportUsage is the provider.
+// ReportUsage implements Provider.
 func (n *network) ReportUsage(_ context.Context, _ leader.Fence, w usage.Window, counts usage.Counts) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -304,7 +305,8 @@
 	return nil
 }
 
-// totalCounts returns the counts of all windows together, and checks that no window was reported differently.
+// totalCounts returns the sum of the counts of all reported windows, and checks that no window was reported with
+// different counts.
 func (n *network) totalCounts(c *qt.C) usage.Counts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -312,7 +314,7 @@
 	sum := make(usage.Counts)
 	for _, r := range n.received {
 		if before, ok := windows[r.window]; ok {
-			c.Check(r.counts, qt.DeepEquals, before, qt.Commentf("window %d was reported differently", r.window))
+			c.Check(r.counts, qt.DeepEquals, before, qt.Commentf("window %d was reported with different counts", r.window))
 			continue
 		}
 		windows[r.window] = r.counts
@@ -323,7 +325,7 @@
 	return sum
 }
 
-// numReports returns how many reports the provider has received.
+// numReports returns the number of reports that the provider has received.
 func (n *network) numReports() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -337,7 +339,7 @@
 	}
 }
 
-// TestGoldenFixedReports holds the encoded form of the message: hosts of other versions read it.
+// TestGoldenFixedReports checks the encoded form of the message, which hosts of other versions decode.
 func TestGoldenFixedReports(t *testing.T) {
 	golden.Message(t, "fixed-reports", &fixedReports{Since: 1, Reported: 2, Windows: usage.Windows{3: usage.Counts{"x": 4}}})
 }
@@ -347,21 +349,21 @@
 		play func(n *network)
 		want usage.Counts
 	}{
-		"all hosts": {func(n *network) {
+		"counts of all hosts": {func(n *network) {
 			n.lead("a")
 			n.hosts["a"].countRequests("x", 2)
 			n.hosts["b"].countRequests("x", 3)
 			n.hosts["c"].countRequests("y", 4)
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 5, "y": 4}},
-		"a host that was killed after it sent": {func(n *network) {
+		"a host is killed after it has sent its counts": {func(n *network) {
 			n.lead("a")
 			n.hosts["b"].countRequests("x", 3)
 			time.Sleep(time.Second)
 			n.kill("b")
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 3}},
-		"another leader": {func(n *network) {
+		"the leader changes within a window": {func(n *network) {
 			n.lead("a")
 			n.hosts["b"].countRequests("x", 3)
 			n.hosts["a"].countRequests("x", 1)
@@ -371,7 +373,7 @@
 			n.hosts["c"].countRequests("x", 1)
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 5}},
-		"the leader is killed, its counts are in the store": {func(n *network) {
+		"the leader is killed after a checkpoint": {func(n *network) {
 			h := n.lead("a")
 			n.hosts["a"].countRequests("x", 2)
 			time.Sleep(time.Second)
@@ -380,7 +382,7 @@
 			n.lead("b")
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 2}},
-		"all hosts are killed, and others come": {func(n *network) {
+		"all hosts are killed and replaced by another host": {func(n *network) {
 			h := n.lead("a")
 			n.hosts["a"].countRequests("x", 2)
 			n.hosts["b"].countRequests("y", 3)
@@ -394,13 +396,13 @@
 			n.hosts["d"].countRequests("x", 1)
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 3, "y": 3}},
-		"an answer is lost": {func(n *network) {
+		"answers of the provider are lost": {func(n *network) {
 			n.lead("a")
 			n.lostAnswers = 2
 			n.hosts["b"].countRequests("x", 3)
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 3}},
-		"an answer is lost, and the next leader knows less": {func(n *network) {
+		"an answer is lost, and the next leader has fewer counts": {func(n *network) {
 			n.lead("a")
 			n.hosts["a"].countRequests("x", 3)
 			n.lostAnswers = 1
@@ -409,7 +411,7 @@
 			n.lead("b")
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 3}},
-		"the store loses a report of which no answer came, another leads": {func(n *network) {
+		"the store loses an unanswered report, and the leader changes": {func(n *network) {
 			n.lead("a")
 			n.hosts["a"].countRequests("x", 3)
 			n.lostAnswers = 1
@@ -419,7 +421,7 @@
 			n.lead("b")
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 3}},
-		"a leader ends once it has fixed a report, the next one sends it and the store loses it": {func(n *network) {
+		"a leader is killed after it has fixed a report, the next one sends it, and the store loses it": {func(n *network) {
 			n.lead("a")
 			n.awaitReports(1)
 			n.hosts["a"].countRequests("x", 3)
@@ -439,7 +441,7 @@
 			n.lead("c")
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 3}},
-		"the store loses reports, and who leads next has just started": {func(n *network) {
+		"the store loses reports, and the next leader has just started": {func(n *network) {
 			n.lead("a")
 			n.hosts["a"].countRequests("x", 3)
 			n.awaitReports(2)
@@ -451,7 +453,7 @@
 			n.hosts["b"].countRequests("x", 2)
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 5}},
-		"the store loses reports, and all hosts were killed": {func(n *network) {
+		"the store loses reports, and all hosts are replaced": {func(n *network) {
 			h := n.lead("a")
 			n.hosts["a"].countRequests("x", 2)
 			h.storeCheckpoint()
@@ -470,26 +472,26 @@
 			n.hosts["d"].countRequests("y", 1)
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 3, "y": 1}},
-		"the provider refuses for a while": {func(n *network) {
+		"the provider rejects the first calls": {func(n *network) {
 			n.lead("a")
 			n.nextErrors = []error{merry.Wrap(ErrRefused), merry.Wrap(ErrRefused), merry.New("no answer")}
 			n.hosts["b"].countRequests("x", 3)
 			time.Sleep(3 * window)
 		}, usage.Counts{"x": 3}},
-		"a host whose time of day is wrong": {func(n *network) {
+		"a host's time of day is wrong": {func(n *network) {
 			n.hosts["c"].skew = 20 * time.Second
 			n.lead("a")
 			time.Sleep(time.Second)
 			n.hosts["c"].countRequests("x", 3)
 			time.Sleep(4 * window)
 		}, usage.Counts{"x": 3}},
-		"a host that sends nothing is not waited for too long": {func(n *network) {
+		"a host that sends nothing does not delay a report for long": {func(n *network) {
 			n.hosts["c"].sendsNothing = true
 			n.lead("a")
 			n.hosts["b"].countRequests("x", 3)
 			time.Sleep(window + 8*time.Second)
 		}, usage.Counts{"x": 3}},
-		"nothing was counted twice over many windows": {func(n *network) {
+		"requests are counted once over many windows": {func(n *network) {
 			n.lead("a")
 			for range 40 {
 				n.hosts["b"].countRequests("x", 3)
@@ -511,7 +513,7 @@
 	}
 }
 
-// TestOldReportsAreRemoved checks that the store does not fill up.
+// TestOldReportsAreRemoved checks that the number of records in the store stays bounded.
 func TestOldReportsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -523,7 +525,7 @@
 	})
 }
 
-// TestUnreadableRecords has records that no leader wrote: they are left out, the others count.
+// TestUnreadableRecords checks that records which no leader wrote are ignored and the others are used.
 func TestUnreadableRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -546,5 +548,5 @@
 	c := qt.New(t)
 	c.Check(shareInterval(8), qt.Equals, minShareInterval)
 	c.Check(shareInterval(380), qt.Equals, 1900*time.Millisecond)
-	c.Check(time.Duration(lateFraction*float64(reportDue)) > window, qt.IsTrue, qt.Commentf("hosts that freeze for some seconds are waited for"))
+	c.Check(time.Duration(lateFraction*float64(reportDue)) > window, qt.IsTrue, qt.Commentf("a report waits for hosts that are suspended for some seconds"))
 }
