--- a/internal/front/usage/clock.go
+++ b/internal/front/usage/clock.go
@@ -8,18 +8,19 @@
 	"oxbowslip.dev/oxbowslip/internal/front/freshness"
 )
 
-// A window is a span of true time that all hosts must agree on, though the time of day of some of them may be
-// wrong by seconds. So hosts measure by the store's clock, which is steady, and need only the true time at its
-// zero: each host offers what its own time of day says, and the median of all is in force everywhere. It is wrong
-// only if half of the hosts are.
+// A usage window is a span of true time that all hosts must agree on, although the time of day of some hosts may be
+// wrong by seconds. So hosts measure time by the store's clock, which is steady, and only need its offset to true
+// time. Each host determines the offset by its own time of day, and all hosts use the median of these offsets. The
+// median is wrong only if half of the hosts are.
 
-// Window is the number of a window: it begins that many lengths after the start of 1970, in true time.
+// Window is the number of a window. It begins that many window lengths after the start of 1970, in true time.
 type Window uint64
 
-// ClockOffset is the true time at the zero of the store's clock, since the start of 1970.
+// ClockOffset is the difference between true time since 1970 and the store's clock: the true time at the zero point
+// of the store's clock.
 type ClockOffset time.Duration
 
-// Clock finds the windows of this host's times. It is safe for concurrent use.
+// Clock determines the window of a time of this host. It is safe for concurrent use.
 type Clock struct {
 	length time.Duration
 	// storeTime returns the store's clock at a time of this host, or false if it is not known.
@@ -27,8 +28,8 @@
 	// timeOfDay returns the time of day at a time of this host.
 	timeOfDay func(time.Time) time.Time
 
-	mu     sync.Mutex
-	offset   ClockOffset
+	mu        sync.Mutex
+	offset    ClockOffset
 	hasOffset bool
 }
 
@@ -37,26 +38,27 @@
 	return &Clock{length: length, storeTime: store, timeOfDay: timeOfDay}
 }
 
-// SetOffset puts in force what the hosts have agreed on.
-func (c *Clock) SetOffset(zero ClockOffset) {
+// SetOffset sets the offset that the hosts have agreed on.
+func (c *Clock) SetOffset(offset ClockOffset) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.offset, c.hasOffset = zero, true
+	c.offset, c.hasOffset = offset, true
 }
 
-// LocalOffset returns what this host's time of day says, or false if the store's clock is not known.
+// LocalOffset returns the offset according to this host's time of day, or false if the store's clock is not known.
 func (c *Clock) LocalOffset(now time.Time) (ClockOffset, bool) {
 	at, known := c.storeTime(now)
 	return ClockOffset(c.timeOfDay(now).UnixNano()) - ClockOffset(at), known
 }
 
-// TrueTime returns the true time since the start of 1970: by what was agreed on, or else by this host's time of day.
+// TrueTime returns the true time since 1970. It uses the agreed offset if that and the store's clock are known, and
+// this host's time of day otherwise.
 func (c *Clock) TrueTime(now time.Time) time.Duration {
 	c.mu.Lock()
-	zero, agreed := c.offset, c.hasOffset
+	offset, hasOffset := c.offset, c.hasOffset
 	c.mu.Unlock()
-	if at, known := c.storeTime(now); agreed && known {
-		return time.Duration(zero) + time.Duration(at)
+	if at, known := c.storeTime(now); hasOffset && known {
+		return time.Duration(offset) + time.Duration(at)
 	}
 	return time.Duration(c.timeOfDay(now).UnixNano())
 }
@@ -64,16 +66,16 @@
 // Window returns the window of a time.
 func (c *Clock) Window(now time.Time) Window { return Window(c.TrueTime(now) / c.length) }
 
-// SinceEnd returns how long ago a window ended; below 0 if it has not.
+// SinceEnd returns the time since the end of a window, negative if the window has not ended.
 func (c *Clock) SinceEnd(w Window, now time.Time) time.Duration {
 	return c.TrueTime(now) - time.Duration(w+1)*c.length
 }
 
-// MedianOffset returns the one in the middle of what hosts offer, or false if there is none.
-func MedianOffset(offers []ClockOffset) (ClockOffset, bool) {
-	if len(offers) == 0 {
+// MedianOffset returns the median of the offsets of hosts, or false if there are none.
+func MedianOffset(offsets []ClockOffset) (ClockOffset, bool) {
+	if len(offsets) == 0 {
 		return 0, false
 	}
-	sorted := slices.Sorted(slices.Values(offers))
+	sorted := slices.Sorted(slices.Values(offsets))
 	return sorted[len(sorted)/2], true
 }
--- a/internal/front/usage/usage.go
+++ b/internal/front/usage/usage.go
@@ -1,9 +1,9 @@
-// Package usage counts, for each workspace and window of true time, the requests that endpoints began to run,
-// and adds up what all hosts counted.
+// Package usage counts, for each workspace and window of true time, the requests that endpoints began to run, and
+// adds up the counts of all hosts.
 //
-// Counts only grow, and each host's are kept apart: to merge them twice, or older after newer ones, changes
-// nothing. So hosts send theirs again and again, and whoever holds the counts of a host that has died can bring
-// them. Nothing here does input or output; package leader spreads, stores and reports the counts.
+// Counts only grow, and the counts of each host are kept apart, so a merge is idempotent and does not depend on the
+// order of messages. So hosts send their counts repeatedly, and any host that has received the counts of a crashed
+// host can pass them on. The package does no input or output: package reporter sends, stores and reports the counts.
 package usage
 
 import (
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// Counts are requests by workspace.
+// Counts are the numbers of requests by workspace.
 type Counts map[string]uint64
 
-// mergeMax merges counts of the same host: each is the higher of the two.
+// mergeMax merges other counts of the same host: the higher count of each workspace remains.
 func (c Counts) mergeMax(other Counts) {
 	for workspace, count := range other {
 		c[workspace] = max(c[workspace], count)
@@ -25,14 +25,14 @@
 // Windows are counts by window.
 type Windows map[Window]Counts
 
-// Clone returns a copy.
+// Clone returns a deep copy.
 func (w Windows) Clone() Windows {
 	windows := make(Windows, len(w))
 	windows.mergeMax(w)
 	return windows
 }
 
-// mergeMax merges counts of the same host.
+// mergeMax merges other counts of the same host.
 func (w Windows) mergeMax(other Windows) {
 	for window, counts := range other {
 		if w[window] == nil {
@@ -42,13 +42,13 @@
 	}
 }
 
-// drop forgets the windows up to one.
+// drop deletes the windows up to and including upTo.
 func (w Windows) drop(upTo Window) {
 	maps.DeleteFunc(w, func(window Window, _ Counts) bool { return window <= upTo })
 }
 
-// maxUnreportedWindows is how many windows a host keeps that nobody has reported: at a length of 5 s, twice as long as the
-// users' platform waits for a report. What is older is too late.
+// maxUnreportedWindows is the number of unreported windows that a host keeps. With windows of 5 s, it covers twice
+// the time after which a report is due on the users' platform. Older windows are too late to be reported.
 const maxUnreportedWindows = 8
 
 // Meter counts the requests of this host. It is safe for concurrent use. A nil Meter counts nothing.
@@ -59,11 +59,11 @@
 	windows Windows
 }
 
-// NewMeter returns a meter that has counted nothing.
+// NewMeter returns a meter without counts.
 func NewMeter(clock *Clock) *Meter { return &Meter{clock: clock, windows: make(Windows)} }
 
-// Began counts a request of a workspace that an endpoint began to run at a time. Calls that belong to no workspace
-// are left out.
+// Began counts a request of a workspace that an endpoint began to run at a time. It ignores calls that belong to no
+// workspace.
 func (m *Meter) Began(workspace string, at time.Time) {
 	if m == nil || workspace == "" {
 		return
@@ -82,7 +82,7 @@
 	counts[workspace]++
 }
 
-// Drop forgets the windows up to one that was reported.
+// Drop deletes the windows up to and including upTo, which have been reported.
 func (m *Meter) Drop(upTo Window) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -96,13 +96,13 @@
 	return m.windows.Clone()
 }
 
-// Source is one start of a host.
+// Source is one incarnation of a host.
 type Source struct {
 	Host        string
 	Incarnation uint32
 }
 
-// Share is what one start of a host has counted, as of a true time.
+// Share is the counts of one incarnation of a host, complete up to a true time.
 type Share struct {
 	AsOf    time.Duration
 	Windows Windows
@@ -116,7 +116,7 @@
 // NewLedger returns a ledger without counts.
 func NewLedger() *Ledger { return &Ledger{shares: make(map[Source]Share)} }
 
-// Merge adds what a host has counted.
+// Merge adds the counts of a host.
 func (l *Ledger) Merge(source Source, share Share) {
 	known, ok := l.shares[source]
 	if !ok {
@@ -127,10 +127,10 @@
 	l.shares[source] = known
 }
 
-// Shares returns the counts of each host. They are shared and must not be modified.
+// Shares returns the counts of each host. The map is shared and must not be modified.
 func (l *Ledger) Shares() map[Source]Share { return l.shares }
 
-// Drop forgets the windows up to one, and the hosts of which nothing is left, but for those that are alive.
+// Drop deletes the windows up to and including upTo, and the hosts that are not alive and have no counts left.
 func (l *Ledger) Drop(upTo Window, alive func(Source) bool) {
 	for source, share := range l.shares {
 		share.Windows.drop(upTo)
@@ -140,7 +140,7 @@
 	}
 }
 
-// Sum returns the counts of a window over all hosts.
+// Sum returns the counts of a window, added up over all hosts.
 func (l *Ledger) Sum(window Window) Counts {
 	sum := make(Counts)
 	for _, share := range l.shares {
@@ -151,5 +151,5 @@
 	return sum
 }
 
-// AsOf returns the true time up to which a host has reported its counts.
+// AsOf returns the true time up to which the counts of a host are complete.
 func (l *Ledger) AsOf(source Source) time.Duration { return l.shares[source].AsOf }
--- a/internal/front/usage/usage_test.go
+++ b/internal/front/usage/usage_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(1_000_000_003, 0)
 
-// TestWindows checks which window a time belongs to, by the time of day or by what was agreed on.
+// TestWindows checks the window of a time, by the time of day and by an agreed offset.
 func TestWindows(t *testing.T) {
 	zeroAt := time.Unix(1_000_000_000, 0)
 	tests := map[string]struct {
@@ -19,13 +19,13 @@
 		agreed     ClockOffset
 		want       Window
 	}{
-		"nothing is agreed on":                {true, 0, 200_000_000},
-		"as the time of day":                  {true, ClockOffset(zeroAt.UnixNano()), 200_000_000},
-		"the time of day is 3 s late":         {true, ClockOffset(zeroAt.UnixNano()) + ClockOffset(3*time.Second), 200_000_001},
-		"the time of day is 7 s early":        {true, ClockOffset(zeroAt.UnixNano()) - ClockOffset(7*time.Second), 199_999_999},
-		"the store's clock is not known":      {false, ClockOffset(zeroAt.UnixNano()) + ClockOffset(3*time.Second), 200_000_000},
-		"an hour of difference is an hour":    {true, ClockOffset(zeroAt.UnixNano()) + ClockOffset(time.Hour), 200_000_720},
-		"agreed on before the store is known": {false, 0, 200_000_000},
+		"no agreed offset":                {true, 0, 200_000_000},
+		"offset equal to the time of day": {true, ClockOffset(zeroAt.UnixNano()), 200_000_000},
+		"the time of day is 3 s late":     {true, ClockOffset(zeroAt.UnixNano()) + ClockOffset(3*time.Second), 200_000_001},
+		"the time of day is 7 s early":    {true, ClockOffset(zeroAt.UnixNano()) - ClockOffset(7*time.Second), 199_999_999},
+		"the store's clock is not known":  {false, ClockOffset(zeroAt.UnixNano()) + ClockOffset(3*time.Second), 200_000_000},
+		"the time of day is an hour late": {true, ClockOffset(zeroAt.UnixNano()) + ClockOffset(time.Hour), 200_000_720},
+		"no offset and no store's clock":  {false, 0, 200_000_000},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -43,29 +43,30 @@
 	}
 }
 
-// sameTime is the time of day of a machine that was not suspended.
+// sameTime returns the time of day of a machine that was never suspended.
 func sameTime(at time.Time) time.Time { return at }
 
-// TestSuspensionDoesNotChangeOffset has a machine suspended: its time of day has counted that by itself, and the host's
-// clock, which adds it to both of its readings, would count it twice.
+// TestSuspensionDoesNotChangeOffset suspends a machine. Its time of day includes the suspension by itself. The host's
+// clock adds the suspension to both of its readings, so an offset that is taken from them directly would count it
+// twice.
 func TestSuspensionDoesNotChangeOffset(t *testing.T) {
 	c := qt.New(t)
-	const slept = 40 * time.Second
+	const suspended = 40 * time.Second
 	store := func(steady time.Duration) func(time.Time) (freshness.StoreTime, bool) {
 		return func(time.Time) (freshness.StoreTime, bool) { return freshness.StoreTime(steady), true }
 	}
 	before, _ := NewClock(5*time.Second, store(time.Minute), sameTime).LocalOffset(start)
-	woken := NewClock(5*time.Second, store(time.Minute+slept), func(at time.Time) time.Time { return at.Add(-slept) })
-	after, _ := woken.LocalOffset(start.Add(slept).Add(slept))
+	resumed := NewClock(5*time.Second, store(time.Minute+suspended), func(at time.Time) time.Time { return at.Add(-suspended) })
+	after, _ := resumed.LocalOffset(start.Add(suspended).Add(suspended))
 	c.Check(after, qt.Equals, before)
-	c.Check(woken.TrueTime(start.Add(slept).Add(slept)), qt.Equals, time.Duration(start.Add(slept).UnixNano()))
+	c.Check(resumed.TrueTime(start.Add(suspended).Add(suspended)), qt.Equals, time.Duration(start.Add(suspended).UnixNano()))
 }
 
 func TestMedianOffset(t *testing.T) {
 	tests := map[string]struct {
-		offers []ClockOffset
-		want   ClockOffset
-		ok     bool
+		offsets []ClockOffset
+		want    ClockOffset
+		ok      bool
 	}{
 		"none":                  {nil, 0, false},
 		"one":                   {[]ClockOffset{5}, 5, true},
@@ -74,14 +75,14 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			got, ok := MedianOffset(test.offers)
+			got, ok := MedianOffset(test.offsets)
 			qt.Check(t, got, qt.Equals, test.want)
 			qt.Check(t, ok, qt.Equals, test.ok)
 		})
 	}
 }
 
-// TestMergeIsIdempotent merges what hosts send again, late and out of order.
+// TestMergeIsIdempotent merges counts that hosts send repeatedly, late and out of order.
 func TestMergeIsIdempotent(t *testing.T) {
 	a, b := Source{"a", 1}, Source{"b", 1}
 	share := func(asOf time.Duration, x uint64) Share {
@@ -99,15 +100,15 @@
 			l.Merge(a, share(1, 2))
 			l.Merge(a, share(1, 2))
 		}, 2},
-		"an older one after a newer one": {func(l *Ledger) {
+		"older counts after newer ones": {func(l *Ledger) {
 			l.Merge(a, share(2, 4))
 			l.Merge(a, share(1, 2))
 		}, 4},
-		"a host that started again": {func(l *Ledger) {
+		"a host that restarted": {func(l *Ledger) {
 			l.Merge(a, share(2, 4))
 			l.Merge(Source{"a", 2}, share(3, 1))
 		}, 5},
-		"dropped, and merged again": {func(l *Ledger) {
+		"counts merged after a drop": {func(l *Ledger) {
 			l.Merge(a, share(2, 4))
 			l.Drop(7, func(Source) bool { return true })
 			l.Merge(b, share(2, 1))
@@ -140,7 +141,7 @@
 		now = now.Add(5 * time.Second)
 		m.Began("y", now)
 	}
-	c.Check(len(m.Windows()) <= maxUnreportedWindows+1, qt.IsTrue, qt.Commentf("nobody reports: old windows are forgotten"))
+	c.Check(len(m.Windows()) <= maxUnreportedWindows+1, qt.IsTrue, qt.Commentf("without reports, old windows are deleted"))
 	m.Drop(clock.Window(now))
 	c.Check(m.Windows(), qt.HasLen, 0)
 	var none *Meter
