--- a/internal/front/capacity/capacity.go
+++ b/internal/front/capacity/capacity.go
@@ -1,9 +1,9 @@
 // Package capacity decides how many endpoints of a service to order, in which zones and of which kind. Regular
-// endpoints stay until they are ordered away. Spot endpoints cost a part of that, and may be taken away all at once
-// in a zone, after which there may be none to be had for a while.
+// endpoints stay until an order removes them. Spot endpoints cost a fraction of that, but the provider may reclaim
+// all of a zone at the same time, after which it may have none available for some seconds.
 //
-// It owns the rules, and what was ordered and refused. It does no input or output and takes the time as a
-// parameter; package scaler, a task of the leader, feeds it and sends the orders.
+// The package owns the rules and the state of the last orders. It does no input or output and takes the time as a
+// parameter: package scaler, a task of the leader, passes in the state of the fleet and sends the orders.
 package capacity
 
 import (
@@ -25,23 +25,23 @@
 	Spot    Kind = "spot"
 )
 
-// Place is where endpoints of a kind are ordered.
+// Place is a zone and kind for which endpoints are ordered.
 type Place struct {
 	Zone string
 	Kind Kind
 }
 
-// Count is the endpoints of a place.
+// Count is the number of endpoints of a place.
 type Count struct {
-	// Ready take new work, Leaving do not any more.
+	// Ready endpoints accept new requests. Leaving endpoints no longer do.
 	Ready   int
 	Leaving int
 }
 
-// Fleet is what is there of a service.
+// Fleet is the current number of endpoints of a service, by place.
 type Fleet map[Place]Count
 
-// Ready returns the endpoints of a kind that take new work.
+// Ready returns the number of endpoints of a kind that accept new requests.
 func (f Fleet) Ready(kind Kind) int {
 	ready := 0
 	for place, count := range f {
@@ -52,10 +52,10 @@
 	return ready
 }
 
-// DesiredCounts is how many endpoints there should be.
+// DesiredCounts is the desired number of endpoints, by place.
 type DesiredCounts map[Place]int
 
-// Order is one for the provider.
+// Order is an order to the provider: the desired number of endpoints of a place.
 type Order struct {
 	Place
 	Desired int
@@ -65,65 +65,67 @@
 type sentOrder struct {
 	desired int
 	at      time.Time
-	// unavailableSince is since when there have been none to be had, or zero.
+	// unavailableSince is the time since which the provider has had no such endpoints available, or zero.
 	unavailableSince time.Time
 }
 
-// Plan is what is ordered of one service. It is not safe for concurrent use.
+// Plan decides on the orders for one service. It is not safe for concurrent use.
 type Plan struct {
 	lastOrders map[Place]sentOrder
 }
 
-// NewPlan returns a plan that has ordered nothing.
+// NewPlan returns a plan without orders.
 func NewPlan() *Plan { return &Plan{lastOrders: make(map[Place]sentOrder)} }
 
-// spotShortageTime is how long there may be no spot endpoints in a zone before regular ones take their place. Each costs as much
-// as five or six spot ones and boots as long; spells without any lasted for 8.6 to 11 s on the users' days.
+// spotShortageTime is how long a zone may have no spot endpoints available before regular ones replace them. A
+// regular endpoint costs as much as five or six spot ones and takes as long to boot. On the users' platform,
+// shortages lasted 8.6 to 11 s.
 const spotShortageTime = 15 * time.Second
 
-// ComputeDesired returns how many endpoints there should be if a number of them is needed, whichever zone loses its spot
-// endpoints: those of one zone more than needed are cheaper than regular ones, unless there are hardly any zones.
-// Regular ones stay until the spot ones are there, as far as the bounds of a zone have room for both, and come
-// where there are no spot ones for long.
+// ComputeDesired returns the desired number of endpoints such that the needed number remains ready when any one zone
+// loses its spot endpoints. Spot endpoints are ordered in excess by the number in one zone, which is cheaper than
+// regular endpoints unless there are hardly any zones. Regular endpoints stay until the spot ones are ready, as far
+// as the limit of a zone has room for both, and replace spot ones that are unavailable for long.
 func (p *Plan) ComputeDesired(now time.Time, scaling *settings.Scaling, fleet Fleet, need int) DesiredCounts {
 	zones := zonesOf(scaling, fleet)
 	spot := spotPerZone(scaling, len(zones), need)
-	lacking := max(min(need, scaling.Max*len(zones))-fleet.Ready(Spot), 0)
-	wanted := make(DesiredCounts)
+	missing := max(min(need, scaling.Max*len(zones))-fleet.Ready(Spot), 0)
+	desiredCounts := make(DesiredCounts)
 	for i, zone := range zones {
-		regular := min(ceilDiv(lacking, len(zones)-i), scaling.Max)
-		lacking -= regular
-		wanted[Place{zone, Spot}], wanted[Place{zone, Regular}] = p.desiredInZone(now, scaling, fleet, zone, spot, regular)
+		regular := min(ceilDiv(missing, len(zones)-i), scaling.Max)
+		missing -= regular
+		desiredCounts[Place{zone, Spot}], desiredCounts[Place{zone, Regular}] = p.desiredInZone(now, scaling, fleet, zone, spot, regular)
 	}
-	return wanted
+	return desiredCounts
 }
 
-// desiredInZone returns what should be in one zone, where so many spot endpoints would be best and so many regular ones
-// are lacking without them.
-func (p *Plan) desiredInZone(now time.Time, scaling *settings.Scaling, fleet Fleet, zone string, spot, lacking int) (spotWanted, regular int) {
+// desiredInZone returns the desired numbers of spot and regular endpoints in one zone, given the best number of spot
+// endpoints there and the number of regular ones that are needed as long as the spot ones are missing.
+func (p *Plan) desiredInZone(now time.Time, scaling *settings.Scaling, fleet Fleet, zone string, spot, missing int) (spotDesired, regular int) {
 	last := p.lastOrders[Place{zone, Spot}]
 	ready := fleet[Place{zone, Regular}].Ready
 	switch {
 	case spot == 0:
-		regular = lacking
+		regular = missing
 	case !last.unavailableSince.IsZero() && now.Sub(last.unavailableSince) >= spotShortageTime:
-		// What is ordered of both must have room for both.
-		regular = lacking
+		// The zone must have room for the orders of both kinds.
+		regular = missing
 		spot = max(scaling.Max-regular, 1)
 	case last.desired == 0 && fleet[Place{zone, Spot}].Ready == 0:
-		// Regular ones don't make room before the provider has taken an order.
+		// Regular endpoints stay until the provider has accepted an order for spot ones.
 		regular = ready
 		spot = min(spot, max(scaling.Max-ready, 1))
 	case !last.unavailableSince.IsZero():
 		regular = ready
 	default:
-		regular = min(lacking, scaling.Max-spot)
+		regular = min(missing, scaling.Max-spot)
 	}
 	regular = max(regular, scaling.Min-spot)
 	return spot, regular
 }
 
-// spotPerZone returns how many spot endpoints there should be in each of some zones.
+// spotPerZone returns the best number of spot endpoints in each zone for a number of zones, or 0 if they are not
+// worth their price.
 func spotPerZone(scaling *settings.Scaling, zones, need int) int {
 	if scaling.SpotPrice <= 0 || zones < 2 || scaling.SpotPrice*float64(zones)/float64(zones-1) >= 1 {
 		return 0
@@ -148,18 +150,18 @@
 func ceilDiv(a, b int) int { return int(math.Ceil(float64(a) / float64(max(b, 1)))) }
 
 const (
-	// repeatDelay is how long after an order, beside the time to boot, endpoints that are not there are ordered again:
-	// an order may be lost, or endpoints taken away.
+	// repeatDelay is added to the boot time before an order is repeated whose endpoints are missing: the order may be
+	// lost, or its endpoints reclaimed.
 	repeatDelay = 2 * time.Second
-	// refusedRetryDelay is when an order is repeated that was refused.
+	// refusedRetryDelay is the time until an order is repeated for which the provider had no endpoints available.
 	refusedRetryDelay = 2 * time.Second
 )
 
-// DueOrders returns the orders that are to be sent now: what has changed, and what was not fulfilled. What makes room
-// goes first.
-func (p *Plan) DueOrders(now time.Time, scaling *settings.Scaling, fleet Fleet, wanted DesiredCounts) []Order {
+// DueOrders returns the orders to send now: changed ones, and unfulfilled ones that are to be repeated. Orders that
+// free room come first.
+func (p *Plan) DueOrders(now time.Time, scaling *settings.Scaling, fleet Fleet, desiredCounts DesiredCounts) []Order {
 	var orders []Order
-	for place, desired := range wanted {
+	for place, desired := range desiredCounts {
 		if p.isDue(now, scaling, fleet, Order{place, desired}) {
 			orders = append(orders, Order{place, desired})
 		}
@@ -171,7 +173,7 @@
 	return orders
 }
 
-// isDue reports whether an order is to be sent.
+// isDue reports whether an order is to be sent now.
 func (p *Plan) isDue(now time.Time, scaling *settings.Scaling, fleet Fleet, o Order) bool {
 	last, ordered := p.lastOrders[o.Place]
 	ready := fleet[o.Place].Ready
@@ -186,7 +188,7 @@
 	return ready < o.Desired && now.Sub(last.at) >= scaling.Boot+repeatDelay
 }
 
-// RecordOrder notes an order that the provider has taken, or refused because there are none to be had.
+// RecordOrder records an order that the provider has accepted, or refused because it has no such endpoints available.
 func (p *Plan) RecordOrder(now time.Time, order Order, refused bool) {
 	s := sentOrder{desired: order.Desired, at: now}
 	if refused {
--- a/internal/front/capacity/capacity_test.go
+++ b/internal/front/capacity/capacity_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1000, 0)
 
-// threeZones is a service that may have up to 60 endpoints in each of three zones.
+// threeZones returns the settings of a service that may have up to 60 endpoints in each of three zones.
 func threeZones() *settings.Scaling {
 	return &settings.Scaling{Min: 1, Max: 60, Boot: 4 * time.Second, SpotPrice: 0.18, ZonePrices: map[string]float64{"a": 1, "b": 1.2, "c": 0.85}}
 }
@@ -23,22 +23,23 @@
 type testEndpoint struct {
 	place   Place
 	readyAt time.Duration
-	// terminatesAt is when it goes, once it leaves.
+	// terminatesAt is the time at which the endpoint terminates, once it is leaving.
 	terminatesAt time.Duration
 }
 
-// provider plays the provider of a service, in steps of planning.
+// provider simulates the provider of a service, in steps of the planning interval.
 type provider struct {
-	scaling *settings.Scaling
-	plan    *Plan
-	now     time.Duration
-	units   []*testEndpoint
-	// spotUnavailableUntil are the zones without spot endpoints until a time; refuses and loses are what becomes of the next orders.
-	spotUnavailableUntil    map[string]time.Duration
-	ordersToLose  int
-	orders []Order
-	cost  float64
-	// minReady is the fewest that were ready at a time, most the most.
+	scaling   *settings.Scaling
+	plan      *Plan
+	now       time.Duration
+	endpoints []*testEndpoint
+	// spotUnavailableUntil holds the zones without spot endpoints, and until when. ordersToLose is the number of next
+	// orders that are lost.
+	spotUnavailableUntil map[string]time.Duration
+	ordersToLose         int
+	orders               []Order
+	cost                 float64
+	// minReady and maxReady are the lowest and highest number of ready endpoints at any time.
 	minReady, maxReady int
 }
 
@@ -46,7 +47,7 @@
 	p := &provider{scaling: scaling, plan: NewPlan(), spotUnavailableUntil: make(map[string]time.Duration), minReady: 1 << 30}
 	for zone := range scaling.ZonePrices {
 		for range regular {
-			p.units = append(p.units, &testEndpoint{place: Place{zone, Regular}})
+			p.endpoints = append(p.endpoints, &testEndpoint{place: Place{zone, Regular}})
 		}
 	}
 	return p
@@ -54,81 +55,82 @@
 
 func (p *provider) fleet() Fleet {
 	fleet := make(Fleet)
-	for _, u := range p.units {
-		if u.readyAt > p.now {
+	for _, e := range p.endpoints {
+		if e.readyAt > p.now {
 			continue
 		}
-		count := fleet[u.place]
-		if u.terminatesAt > 0 {
+		count := fleet[e.place]
+		if e.terminatesAt > 0 {
 			count.Leaving++
 		} else {
 			count.Ready++
 		}
-		fleet[u.place] = count
+		fleet[e.place] = count
 	}
 	return fleet
 }
 
-// staying returns the endpoints of a place that do not leave, those that boot included.
+// staying returns the endpoints of a place that are not leaving, including those that boot.
 func (p *provider) staying(place Place) []*testEndpoint {
-	var kept []*testEndpoint
-	for _, u := range p.units {
-		if u.place == place && u.terminatesAt == 0 {
-			kept = append(kept, u)
+	var staying []*testEndpoint
+	for _, e := range p.endpoints {
+		if e.place == place && e.terminatesAt == 0 {
+			staying = append(staying, e)
 		}
 	}
-	return kept
+	return staying
 }
 
-// acceptOrder takes an order, and reports false if there are none to be had.
+// acceptOrder carries out an order, or returns false if no such endpoints are available.
 func (p *provider) acceptOrder(o Order) bool {
-	kept := p.staying(o.Place)
+	staying := p.staying(o.Place)
 	other := Place{o.Zone, Spot}
 	if o.Kind == Spot {
 		other.Kind = Regular
 	}
 	desired := min(o.Desired, p.scaling.Max-len(p.staying(other)))
-	if o.Kind == Spot && desired > len(kept) && p.spotUnavailableUntil[o.Zone] > p.now {
+	if o.Kind == Spot && desired > len(staying) && p.spotUnavailableUntil[o.Zone] > p.now {
 		return false
 	}
-	for len(kept) < desired {
-		u := &testEndpoint{place: o.Place, readyAt: p.now + p.scaling.Boot}
-		p.units, kept = append(p.units, u), append(kept, u)
+	for len(staying) < desired {
+		e := &testEndpoint{place: o.Place, readyAt: p.now + p.scaling.Boot}
+		p.endpoints, staying = append(p.endpoints, e), append(staying, e)
 	}
-	for _, u := range kept[max(desired, 0):] {
-		u.terminatesAt = p.now + 3*time.Second
+	for _, e := range staying[max(desired, 0):] {
+		e.terminatesAt = p.now + 3*time.Second
 	}
 	return true
 }
 
-// reclaim takes the spot endpoints of a zone away, and has none for a time; anywhere if all is set.
-func (p *provider) reclaim(zone string, dry time.Duration, all bool) {
-	for _, u := range p.staying(Place{zone, Spot}) {
-		u.terminatesAt = p.now + 2*time.Second
+// reclaim reclaims the spot endpoints of a zone. The zone has none available for a time, and neither have the others
+// if all is set.
+func (p *provider) reclaim(zone string, shortage time.Duration, all bool) {
+	for _, e := range p.staying(Place{zone, Spot}) {
+		e.terminatesAt = p.now + 2*time.Second
 	}
 	for z := range p.scaling.ZonePrices {
 		if z == zone || all {
-			p.spotUnavailableUntil[z] = p.now + dry
+			p.spotUnavailableUntil[z] = p.now + shortage
 		}
 	}
 }
 
-// run plays a time with a number of endpoints needed.
+// run simulates a span of time in which a number of endpoints is needed.
 func (p *provider) run(span time.Duration, need int) {
 	const step = 200 * time.Millisecond
 	for until := p.now + span; p.now < until; p.now += step {
-		kept := p.units[:0]
-		for _, u := range p.units {
-			if u.terminatesAt == 0 || u.terminatesAt > p.now {
-				kept = append(kept, u)
-				price := p.scaling.ZonePrices[u.place.Zone]
-				if u.place.Kind == Spot {
+		staying := p.endpoints[:0]
+		for _, e := range p.endpoints {
+			if e.terminatesAt == 0 || e.terminatesAt > p.now {
+				staying = append(staying, e)
+				price := p.scaling.ZonePrices[e.place.Zone]
+				if e.place.Kind == Spot {
 					price *= p.scaling.SpotPrice
 				}
 				p.cost += price * step.Seconds()
 			}
 		}
-		p.units = kept
+		p.endpoints = staying
 		fleet := p.fleet()
 		ready := fleet.Ready(Regular) + fleet.Ready(Spot)
 		p.minReady, p.maxReady = min(p.minReady, ready), max(p.maxReady, ready)
@@ -144,7 +146,7 @@
 	}
 }
 
-// TestPlan plays what a provider does and fails to do.
+// TestPlan checks the fleet and the number of orders under faults of the provider and changes of the need.
 func TestPlan(t *testing.T) {
 	regularOnly := threeZones()
 	regularOnly.SpotPrice = 0
@@ -153,27 +155,27 @@
 	tests := map[string]struct {
 		scaling *settings.Scaling
 		play    func(p *provider)
-		// spot and regular are what is ready at the end, least the fewest that were at any time, orders the most
-		// orders that it may take.
+		// spot and regular are the numbers of ready endpoints at the end. least is the lowest permitted number of
+		// ready endpoints at any time, orders the highest permitted number of orders.
 		spot, regular, least, orders int
 	}{
-		"spot takes the place of regular": {threeZones(), func(p *provider) {
+		"spot endpoints replace regular ones": {threeZones(), func(p *provider) {
 			p.run(30*time.Second, 90)
 		}, 135, 0, 45, 15},
-		"a zone is taken, none to be had anywhere": {threeZones(), func(p *provider) {
+		"a zone is reclaimed, no zone has spot endpoints available": {threeZones(), func(p *provider) {
 			p.run(30*time.Second, 90)
 			p.minReady = 1 << 30
 			p.reclaim("b", 10*time.Second, true)
 			p.run(20*time.Second, 90)
 		}, 135, 0, 90, 25},
-		"a zone is taken while more is needed": {threeZones(), func(p *provider) {
+		"a zone is reclaimed while the need grows": {threeZones(), func(p *provider) {
 			p.run(30*time.Second, 90)
 			p.minReady = 1 << 30
 			p.run(time.Second, 110)
 			p.reclaim("b", 10*time.Second, true)
 			p.run(20*time.Second, 110)
 		}, 165, 0, 90, 35},
-		"two zones are taken, one after the other": {threeZones(), func(p *provider) {
+		"two zones are reclaimed, one after the other": {threeZones(), func(p *provider) {
 			p.run(30*time.Second, 90)
 			p.minReady = 1 << 30
 			p.reclaim("b", 8*time.Second, false)
@@ -181,36 +183,36 @@
 			p.reclaim("c", 8*time.Second, false)
 			p.run(30*time.Second, 90)
 		}, 135, 0, 45, 40},
-		"no spot to be had for long": {threeZones(), func(p *provider) {
+		"no zone has spot endpoints available for long": {threeZones(), func(p *provider) {
 			for zone := range p.scaling.ZonePrices {
 				p.spotUnavailableUntil[zone] = time.Hour
 			}
 			p.run(time.Minute, 90)
 		}, 0, 90, 90, 100},
-		"a zone without spot for long": {threeZones(), func(p *provider) {
+		"one zone has no spot endpoints available for long": {threeZones(), func(p *provider) {
 			p.run(30*time.Second, 90)
 			p.minReady = 1 << 30
 			p.reclaim("a", time.Hour, false)
 			p.run(time.Minute, 120)
 		}, 120, 0, 90, 100},
-		"regular ones only": {regularOnly, func(p *provider) {
+		"regular endpoints only": {regularOnly, func(p *provider) {
 			p.run(30*time.Second, 60)
 		}, 0, 60, 60, 3},
-		"one zone: spot is no insurance": {oneZone, func(p *provider) {
+		"no spot endpoints in a single zone": {oneZone, func(p *provider) {
 			p.run(30*time.Second, 40)
 		}, 0, 40, 30, 1},
 		"orders are lost": {threeZones(), func(p *provider) {
 			p.ordersToLose = 7
 			p.run(40*time.Second, 90)
 		}, 135, 0, 45, 25},
-		"less is needed": {threeZones(), func(p *provider) {
+		"the need shrinks": {threeZones(), func(p *provider) {
 			p.run(30*time.Second, 90)
 			p.run(30*time.Second, 20)
 		}, 30, 0, 30, 20},
-		"more than there may be": {threeZones(), func(p *provider) {
+		"the need exceeds the limits": {threeZones(), func(p *provider) {
 			p.run(30*time.Second, 1000)
 		}, 180, 0, 0, 20},
-		"next to nothing": {threeZones(), func(p *provider) {
+		"a need of one endpoint": {threeZones(), func(p *provider) {
 			p.run(30*time.Second, 1)
 		}, 3, 0, 1, 20},
 	}
@@ -222,13 +224,13 @@
 			fleet := p.fleet()
 			c.Check(fleet.Ready(Spot), qt.Equals, test.spot, qt.Commentf("%v", fleet))
 			c.Check(fleet.Ready(Regular), qt.Equals, test.regular, qt.Commentf("%v", fleet))
-			c.Check(p.minReady >= test.least, qt.IsTrue, qt.Commentf("only %d ready at a time", p.minReady))
+			c.Check(p.minReady >= test.least, qt.IsTrue, qt.Commentf("only %d endpoints ready at some time", p.minReady))
 			c.Check(len(p.orders) <= test.orders, qt.IsTrue, qt.Commentf("%d orders: %v", len(p.orders), p.orders))
 		})
 	}
 }
 
-// TestSteadyNeedSendsNoOrders has nothing change for long: nothing is ordered.
+// TestSteadyNeedSendsNoOrders checks that no orders are sent while the need does not change.
 func TestSteadyNeedSendsNoOrders(t *testing.T) {
 	c := qt.New(t)
 	p := newProvider(threeZones(), 30)
@@ -238,7 +240,7 @@
 	c.Check(p.orders[before:], qt.HasLen, 0)
 }
 
-// TestNeedEstimate follows what is needed while the traffic changes. Steps are a fifth of a second.
+// TestNeedEstimate checks the estimate while the load changes, in steps of a fifth of a second.
 func TestNeedEstimate(t *testing.T) {
 	type span struct {
 		seconds int
@@ -249,14 +251,14 @@
 		spans []span
 		want  int
 	}{
-		"steady":                               {90, []span{{60, 40}}, 90},
-		"prefixes are read for the first time": {90, []span{{1, 99}, {1, 78}, {2, 71}, {30, 62}}, 90},
-		"much more":                            {90, []span{{3, 130}}, 195},
-		"a wave is held":                       {90, []span{{10, 130}, {60, 30}}, 195},
-		"less for long":                        {90, []span{{200, 20}}, 30},
-		"a little less for long":               {90, []span{{200, 50}}, 90},
-		"nothing is known at first":            {0, []span{{3, 67}}, 100},
-		"no traffic yet":                       {90, []span{{20, 0}}, 90},
+		"steady":                                {90, []span{{60, 40}}, 90},
+		"prefixes are read for the first time":  {90, []span{{1, 99}, {1, 78}, {2, 71}, {30, 62}}, 90},
+		"the load doubles":                      {90, []span{{3, 130}}, 195},
+		"a short peak is followed by less load": {90, []span{{10, 130}, {60, 30}}, 195},
+		"much less load for long":               {90, []span{{200, 20}}, 30},
+		"a little less load for long":           {90, []span{{200, 50}}, 90},
+		"unknown need at first":                 {0, []span{{3, 67}}, 100},
+		"no traffic yet":                        {90, []span{{20, 0}}, 90},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -285,14 +287,14 @@
 
 func TestInventory(t *testing.T) {
 	c := qt.New(t)
-	said := map[string]bool{}
-	i := NewInventory(func(id string) bool { return said[id] })
+	leaving := map[string]bool{}
+	i := NewInventory(func(id string) bool { return leaving[id] })
 	entry := func(id string, spot, leaving bool) Change {
 		return Change{Endpoint: Endpoint{ID: id, Service: "llm", Zone: "a", Spot: spot, Leaving: leaving}}
 	}
 	i.Replace(follow.Batch[Change]{Revision: 5, Items: []Change{entry("1", false, false), entry("2", true, false), {Endpoint: Endpoint{ID: "x", Service: "app"}}}})
 	c.Check(fmt.Sprint(i.Fleet("llm")), qt.Equals, fmt.Sprint(Fleet{{"a", Regular}: {Ready: 1}, {"a", Spot}: {Ready: 1}}))
-	said["1"] = true
+	leaving["1"] = true
 	c.Check(fmt.Sprint(i.Fleet("llm")), qt.Equals, fmt.Sprint(Fleet{{"a", Regular}: {Leaving: 1}, {"a", Spot}: {Ready: 1}}))
 	i.Apply(follow.Batch[Change]{Revision: 6, Items: []Change{entry("2", true, true), {Endpoint: Endpoint{ID: "1"}, Gone: true}}})
 	c.Check(fmt.Sprint(i.Fleet("llm")), qt.Equals, fmt.Sprint(Fleet{{"a", Spot}: {Leaving: 1}}))
--- a/internal/front/capacity/inventory.go
+++ b/internal/front/capacity/inventory.go
@@ -6,7 +6,7 @@
 	"oxbowslip.dev/oxbowslip/internal/front/follow"
 )
 
-// Endpoint is what the store has of an endpoint, for those who order them.
+// Endpoint is the part of an entry of the store that matters for orders.
 type Endpoint struct {
 	ID      string
 	Service string
@@ -15,16 +15,16 @@
 	Leaving bool
 }
 
-// Change sets the entry of an endpoint, or removes it.
+// Change sets the entry of an endpoint, or removes it if Gone is set.
 type Change struct {
 	Endpoint Endpoint
 	Gone     bool
 }
 
-// Inventory is all endpoints in the store. Only a leader follows it. It implements follow.Sink and is safe for
-// concurrent use.
+// Inventory holds all endpoints in the store. It is kept up to date only while this host leads. It implements
+// follow.Sink and is safe for concurrent use.
 type Inventory struct {
-	// isLeaving reports whether an endpoint is known to leave otherwise.
+	// isLeaving reports whether an endpoint is known to leave from another source than its entry.
 	isLeaving func(id string) bool
 
 	mu        sync.Mutex
@@ -32,20 +32,20 @@
 	endpoints map[string]Endpoint
 }
 
-// NewInventory returns an inventory that knows nothing. IsLeaving reports whether an endpoint is known to leave, which its
-// entry may not say yet: the sooner another is ordered for it, the less is missing.
+// NewInventory returns an empty inventory. IsLeaving reports whether an endpoint is known to leave before its entry
+// says so: the sooner its replacement is ordered, the shorter the shortage.
 func NewInventory(isLeaving func(id string) bool) *Inventory {
 	return &Inventory{isLeaving: isLeaving, endpoints: make(map[string]Endpoint)}
 }
 
-// Revision returns the state of the store up to which the inventory is complete, or 0.
+// Revision returns the revision of the store up to which the inventory is complete, or 0 if it has not been read.
 func (i *Inventory) Revision() uint64 {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.revision
 }
 
-// Reset makes the inventory unknown: it is read whole before it is used again.
+// Reset empties the inventory, so that it is read completely before it is used again.
 func (i *Inventory) Reset() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -75,7 +75,7 @@
 	}
 }
 
-// Fleet returns what is there of a service.
+// Fleet returns the current number of endpoints of a service, by place.
 func (i *Inventory) Fleet(service string) Fleet {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/front/capacity/size.go
+++ b/internal/front/capacity/size.go
@@ -9,41 +9,42 @@
 )
 
 const (
-	// maxReadingFraction is the part of the time that endpoints may read prompts on average, whichever zone loses its
-	// spot endpoints.
+	// maxReadingFraction is the highest mean fraction of the time that endpoints may spend on reading prompts, even
+	// if one zone loses its spot endpoints.
 	maxReadingFraction = 0.67
-	// growTime is how long more must have been needed to be ordered, and growFactor how much more: while prefixes are
-	// read for the first time, more is to be read for some seconds than ever after.
-	growTime = 2 * time.Second
+	// More endpoints are ordered once more than growFactor times the estimate has been needed throughout growTime. While
+	// prefixes are read for the first time, the load is higher for some seconds than ever after.
+	growTime   = 2 * time.Second
 	growFactor = 1.25
-	// shrinkTime is how long less must have been needed, and shrinkFactor how much less: an endpoint that goes takes along
-	// some ten prefixes, which costs as much as a minute of a spot endpoint on the users' platform. Reckoned.
+	// Fewer endpoints are ordered once less than shrinkFactor of the estimate has been needed throughout shrinkTime.
+	// A removed endpoint loses about ten cached prefixes, which costs as much as a minute of a spot endpoint on the
+	// users' platform.
 	shrinkTime   = 90 * time.Second
 	shrinkFactor = 0.7
 )
 
-// NeedEstimate follows how many endpoints of a service are needed. The zero value knows nothing.
+// NeedEstimate estimates the number of endpoints that a service needs. The zero value is an unknown need.
 type NeedEstimate struct {
-	// Need is the number, 0 if it is not known yet.
+	// Need is the estimated number, or 0 if it is not known yet.
 	Need int
-	// samples are what was needed lately, by time.
+	// samples are the numbers needed within the last shrinkTime, oldest first.
 	samples []sample
 }
 
-// sample is what was needed at a time.
+// sample is the number of endpoints needed at a time.
 type sample struct {
 	at   time.Time
 	need int
 }
 
-// InitialNeed returns how many endpoints are taken to be needed as long as nothing is known of the traffic: as many as are
-// left of a part of the most spot endpoints without those of one zone. It is 0 where spot endpoints are not worth
-// it: what is there stays, then.
-func InitialNeed(scaling *settings.Scaling, zones int, part float64) int {
-	return min(spotPerZone(scaling, zones, math.MaxInt32), int(part*float64(scaling.Max))) * (zones - 1)
+// InitialNeed returns the number of endpoints to assume as needed before there is traffic: those that remain of a
+// fraction of the highest number of spot endpoints when one zone loses its spot endpoints. It returns 0 where spot
+// endpoints are not worth their price, so that the fleet stays as it is.
+func InitialNeed(scaling *settings.Scaling, zones int, fraction float64) int {
+	return min(spotPerZone(scaling, zones, math.MaxInt32), int(fraction*float64(scaling.Max))) * (zones - 1)
 }
 
-// Observe takes the work of all hosts now, and returns how many endpoints are needed.
+// Observe adds the current load of all hosts, and returns the estimated number of endpoints.
 func (s *NeedEstimate) Observe(now time.Time, load engine.Load) int {
 	s.samples = append(s.samples, sample{at: now, need: ceilDiv(int(load.Reading*100), int(maxReadingFraction*100))})
 	for len(s.samples) > 0 && now.Sub(s.samples[0].at) > shrinkTime {
--- a/internal/front/scaler/scaler.go
+++ b/internal/front/scaler/scaler.go
@@ -1,7 +1,7 @@
 // Package scaler orders endpoints from the provider, as a task of the leader.
 //
-// It owns the plan of each service. What to order is decided in package capacity, by what the store has of the
-// endpoints; the provider's calls are those of a Provider.
+// The package owns the plan of each service. Package capacity decides what to order, by the endpoints in the store. A
+// Provider makes the calls.
 package scaler
 
 import (
@@ -20,29 +20,29 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// The errors of a Provider that has answered.
+// Errors of a Provider that has answered.
 var (
-	// ErrNoneAvailable: there are no such endpoints to be had now.
-	ErrNoneAvailable = merry.Sentinel("none to be had")
-	// ErrRefused: the provider did not take the order.
-	ErrRefused = merry.Sentinel("the provider refused")
+	// ErrNoneAvailable means that the provider has no such endpoints available now.
+	ErrNoneAvailable = merry.Sentinel("the provider has no such endpoints available")
+	// ErrRefused means that the provider did not accept the order.
+	ErrRefused = merry.Sentinel("the provider rejected the order")
 )
 
-// Provider takes the orders.
+// Provider receives the orders.
 type Provider interface {
-	// Scale orders the number of endpoints of a service at a place. It blocks until the provider answers, ctx ends
-	// or the fence does.
+	// Scale orders the number of endpoints of a service at a place. It blocks until the provider answers, ctx ends or
+	// the time of the fence has passed.
 	Scale(ctx context.Context, fence leader.Fence, service string, order capacity.Order) error
 }
 
-// Parts are what a Scaler works with.
+// Parts are the dependencies of a Scaler.
 type Parts struct {
 	Inventory *capacity.Inventory
 	Settings  *settings.Holder
 	Provider  Provider
-	// Load returns the work of a service at all hosts.
+	// Load returns the load of a service at all hosts.
 	Load func(service string) engine.Load
-	// FirstPart is the part of the most spot endpoints that is ordered before anything is known of the traffic.
+	// FirstPart is the fraction of the highest number of spot endpoints that is ordered before there is traffic.
 	FirstPart float64
 	Log       *logrus.Entry
 	Clock     func() time.Time
@@ -54,23 +54,23 @@
 	services map[string]*serviceState
 }
 
-// serviceState is what is known of one service.
+// serviceState is the state of one service.
 type serviceState struct {
 	plan *capacity.Plan
-	size capacity.NeedEstimate
+	estimate capacity.NeedEstimate
 }
 
-// New returns a scaler that has ordered nothing.
+// New returns a scaler without orders.
 func New(parts Parts) *Scaler { return &Scaler{parts: parts, services: make(map[string]*serviceState)} }
 
 const (
-	// planInterval is the time between two looks at what is to be ordered.
+	// planInterval is the time between two checks for orders that are due.
 	planInterval = 200 * time.Millisecond
-	// recordKey is the key of the record of what is needed.
+	// recordKey is the key of the record with the needs of the services.
 	recordKey = "capacity"
 )
 
-// mandate is what orders need of a leader.Mandate.
+// mandate is the part of leader.Mandate that the scaler uses.
 type mandate interface {
 	Fence() (token uint64, left time.Duration, ok bool)
 	WriteRecords(ctx context.Context, records ...leader.Record) error
@@ -94,19 +94,19 @@
 		if current == nil || s.parts.Inventory.Revision() == 0 {
 			continue
 		}
-		for name, of := range current.Tree.Services {
-			if of.Scaling != nil {
-				s.scale(ctx, m, name, of.Scaling)
+		for name, service := range current.Tree.Services {
+			if service.Scaling != nil {
+				s.scale(ctx, m, name, service.Scaling)
 			}
 		}
 	}
 }
 
-// load takes over what former leaders have found out. It reports whether that could be read.
+// load reads the needs that former leaders have estimated. It returns false if the store did not answer.
 func (s *Scaler) load(ctx context.Context, m mandate) bool {
 	records, err := m.Records(ctx)
 	if err != nil {
-		s.parts.Log.WithError(err).Warn("what former leaders left can't be read yet")
+		s.parts.Log.WithError(err).Warn("the records of former leaders can't be read; no endpoints are ordered until they can")
 		return false
 	}
 	clear(s.services)
@@ -116,87 +116,87 @@
 		}
 		var needs map[string]int
 		if err := json.Unmarshal(records[i].Value, &needs); err != nil {
-			s.parts.Log.WithError(err).Warn("what is needed can't be read and is found out again")
+			s.parts.Log.WithError(err).Warn("the recorded need of endpoints can't be decoded; it is estimated again")
 		}
 		for name, need := range needs {
-			s.serviceState(name).size.Need = need
+			s.serviceState(name).estimate.Need = need
 		}
 	}
 	return true
 }
 
-// serviceState returns what is known of a service.
+// serviceState returns the state of a service.
 func (s *Scaler) serviceState(name string) *serviceState {
-	known := s.services[name]
-	if known == nil {
-		known = &serviceState{plan: capacity.NewPlan()}
-		s.services[name] = known
+	state := s.services[name]
+	if state == nil {
+		state = &serviceState{plan: capacity.NewPlan()}
+		s.services[name] = state
 	}
-	return known
+	return state
 }
 
-// scale orders what is due of a service.
+// scale sends the orders that are due for a service.
 func (s *Scaler) scale(ctx context.Context, m mandate, name string, scaling *settings.Scaling) {
 	now := s.parts.Clock()
-	of := s.serviceState(name)
+	state := s.serviceState(name)
 	fleet := s.parts.Inventory.Fleet(name)
 	load := s.parts.Load(name)
-	before := of.size.Need
+	before := state.estimate.Need
 	if before == 0 {
-		of.size.Need = capacity.InitialNeed(scaling, len(scaling.ZonePrices), s.parts.FirstPart)
+		state.estimate.Need = capacity.InitialNeed(scaling, len(scaling.ZonePrices), s.parts.FirstPart)
 	}
-	if need := of.size.Observe(now, load); need != before {
+	if need := state.estimate.Observe(now, load); need != before {
 		s.parts.Log.WithFields(logrus.Fields{
 			"service": name, "need": need, "before": before, "reading": load.Reading, "requests": load.Requests, "open": load.Open,
 			"ready": fleet.Ready(capacity.Regular) + fleet.Ready(capacity.Spot),
-		}).Info("endpoints needed")
+		}).Info("the estimated need of endpoints has changed")
 		s.storeNeeds(ctx, m)
 	}
-	if of.size.Need == 0 {
+	if state.estimate.Need == 0 {
 		return
 	}
-	wanted := of.plan.ComputeDesired(now, scaling, fleet, of.size.Need)
-	for _, order := range of.plan.DueOrders(now, scaling, fleet, wanted) {
-		s.order(ctx, m, name, of, fleet, order)
+	desired := state.plan.ComputeDesired(now, scaling, fleet, state.estimate.Need)
+	for _, order := range state.plan.DueOrders(now, scaling, fleet, desired) {
+		s.order(ctx, m, name, state, fleet, order)
 	}
 }
 
-// storeNeeds leaves what is needed to the next leader.
+// storeNeeds writes the needs to the store for the next leader.
 func (s *Scaler) storeNeeds(ctx context.Context, m mandate) {
 	needs := make(map[string]int, len(s.services))
-	for name, of := range s.services {
-		needs[name] = of.size.Need
+	for name, state := range s.services {
+		needs[name] = state.estimate.Need
 	}
 	data, err := json.Marshal(needs, json.Deterministic(true))
 	if err == nil {
 		err = m.WriteRecords(ctx, leader.Record{Key: recordKey, Value: data})
 	}
 	if err != nil {
-		s.parts.Log.WithError(err).Warn("what is needed was not kept for the next leader")
+		s.parts.Log.WithError(err).Warn("the need of endpoints was not recorded for the next leader")
 	}
 }
 
-// order sends one order.
-func (s *Scaler) order(ctx context.Context, m mandate, name string, of *serviceState, fleet capacity.Fleet, order capacity.Order) {
+// order sends one order to the provider.
+func (s *Scaler) order(ctx context.Context, m mandate, name string, state *serviceState, fleet capacity.Fleet, order capacity.Order) {
 	err := s.parts.Provider.Scale(ctx, m.Fence, name, order)
 	log := s.parts.Log.WithFields(logrus.Fields{
 		"service": name, "zone": order.Zone, "kind": order.Kind, "desired": order.Desired, "ready": fleet[order.Place].Ready,
-		"leaving": fleet[order.Place].Leaving, "need": of.size.Need,
+		"leaving": fleet[order.Place].Leaving, "need": state.estimate.Need,
 	})
 	switch {
 	case err == nil:
 		m.RecordAnswer()
-		of.plan.RecordOrder(s.parts.Clock(), order, false)
-		log.Info("ordered")
+		state.plan.RecordOrder(s.parts.Clock(), order, false)
+		log.Info("the provider accepted the order")
 	case errors.Is(err, ErrNoneAvailable):
 		m.RecordAnswer()
-		of.plan.RecordOrder(s.parts.Clock(), order, true)
-		log.Warn("none to be had")
+		state.plan.RecordOrder(s.parts.Clock(), order, true)
+		log.Warn("the provider has no such endpoints available; the order will be repeated")
 	case errors.Is(err, ErrRefused):
 		m.RecordAnswer()
-		log.WithError(err).Warn("an order was refused")
+		log.WithError(err).Warn("the provider rejected the order; it will be sent again")
 	case ctx.Err() == nil && !errors.Is(err, leader.ErrLeadershipLost):
 		m.RecordNoAnswer()
-		log.WithError(err).Warn("an order was not answered")
+		log.WithError(err).Warn("the provider did not answer the order; it will be sent again")
 	}
 }
--- a/internal/front/scaler/scaler_test.go
+++ b/internal/front/scaler/scaler_test.go
@@ -19,7 +19,7 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// fakeLeadership is the store, the provider and the mandate of a leader.
+// fakeLeadership implements the store, the provider and the mandate of a leader.
 type fakeLeadership struct {
 	records    map[string][]byte
 	orders     []capacity.Order
@@ -29,8 +29,8 @@
 }
 
 func (f *fakeLeadership) Fence() (uint64, time.Duration, bool) { return 1, time.Second, true }
-func (f *fakeLeadership) RecordAnswer()                            { f.answered++ }
-func (f *fakeLeadership) RecordNoAnswer()                          { f.unanswered++ }
+func (f *fakeLeadership) RecordAnswer()                        { f.answered++ }
+func (f *fakeLeadership) RecordNoAnswer()                      { f.unanswered++ }
 
 func (f *fakeLeadership) WriteRecords(_ context.Context, records ...leader.Record) error {
 	for _, r := range records {
@@ -52,7 +52,7 @@
 	return f.err
 }
 
-// runScaler has a scaler lead for some seconds.
+// runScaler runs a scaler as the leader for a time, with a steady load.
 func runScaler(f *fakeLeadership, reading float64, lasts time.Duration) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -77,17 +77,17 @@
 		records map[string][]byte
 		reading float64
 		err     error
-		// zone is what is ordered of spot endpoints in each zone.
+		// zone is the number of spot endpoints ordered in each zone.
 		zone                 int
 		answered, unanswered bool
 	}{
-		"before anything is known":           {map[string][]byte{}, 0, nil, 30, true, false},
-		"what a former leader has found out": {map[string][]byte{recordKey: []byte(`{"llm":80}`)}, 0, nil, 40, true, false},
-		"a record that can't be read":        {map[string][]byte{recordKey: []byte(`[]`)}, 0, nil, 30, true, false},
-		"more is needed":                     {map[string][]byte{}, 67, nil, 50, true, false},
-		"none to be had":                     {map[string][]byte{}, 0, merry.Wrap(ErrNoneAvailable), 30, true, false},
-		"refused":                            {map[string][]byte{}, 0, merry.Wrap(ErrRefused), 30, true, false},
-		"not answered":                       {map[string][]byte{}, 0, errors.New("silent"), 30, false, true},
+		"no record and no traffic":             {map[string][]byte{}, 0, nil, 30, true, false},
+		"the need recorded by a former leader": {map[string][]byte{recordKey: []byte(`{"llm":80}`)}, 0, nil, 40, true, false},
+		"a record that can't be decoded":       {map[string][]byte{recordKey: []byte(`[]`)}, 0, nil, 30, true, false},
+		"the need grows":                       {map[string][]byte{}, 67, nil, 50, true, false},
+		"no such endpoints available":          {map[string][]byte{}, 0, merry.Wrap(ErrNoneAvailable), 30, true, false},
+		"refused":                              {map[string][]byte{}, 0, merry.Wrap(ErrRefused), 30, true, false},
+		"no answer":                            {map[string][]byte{}, 0, errors.New("silent"), 30, false, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -104,7 +104,7 @@
 				}
 				c.Check(f.answered > 0, qt.Equals, test.answered)
 				c.Check(f.unanswered > 0, qt.Equals, test.unanswered)
-				c.Check(string(f.records[recordKey]), qt.Not(qt.Equals), "[]", qt.Commentf("the next leader has something to go on from"))
+				c.Check(string(f.records[recordKey]), qt.Not(qt.Equals), "[]", qt.Commentf("the record is valid for the next leader"))
 			})
 		})
 	}
