--- a/internal/front/capacity/capacity_test.go
+++ b/internal/front/capacity/capacity_test.go
@@ -287,14 +287,14 @@
 
 func TestInventory(t *testing.T) {
 	c := qt.New(t)
-	leaving := map[string]bool{}
-	i := NewInventory(func(id string) bool { return leaving[id] })
+	leavingIDs := map[string]bool{}
+	i := NewInventory(func(id string) bool { return leavingIDs[id] })
 	entry := func(id string, spot, leaving bool) Change {
 		return Change{Endpoint: Endpoint{ID: id, Service: "llm", Zone: "a", Spot: spot, Leaving: leaving}}
 	}
 	i.Replace(follow.Batch[Change]{Revision: 5, Items: []Change{entry("1", false, false), entry("2", true, false), {Endpoint: Endpoint{ID: "x", Service: "app"}}}})
 	c.Check(fmt.Sprint(i.Fleet("llm")), qt.Equals, fmt.Sprint(Fleet{{"a", Regular}: {Ready: 1}, {"a", Spot}: {Ready: 1}}))
-	leaving["1"] = true
+	leavingIDs["1"] = true
 	c.Check(fmt.Sprint(i.Fleet("llm")), qt.Equals, fmt.Sprint(Fleet{{"a", Regular}: {Leaving: 1}, {"a", Spot}: {Ready: 1}}))
 	i.Apply(follow.Batch[Change]{Revision: 6, Items: []Change{entry("2", true, true), {Endpoint: Endpoint{ID: "1"}, Gone: true}}})
 	c.Check(fmt.Sprint(i.Fleet("llm")), qt.Equals, fmt.Sprint(Fleet{{"a", Spot}: {Leaving: 1}}))
--- a/internal/front/leader/leader.go
+++ b/internal/front/leader/leader.go
@@ -186,7 +186,8 @@
 		l.lease.Observe(answer)
 	}
 	l.failures++
-	l.parts.Log.WithError(err).WithFields(logrus.Fields{"token": w.Record.Token, "sequence": w.Record.Sequence, "failures": l.failures}).Warn("the write of the lease was rejected or not answered")
+	l.parts.Log.WithError(err).WithFields(logrus.Fields{"token": w.Record.Token, "sequence": w.Record.Sequence, "failures": l.failures}).
+		Warn("the write of the lease was rejected or not answered")
 	return false
 }
 
@@ -229,7 +230,8 @@
 	}
 	m.cancel()
 	m.running.Wait()
-	l.parts.Log.WithFields(logrus.Fields{"token": m.token, "reason": reason, "led_ms": l.parts.Clock().Sub(takenAt).Milliseconds()}).Warn("this host is no longer the leader; its tasks have ended")
+	l.parts.Log.WithFields(logrus.Fields{"token": m.token, "reason": reason, "led_ms": l.parts.Clock().Sub(takenAt).Milliseconds()}).
+		Warn("this host is no longer the leader; its tasks have ended")
 }
 
 // maintainLease renews the lease if a renewal is due, releases it if this host should no longer lead, and ends the
--- a/internal/front/leader/rules.go
+++ b/internal/front/leader/rules.go
@@ -4,7 +4,7 @@
 
 const (
 	// checkInterval is the time between two checks of whether the lease is due for an action. It is short compared
-	// with the rest of a lease whose holder has become unresponsive.
+	// with the remaining time of a lease whose holder has become unresponsive.
 	checkInterval = 100 * time.Millisecond
 	// renewInterval is the time between two renewals, each of which costs one call to the store. Two renewals may
 	// fail before a lease of 3 s ends.
@@ -31,17 +31,17 @@
 	return min(time.Duration(before)*takeDelayPerHost, maxTakeDelay)
 }
 
-// minTimeLeft is the shortest rest of the lease with which a call may be sent, as the call must end
-// lease.MaxFlightTime before the lease does. With a renewal every second, the rest of a lease of 3 s is longer than
-// this unless a renewal fails.
+// minTimeLeft is the shortest remaining time of the lease with which a call may be sent, as the call must end
+// lease.MaxFlightTime before the lease does. With a renewal every second, a lease of 3 s has more time left than this
+// unless a renewal fails.
 const minTimeLeft = time.Second
 
 const (
-	// A leader releases the lease, so that another host can try, if the provider has answered none of its calls for
-	// providerTimeout and at least minUnanswered calls got no answer. The time doubles with each consecutive leader
-	// that got no answer, at most maxDoublings times, for the case that the provider answers no host. A report is due
-	// after 10 s on the users' platform.
-	providerTimeout = 2500 * time.Millisecond
+	// A leader releases the lease, so that another host can try, if the provider has not answered it for
+	// maxNoAnswerTime and at least minUnanswered of its calls got no answer in that time. For the case that the
+	// provider answers no host, the time doubles with each consecutive leader that got no answer, at most
+	// maxDoublings times. A report is due after 10 s on the users' platform.
+	maxNoAnswerTime = 2500 * time.Millisecond
 	minUnanswered   = 2
 	maxDoublings    = 5
 )
@@ -57,5 +57,5 @@
 // isUnreachable reports whether a leader should release the lease, after a number of consecutive leaders that got no
 // answer.
 func (p *providerHealth) isUnreachable(now time.Time, failing int) bool {
-	return p.unanswered >= minUnanswered && now.Sub(p.answeredAt) > providerTimeout<<min(failing, maxDoublings)
+	return p.unanswered >= minUnanswered && now.Sub(p.answeredAt) > maxNoAnswerTime<<min(failing, maxDoublings)
 }
--- a/internal/front/reporter/lead.go
+++ b/internal/front/reporter/lead.go
@@ -101,7 +101,8 @@
 			r.parts.Log.WithError(err).WithField("key", records[i].Key).Warn("a usage record can't be decoded; it is ignored")
 		}
 	}
-	r.parts.Log.WithFields(logrus.Fields{"reported": r.reported, "fixed": len(r.fixed), "hosts": len(r.ledger.Shares())}).Info("read the usage records of former leaders; this host reports usage from now on")
+	r.parts.Log.WithFields(logrus.Fields{"reported": r.reported, "fixed": len(r.fixed), "hosts": len(r.ledger.Shares())}).
+		Info("read the usage records of former leaders; this host reports usage from now on")
 	return true
 }
 
--- a/internal/front/reporter/recovery.go
+++ b/internal/front/reporter/recovery.go
@@ -143,7 +143,8 @@
 		}
 	}
 	r.advanceReported()
-	r.parts.Log.WithFields(logrus.Fields{"reported": r.reported, "fixed": len(r.fixed), "left_out": leftOut}).Warn("the store was restored from a backup; fixed usage reports are recovered from hosts, windows without one are not reported")
+	r.parts.Log.WithFields(logrus.Fields{"reported": r.reported, "fixed": len(r.fixed), "left_out": leftOut}).
+		Warn("the store was restored from a backup; fixed usage reports are recovered from hosts, windows that may have been reported without one are left out")
 }
 
 // advanceReported advances r.reported over the reported windows after it. The caller holds the lock.
--- a/internal/front/reporter/reporter.go
+++ b/internal/front/reporter/reporter.go
@@ -71,8 +71,8 @@
 	ledger *usage.Ledger
 	// offsets are the offsets of the store's clock to true time as hosts determined them by their time of day.
 	offsets map[usage.Source]usage.ClockOffset
-	// reported is the window up to which all windows have been reported. reportedLater are the reported windows after
-	// it.
+	// reported is the window up to which all windows have been reported. reportedLater marks the windows after it
+	// that have been reported or are left out.
 	reported      usage.Window
 	reportedLater map[usage.Window]bool
 	// fixed holds, by window, the reports that must not change any more. inStore marks the windows whose fixed report
@@ -88,7 +88,8 @@
 // New returns a reporter without counts.
 func New(parts Parts) *Reporter {
 	return &Reporter{
-		parts: parts, started: parts.Clock(), known: knownReports{windows: make(usage.Windows)}, ledger: usage.NewLedger(), offsets: make(map[usage.Source]usage.ClockOffset),
+		parts: parts, started: parts.Clock(), known: knownReports{windows: make(usage.Windows)},
+		ledger: usage.NewLedger(), offsets: make(map[usage.Source]usage.ClockOffset),
 		reportedLater: make(map[usage.Window]bool), fixed: make(map[usage.Window]usage.Counts), inStore: make(map[usage.Window]bool),
 	}
 }
--- a/internal/front/scaler/scaler.go
+++ b/internal/front/scaler/scaler.go
@@ -56,7 +56,7 @@
 
 // serviceState is the state of one service.
 type serviceState struct {
-	plan *capacity.Plan
+	plan     *capacity.Plan
 	estimate capacity.NeedEstimate
 }
 
