--- a/internal/front/capacity/size.go
+++ b/internal/front/capacity/size.go
@@ -46,7 +46,7 @@
 
 // Observe adds the current load of all hosts, and returns the estimated number of endpoints.
 func (s *NeedEstimate) Observe(now time.Time, load engine.Load) int {
-	s.samples = append(s.samples, sample{at: now, need: ceilDiv(int(load.Reading*100), int(maxReadingFraction*100))})
+	s.samples = append(s.samples, sample{at: now, need: ceilDiv(int(load.BusyEngines*100), int(maxReadingFraction*100))})
 	for len(s.samples) > 0 && now.Sub(s.samples[0].at) > shrinkTime {
 		s.samples = s.samples[1:]
 	}
