--- a/internal/front/reporter/lead.go
+++ b/internal/front/reporter/lead.go
@@ -20,18 +20,19 @@
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
 
-// The keys of the records: the fixed report of a window, and the counts that are not fixed yet.
+// The keys of the records in the store: the fixed report of a window, and the checkpoint of the counts without a
+// fixed report.
 const (
-	keyFixed      = "usage/"
-	keyCheckpoint = "usage-counts"
+	fixedKeyPrefix = "usage/"
+	checkpointKey  = "usage-counts"
 )
 
-// fixedKey returns the key of a window's report.
-func fixedKey(w usage.Window) string { return keyFixed + strconv.FormatUint(uint64(w), 10) }
+// fixedKey returns the key of the fixed report of a window.
+func fixedKey(w usage.Window) string { return fixedKeyPrefix + strconv.FormatUint(uint64(w), 10) }
 
-// windowOf returns the window whose report a record is, or 0.
-func windowOf(key string) usage.Window {
-	number, ok := strings.CutPrefix(key, keyFixed)
+// windowOfKey returns the window of a fixed report by its key, or 0 if the key is not that of a fixed report.
+func windowOfKey(key string) usage.Window {
+	number, ok := strings.CutPrefix(key, fixedKeyPrefix)
 	window, err := strconv.ParseUint(number, 10, 64)
 	if !ok || err != nil {
 		return 0
@@ -39,7 +40,7 @@
 	return usage.Window(window)
 }
 
-// mandate is what the reports need of a leader.Mandate.
+// mandate is the part of leader.Mandate that the reporter uses.
 type mandate interface {
 	Fence() (token uint64, left time.Duration, ok bool)
 	WriteRecords(ctx context.Context, records ...leader.Record) error
@@ -50,7 +51,7 @@
 	RecordNoAnswer()
 }
 
-// Lead reports the windows that end, until ctx does. It implements leader.Task.
+// Lead reports the windows that end, until ctx ends. It implements leader.Task.
 func (r *Reporter) Lead(ctx context.Context, m *leader.Mandate) { r.lead(ctx, m) }
 
 func (r *Reporter) lead(ctx context.Context, m mandate) {
@@ -64,49 +65,50 @@
 	}
 	since := r.parts.Clock()
 	for lifetime.Sleep(ctx, reportInterval) {
-		r.collect(m, since)
-		for _, w := range r.due() {
+		r.collectCounts(m, since)
+		for _, w := range r.dueWindows() {
 			if err := r.report(ctx, m, w); err != nil {
-				r.failed(ctx, m, w, err)
+				r.recordFailure(ctx, m, w, err)
 				lifetime.Sleep(ctx, retryInterval)
 			}
 		}
 	}
 }
 
-// load takes over what former leaders have left. It reports whether that could be read.
+// load reads the records of former leaders. It returns false if the store did not answer.
 func (r *Reporter) load(ctx context.Context, m mandate) bool {
 	records, err := m.Records(ctx)
 	if err != nil {
-		r.parts.Log.WithError(err).Warn("what former leaders left can't be read yet")
+		r.parts.Log.WithError(err).Warn("the usage records of former leaders can't be read; no window is reported until they can")
 		return false
 	}
 	now := r.parts.Clock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	clear(r.settled)
+	clear(r.reportedLater)
 	clear(r.fixed)
 	clear(r.inStore)
-	r.stored = nil
+	r.lastCheckpoint = nil
 	oldest := r.parts.UsageClock.Window(now) - keptReports
 	reported := max(usage.Window(m.Memo().Reported), r.known.reported)
 	r.reported = max(reported, oldest)
 	if reported == 0 {
-		// A fleet that has just started reports the window in which it did.
+		// A new fleet starts with the window in which it began.
 		r.reported = r.parts.UsageClock.Window(now) - 1
 	}
 	for i := range records {
 		if err := r.loadRecord(&records[i]); err != nil {
-			r.parts.Log.WithError(err).WithField("key", records[i].Key).Warn("a record can't be read and is left out")
+			r.parts.Log.WithError(err).WithField("key", records[i].Key).Warn("a usage record can't be decoded; it is ignored")
 		}
 	}
-	r.parts.Log.WithFields(logrus.Fields{"reported": r.reported, "fixed": len(r.fixed), "hosts": len(r.ledger.Shares())}).Info("takes over the reports")
+	r.parts.Log.WithFields(logrus.Fields{"reported": r.reported, "fixed": len(r.fixed), "hosts": len(r.ledger.Shares())}).
+		Info("read the usage records of former leaders; this host reports usage from now on")
 	return true
 }
 
-// loadRecord takes over one record. The lock is held.
+// loadRecord adopts one record. The caller holds the lock.
 func (r *Reporter) loadRecord(record *leader.Record) error {
-	if window := windowOf(record.Key); window > 0 {
+	if window := windowOfKey(record.Key); window > 0 {
 		var counts usage.Counts
 		if err := json.Unmarshal(record.Value, &counts); err != nil {
 			return merry.Wrap(err)
@@ -115,7 +117,7 @@
 		r.known.add(window, counts)
 		return nil
 	}
-	if record.Key != keyCheckpoint {
+	if record.Key != checkpointKey {
 		return nil
 	}
 	var shares []storedShare
@@ -128,15 +130,15 @@
 	return nil
 }
 
-// storedShare is what one start of a host has counted, in the checkpoint.
+// storedShare is the part of the checkpoint with the counts of one incarnation of a host.
 type storedShare struct {
 	Host        string        `cbor:"1,keyasint"`
 	Incarnation uint32        `cbor:"2,keyasint"`
 	Windows     usage.Windows `cbor:"3,keyasint"`
 }
 
-// Checkpoint returns the counts that are not reported, if they have changed since the last time. It implements
-// leader.Checkpointer.
+// Checkpoint returns the counts of the windows that have not been reported, if they have changed since its last call.
+// It implements leader.Checkpointer.
 func (r *Reporter) Checkpoint() []leader.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,20 +148,20 @@
 			shares = append(shares, storedShare{Host: source.Host, Incarnation: source.Incarnation, Windows: s.Windows})
 		}
 	}
-	data, err := canonical.Marshal(shares)
+	data, err := canonicalMode.Marshal(shares)
 	if err != nil {
-		r.parts.Log.WithError(err).Error("the counts can't be encoded")
+		r.parts.Log.WithError(err).Error("the usage counts can't be encoded; the checkpoint is skipped")
 		return nil
 	}
-	if string(data) == string(r.stored) {
+	if string(data) == string(r.lastCheckpoint) {
 		return nil
 	}
-	r.stored = data
-	return []leader.Record{{Key: keyCheckpoint, Value: data}}
+	r.lastCheckpoint = data
+	return []leader.Record{{Key: checkpointKey, Value: data}}
 }
 
-// canonical encodes equal maps alike.
-var canonical = func() cbor.EncMode {
+// canonicalMode encodes equal maps to equal bytes.
+var canonicalMode = func() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
 		panic(err) // The options above are valid.
@@ -167,10 +169,10 @@
 	return mode
 }()
 
-// collect adds this host's own counts, and agrees on the true time: on the median of what all hosts offer, or of what there
-// is once this host has led for a while. Of the first two offers one may be wrong, and windows that have not begun would
-// be reported as over.
-func (r *Reporter) collect(m mandate, since time.Time) {
+// collectCounts adds this host's own counts, and agrees on the offset of the store's clock to true time: the median
+// of the offsets of all hosts, or of those received once this host has led for offsetWaitTime. With only two offsets,
+// the wrong one may be chosen, and windows that have not begun would be reported as ended.
+func (r *Reporter) collectCounts(m mandate, since time.Time) {
 	senders := r.parts.Peers.Senders()
 	own := r.ownShare()
 	r.merge(usage.Source(senders[0]), &own)
@@ -179,34 +181,35 @@
 		alive[usage.Source(sender)] = true
 	}
 	r.mu.Lock()
-	var offers []usage.ClockOffset
-	for source, zero := range r.zeros {
+	var offsets []usage.ClockOffset
+	for source, offset := range r.offsets {
 		if !alive[source] {
-			delete(r.zeros, source)
+			delete(r.offsets, source)
 			continue
 		}
-		offers = append(offers, zero)
+		offsets = append(offsets, offset)
 	}
 	r.ledger.Drop(r.reported, func(s usage.Source) bool { return alive[s] })
 	r.mu.Unlock()
-	if len(offers) < len(senders) && r.parts.Clock().Sub(since) < offerTime {
+	if len(offsets) < len(senders) && r.parts.Clock().Sub(since) < offsetWaitTime {
 		return
 	}
-	if zero, ok := usage.MedianOffset(offers); ok {
-		m.UpdateMemo(func(memo *lease.Memo) { memo.TrueTime = int64(zero) })
-		r.parts.UsageClock.SetOffset(zero)
+	if offset, ok := usage.MedianOffset(offsets); ok {
+		m.UpdateMemo(func(memo *lease.Memo) { memo.TrueTime = int64(offset) })
+		r.parts.UsageClock.SetOffset(offset)
 	}
 }
 
-// due returns the windows that have ended and are not reported, if their counts are complete or late.
-func (r *Reporter) due() []usage.Window {
+// dueWindows returns the windows that have ended and have not been reported, if their report is fixed, their counts
+// are complete, or the report would be late.
+func (r *Reporter) dueWindows() []usage.Window {
 	now := r.parts.Clock()
 	senders := r.parts.Peers.Senders()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var due []usage.Window
-	for w := r.reported + 1; r.parts.UsageClock.SinceEnd(w, now) >= settleTime; w++ {
-		if r.settled[w] {
+	for w := r.reported + 1; r.parts.UsageClock.SinceEnd(w, now) >= windowCheckDelay; w++ {
+		if r.reportedLater[w] {
 			continue
 		}
 		end := r.parts.UsageClock.TrueTime(now) - r.parts.UsageClock.SinceEnd(w, now)
@@ -214,7 +217,7 @@
 		for _, sender := range senders {
 			complete = complete && r.ledger.AsOf(usage.Source(sender)) >= end
 		}
-		late := r.parts.UsageClock.SinceEnd(w, now) >= time.Duration(latePart*float64(r.parts.DueAfter))
+		late := r.parts.UsageClock.SinceEnd(w, now) >= time.Duration(lateFraction*float64(r.parts.DueAfter))
 		if _, fixed := r.fixed[w]; fixed || complete || late {
 			due = append(due, w)
 		}
@@ -222,7 +225,7 @@
 	return due
 }
 
-// report fixes the report of a window, if no leader has, and sends it.
+// report fixes the report of a window, unless a former leader has, and sends it to the provider.
 func (r *Reporter) report(ctx context.Context, m mandate, w usage.Window) error {
 	r.mu.Lock()
 	counts, fixed := r.fixed[w]
@@ -232,30 +235,30 @@
 	inStore := r.inStore[w]
 	r.mu.Unlock()
 	if !inStore {
-		if err := r.fix(ctx, m, w, counts); err != nil {
+		if err := r.storeFixedReport(ctx, m, w, counts); err != nil {
 			return err
 		}
 	}
-	r.shareFixed(w, counts)
+	r.broadcastFixedReport(w, counts)
 	if err := r.parts.Provider.ReportUsage(ctx, m.Fence, w, counts); err != nil {
 		return err
 	}
 	m.RecordAnswer()
-	r.settle(m, w, counts)
+	r.markReported(m, w, counts)
 	return nil
 }
 
-// shareFixed lets all hosts know a report that is about to be sent, also one that a former leader has fixed: that one may have
-// ended before it could.
-func (r *Reporter) shareFixed(w usage.Window, counts usage.Counts) {
+// broadcastFixedReport sends a fixed report to all hosts before it goes to the provider. This includes reports fixed
+// by a former leader, which may have ended before it could broadcast them.
+func (r *Reporter) broadcastFixedReport(w usage.Window, counts usage.Counts) {
 	r.mu.Lock()
 	r.known.add(w, counts)
 	r.mu.Unlock()
 	r.parts.Peers.Broadcast(envelope.KindFixedReports, fixedReports{Windows: usage.Windows{w: counts}})
 }
 
-// fix stores the report of a window before it is sent for the first time.
-func (r *Reporter) fix(ctx context.Context, m mandate, w usage.Window, counts usage.Counts) error {
+// storeFixedReport writes the report of a window to the store before it is first sent, and deletes old reports.
+func (r *Reporter) storeFixedReport(ctx context.Context, m mandate, w usage.Window, counts usage.Counts) error {
 	value, err := json.Marshal(counts, json.Deterministic(true))
 	if err != nil {
 		return merry.Wrap(err)
@@ -274,18 +277,18 @@
 	r.mu.Lock()
 	r.fixed[w], r.inStore[w] = counts, true
 	for _, removed := range records[1:] {
-		delete(r.inStore, windowOf(removed.Key))
+		delete(r.inStore, windowOfKey(removed.Key))
 	}
 	r.mu.Unlock()
 	return nil
 }
 
-// settle notes that a window was reported.
-func (r *Reporter) settle(m mandate, w usage.Window, counts usage.Counts) {
+// markReported marks a window as reported.
+func (r *Reporter) markReported(m mandate, w usage.Window, counts usage.Counts) {
 	now := r.parts.Clock()
 	r.mu.Lock()
-	r.settled[w] = true
-	r.raiseReported()
+	r.reportedLater[w] = true
+	r.advanceReported()
 	reported, hosts := r.reported, len(r.ledger.Shares())
 	r.mu.Unlock()
 	r.parts.Meter.Drop(reported)
@@ -297,11 +300,11 @@
 	r.parts.Log.WithFields(logrus.Fields{
 		"window": w, "requests": requests, "workspaces": len(counts), "hosts": hosts,
 		"after_end_ms": r.parts.UsageClock.SinceEnd(w, now).Milliseconds(),
-	}).Info("reported")
+	}).Info("the usage of a window was reported to the provider")
 }
 
-// failed notes why a window was not reported.
-func (r *Reporter) failed(ctx context.Context, m mandate, w usage.Window, err error) {
+// recordFailure records and logs a failed report of a window.
+func (r *Reporter) recordFailure(ctx context.Context, m mandate, w usage.Window, err error) {
 	if ctx.Err() != nil || errors.Is(err, leader.ErrLeadershipLost) {
 		return
 	}
@@ -310,5 +313,5 @@
 	} else {
 		m.RecordNoAnswer()
 	}
-	r.parts.Log.WithError(err).WithField("window", fmt.Sprint(w)).Warn("a window is not reported yet")
+	r.parts.Log.WithError(err).WithField("window", fmt.Sprint(w)).Warn("the usage report of a window failed; it will be sent again")
 }
