--- a/internal/front/reporter/recovery.go
+++ b/internal/front/reporter/recovery.go
@@ -110,7 +110,7 @@
 	if m.Memo().Era == era.Of(token) {
 		return true
 	}
-	r.parts.Peers.Broadcast(envelope.KindAskFixed, fixedReportsRequest{})
+	r.parts.Peers.Broadcast(envelope.KindFixedReportsRequest, fixedReportsRequest{})
 	if !lifetime.Sleep(ctx, fixedReportsWaitTime) {
 		return false
 	}
