--- a/internal/front/gossip/confirm.go
+++ b/internal/front/gossip/confirm.go
@@ -19,14 +19,14 @@
 // RequestConfirmation asks for a confirmation to all members: the store has just answered this host. It does not
 // block.
 func (g *Gossip) RequestConfirmation() {
-	lifetime.Wake(g.confirm)
+	lifetime.Wake(g.confirmationWanted)
 }
 
 // sendConfirmations sends the confirmations that Confirm asks for until done is closed.
 func (g *Gossip) sendConfirmations(done <-chan struct{}) {
 	for {
 		select {
-		case <-g.confirm:
+		case <-g.confirmationWanted:
 		case <-done:
 			return
 		}
@@ -45,44 +45,44 @@
 func (g *Gossip) sendConfirmation() {
 	topics := g.parts.Host.Confirmations()
 	g.mu.Lock()
-	members := g.addresses()
+	members := g.memberAddresses()
 	leaving := g.leaving
 	g.mu.Unlock()
 	switch {
 	case leaving || len(topics) == 0:
-	case isRestored(topics):
+	case isOfLaterEra(topics):
 		g.sendEnvelope(envelope.KindConfirmation, topics, members)
 	default:
 		g.sendDatagram(counters.PeerHeartbeats, &Confirmation{Incarnation: g.incarnation, Topics: topics}, members)
 	}
 }
 
-// isRestored reports whether a confirmation is of an era of the store after the first. Hosts that know no eras take revisions of
+// isOfLaterEra reports whether a confirmation is of an era of the store after the first. Hosts that know no eras take revisions of
 // one from their peers, and then confirm what they have not read: theirs are told apart by the kind of message.
-func isRestored(topics []TopicConfirmation) bool {
+func isOfLaterEra(topics []TopicConfirmation) bool {
 	return slices.ContainsFunc(topics, func(t TopicConfirmation) bool { return era.Of(t.Revision) > 0 })
 }
 
-// confirmed handles a confirmation of the first era.
-func (g *Gossip) confirmed(c *Confirmation) {
-	if !isRestored(c.Topics) {
-		g.useConfirmation(c)
+// handleConfirmation handles a confirmation of the first era.
+func (g *Gossip) handleConfirmation(c *Confirmation) {
+	if !isOfLaterEra(c.Topics) {
+		g.applyConfirmation(c)
 	}
 }
 
-// confirmedInEra handles a confirmation of a later era.
-func (g *Gossip) confirmedInEra(from envelope.Sender, body []byte) {
+// handleRestoredConfirmation handles a confirmation of a later era.
+func (g *Gossip) handleRestoredConfirmation(from envelope.Sender, body []byte) {
 	c := Confirmation{Incarnation: from.Incarnation}
 	if err := cbor.Unmarshal(body, &c.Topics); err != nil {
 		g.parts.Log.WithError(err).WithField("peer", from.Host).Warn("a confirmation can't be read")
 		return
 	}
-	g.useConfirmation(&c)
+	g.applyConfirmation(&c)
 }
 
-// useConfirmation hands a confirmation to the host. One of an unknown sender is left out: its next counts, once it has
+// applyConfirmation hands a confirmation to the host. One of an unknown sender is left out: its next counts, once it has
 // announced itself.
-func (g *Gossip) useConfirmation(c *Confirmation) {
+func (g *Gossip) applyConfirmation(c *Confirmation) {
 	g.mu.Lock()
 	member, known := g.members.ApplyConfirmation(c)
 	g.mu.Unlock()
--- a/internal/front/gossip/envelope.go
+++ b/internal/front/gossip/envelope.go
@@ -24,7 +24,7 @@
 func (g *Gossip) Handle(kind envelope.Kind, handler envelope.Handler) { g.handlers[kind] = handler }
 
 // OnJoin sets what is called with each host that joins. It must be called before Start.
-func (g *Gossip) OnJoin(joined func(envelope.Sender)) { g.joined = joined }
+func (g *Gossip) OnJoin(joined func(envelope.Sender)) { g.onJoin = joined }
 
 // Self returns this host as the sender of its envelopes.
 func (g *Gossip) Self() envelope.Sender {
@@ -45,7 +45,7 @@
 // Broadcast sends a message to all members. A datagram may be lost; whoever sends makes up for that.
 func (g *Gossip) Broadcast(kind envelope.Kind, message any) {
 	g.mu.Lock()
-	addresses := g.addresses()
+	addresses := g.memberAddresses()
 	g.mu.Unlock()
 	g.sendEnvelope(kind, message, addresses)
 }
@@ -73,8 +73,8 @@
 	g.sendDatagram(counters.PeerMessages, &e, targets)
 }
 
-// opened handles an envelope. One of an unknown sender is left out: its next counts, once it has announced itself.
-func (g *Gossip) opened(e *Envelope) {
+// handleEnvelope handles an envelope. One of an unknown sender is left out: its next counts, once it has announced itself.
+func (g *Gossip) handleEnvelope(e *Envelope) {
 	handler, known := g.handlers[e.Kind]
 	if !known || e.Fleet != g.parts.Config.Fleet {
 		return
--- a/internal/front/gossip/fetch.go
+++ b/internal/front/gossip/fetch.go
@@ -19,14 +19,14 @@
 	own := g.parts.Host.Revisions()
 	for t := range freshness.Topics {
 		if isBehind(t, own, &member) && g.beginFetch(t) {
-			go g.sync(t, member, own)
+			go g.syncTopic(t, member, own)
 		}
 	}
 }
 
-// sync fetches a topic from a member that reported a newer revision, or from others that have one, until no member is known to
+// syncTopic fetches a topic from a member that reported a newer revision, or from others that have one, until no member is known to
 // be ahead: what members report meanwhile starts no fetch. It ends as well once a round brings nothing new.
-func (g *Gossip) sync(t freshness.Topic, first Member, before SyncRequest) {
+func (g *Gossip) syncTopic(t freshness.Topic, first Member, before SyncRequest) {
 	defer g.endFetch(t)
 	for {
 		g.syncRound(t, first, before)
@@ -46,7 +46,7 @@
 		// All hosts learn of a change at the same moment, from few that have it.
 		time.Sleep(syncGrace + time.Duration(g.parts.Random()*float64(g.Hosts())*float64(fetchSpreadPerHost)))
 	}
-	g.fetch(&fetchRound{
+	g.fetchTopic(&fetchRound{
 		topic: t,
 		next: func(asked names) (Member, bool) {
 			if peer, ok := g.memberAhead(t, asked); ok {
@@ -54,7 +54,7 @@
 			}
 			return first, len(asked) == 0
 		},
-		enough: func(answered bool) bool {
+		isDone: func(answered bool) bool {
 			if _, ok := g.memberAhead(t, nil); ok && !answered {
 				return false
 			}
@@ -68,10 +68,10 @@
 	return g.pick(func(m *Member) bool { return !asked[m.Name] && g.isBehind(t, m) })
 }
 
-// pollWhenOld polls members for what nobody has confirmed for too long, until done is closed: the store
+// pollWhenStale polls members for what nobody has confirmed for too long, until done is closed: the store
 // may not answer this host, and the heartbeats of those who know more may be lost.
-func (g *Gossip) pollWhenOld(done <-chan struct{}) {
-	ticker := time.NewTicker(pollCheck)
+func (g *Gossip) pollWhenStale(done <-chan struct{}) {
+	ticker := time.NewTicker(pollCheckInterval)
 	defer ticker.Stop()
 	var polledAt [freshness.Topics]time.Time
 	for {
@@ -94,10 +94,10 @@
 // poll fetches a topic from some members whatever they have reported.
 func (g *Gossip) poll(t freshness.Topic) {
 	defer g.endFetch(t)
-	g.fetch(&fetchRound{
+	g.fetchTopic(&fetchRound{
 		topic:  t,
 		next:   func(asked names) (Member, bool) { return g.pick(func(m *Member) bool { return !asked[m.Name] }) },
-		enough: func(answered bool) bool { return answered },
+		isDone: func(answered bool) bool { return answered },
 	})
 }
 
@@ -143,21 +143,21 @@
 	topic freshness.Topic
 	// next picks the next member to ask, or none for now.
 	next func(asked names) (Member, bool)
-	// enough reports whether no more members need to be asked, once one has answered or none has yet.
-	enough func(answered bool) bool
+	// isDone reports whether no more members need to be asked, once one has answered or none has yet.
+	isDone func(answered bool) bool
 }
 
-// fetch asks members for a topic. If none has answered after fetchHedge, twice as many are asked beside those, so
+// fetchTopic asks members for a topic. If none has answered after fetchHedge, twice as many are asked beside those, so
 // that silent members do not use up the time: with half of them silent, an answer takes more than two hedges once in
 // eight times, and more than three once in 128.
-func (g *Gossip) fetch(r *fetchRound) {
+func (g *Gossip) fetchTopic(r *fetchRound) {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	var fetches sync.WaitGroup
 	defer fetches.Wait()
 	var answered atomic.Bool
 	asked := make(names)
-	for width := 1; ctx.Err() == nil && len(asked) < maxFetched && !r.enough(answered.Load()); width *= 2 {
+	for width := 1; ctx.Err() == nil && len(asked) < maxFetchPeers && !r.isDone(answered.Load()); width *= 2 {
 		ended := make(chan struct{}, width)
 		for range width {
 			peer, ok := r.next(asked)
@@ -169,7 +169,7 @@
 				if g.fetchFrom(ctx, r.topic, peer) {
 					answered.Store(true)
 				}
-				if r.enough(answered.Load()) {
+				if r.isDone(answered.Load()) {
 					cancel()
 				}
 				ended <- struct{}{}
--- a/internal/front/gossip/golden_test.go
+++ b/internal/front/gossip/golden_test.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestDatagramsAreToldApart: a host takes a datagram for the first message that it decodes as, and an older
+// TestMessagesDecodeOnlyAsTheirOwnType: a host takes a datagram for the first message that it decodes as, and an older
 // one drops what it does not know. So none may decode as another.
-func TestDatagramsAreToldApart(t *testing.T) {
+func TestMessagesDecodeOnlyAsTheirOwnType(t *testing.T) {
 	forms := map[string]func() any{
 		"beat":         func() any { return new(Heartbeat) },
 		"report":       func() any { return new(Report) },
--- a/internal/front/gossip/gossip.go
+++ b/internal/front/gossip/gossip.go
@@ -116,7 +116,7 @@
 	address string
 	// started is when this host started, start the same in ns since 1970, which peers are told.
 	started     time.Time
-	start       int64
+	startNanos  int64
 	incarnation uint32
 
 	// joinedAt is when the last peer joined, or this host started.
@@ -126,44 +126,44 @@
 
 	// handlers and joined are not changed once this host listens.
 	handlers map[envelope.Kind]envelope.Handler
-	joined   func(envelope.Sender)
+	onJoin   func(envelope.Sender)
 	packets  net.PacketConn
 	listener net.Listener
-	// changed, urgent and confirm wake Run; see Changed, RequestUrgentHeartbeat and Confirm.
-	changed chan struct{}
-	urgent  chan struct{}
-	confirm chan struct{}
-	cancel  context.CancelFunc
+	// heartbeatWanted, urgent and confirm wake Run; see Changed, RequestUrgentHeartbeat and Confirm.
+	heartbeatWanted    chan struct{}
+	urgentWanted       chan struct{}
+	confirmationWanted chan struct{}
+	cancel             context.CancelFunc
 
 	mu       sync.Mutex
 	members  *Members
 	sequence uint64
 	// envelopes counts those that were sent.
 	envelopes uint64
-	// last is what the last heartbeat carried, without its lists.
-	last State
-	// askAt is when some member is asked next for hosts that this one does not know.
-	askAt time.Time
-	// reportAt is when the next report is due, reports counts them.
-	reportAt time.Time
-	reports  uint64
-	leaving  bool
+	// lastState is what the last heartbeat carried, without its lists.
+	lastState State
+	// nextQueryAt is when some member is asked next for hosts that this one does not know.
+	nextQueryAt time.Time
+	// nextReportAt is when the next report is due, reports counts them.
+	nextReportAt time.Time
+	reports      uint64
+	leaving      bool
 	// fetching is which topics are being fetched.
 	fetching [freshness.Topics]bool
-	shares   shares
+	sharing  workSharing
 }
 
 // New returns a host's part that does not listen yet.
 func New(parts Parts) *Gossip {
 	now := parts.Clock()
 	g := &Gossip{
-		parts: parts, address: parts.Config.Address, started: now, joinedAt: now, start: now.UnixNano(),
-		incarnation: uint32(parts.Random() * math.MaxUint32),
-		changed:     make(chan struct{}, 1), urgent: make(chan struct{}, 1), confirm: make(chan struct{}, 1),
-		members: NewMembers(parts.Config.Name, parts.Config.Zone), handlers: make(map[envelope.Kind]envelope.Handler), joined: func(envelope.Sender) {},
+		parts: parts, address: parts.Config.Address, started: now, joinedAt: now, startNanos: now.UnixNano(),
+		incarnation:     uint32(parts.Random() * math.MaxUint32),
+		heartbeatWanted: make(chan struct{}, 1), urgentWanted: make(chan struct{}, 1), confirmationWanted: make(chan struct{}, 1),
+		members: NewMembers(parts.Config.Name, parts.Config.Zone), handlers: make(map[envelope.Kind]envelope.Handler), onJoin: func(envelope.Sender) {},
 	}
 	g.members.address = g.address
-	g.Handle(envelope.KindConfirmation, g.confirmedInEra)
+	g.Handle(envelope.KindConfirmation, g.handleRestoredConfirmation)
 	g.AddContacts(parts.Config.FirstPeers)
 	return g
 }
@@ -190,10 +190,10 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.parts.Clock()
-	return now.Sub(g.joinedAt) >= joinTime || now.Sub(g.started) >= maxSettleTime
+	return now.Sub(g.joinedAt) >= joinQuietTime || now.Sub(g.started) >= maxSettleTime
 }
 
-// MustReadStore reports whether this host is to read the store for all: its place among its peers says so, and it knows
+// IsReader reports whether this host is to read the store for all: its place among its peers says so, and it knows
 // that place. One that would only take over from others waits until it has run for long enough to know whether they
 // read.
 func (g *Gossip) MustReadStore() bool {
@@ -201,7 +201,7 @@
 		return false
 	}
 	order := g.Order()
-	return order.MustReadStore() && (order.Before < freshness.Readers || g.parts.Clock().Sub(g.started) >= maxSettleTime)
+	return order.IsReader() && (order.Before < freshness.Readers || g.parts.Clock().Sub(g.started) >= maxSettleTime)
 }
 
 // Order returns this host's place where not all hosts are to do the same.
@@ -213,13 +213,13 @@
 
 // RequestHeartbeat asks for a heartbeat as soon as the pace allows. It does not block.
 func (g *Gossip) RequestHeartbeat() {
-	lifetime.Wake(g.changed)
+	lifetime.Wake(g.heartbeatWanted)
 }
 
 // RequestUrgentHeartbeat asks for a heartbeat at once: this host has read a newer revision from the
 // store. It does not block.
 func (g *Gossip) RequestUrgentHeartbeat() {
-	lifetime.Wake(g.urgent)
+	lifetime.Wake(g.urgentWanted)
 }
 
 // Start listens for peers.
@@ -251,14 +251,14 @@
 	var others sync.WaitGroup
 	defer others.Wait()
 	others.Go(func() { g.sendConfirmations(done) })
-	others.Go(func() { g.pollWhenOld(done) })
-	others.Go(func() { g.share(done) })
+	others.Go(func() { g.pollWhenStale(done) })
+	others.Go(func() { g.shareWork(done) })
 	for {
-		g.heartbeat()
+		g.broadcastHeartbeat()
 		if !g.waitForNext(done) {
 			return
 		}
-		g.expire()
+		g.expireMembers()
 	}
 }
 
@@ -268,7 +268,7 @@
 	defer next.Stop()
 	select {
 	case <-next.C:
-	case <-g.urgent:
+	case <-g.urgentWanted:
 		return true
 	case <-done:
 		return false
@@ -276,8 +276,8 @@
 	idle := time.NewTimer(backoff.Spread(idleInterval, idleSpread, g.parts.Random()))
 	defer idle.Stop()
 	select {
-	case <-g.changed:
-	case <-g.urgent:
+	case <-g.heartbeatWanted:
+	case <-g.urgentWanted:
 	case <-idle.C:
 	case <-done:
 		return false
@@ -285,10 +285,10 @@
 	return true
 }
 
-// expire drops silent members.
-func (g *Gossip) expire() {
+// expireMembers drops silent members.
+func (g *Gossip) expireMembers() {
 	g.mu.Lock()
-	limit := silenceAllowed(g.members.Count())
+	limit := memberTimeout(g.members.Count())
 	lost := g.members.Expire(g.parts.Clock(), limit)
 	hosts := g.members.Count() + 1
 	g.mu.Unlock()
@@ -303,9 +303,9 @@
 	g.mu.Lock()
 	g.leaving = true
 	heartbeat := g.newHeartbeat(State{})
-	members := g.addresses()
+	members := g.memberAddresses()
 	g.mu.Unlock()
-	g.send(heartbeat, members)
+	g.sendHeartbeat(heartbeat, members)
 }
 
 // Close ends the exchange.
--- a/internal/front/gossip/gossip_test.go
+++ b/internal/front/gossip/gossip_test.go
@@ -27,7 +27,7 @@
 	return &Announcement{Host: host, Address: host + ":1", Zone: "z", Start: started, KnownAddresses: known}
 }
 
-func TestMembers(t *testing.T) {
+func TestMembersApplyHeartbeat(t *testing.T) {
 	type received struct {
 		heartbeat Heartbeat
 		isNew     bool
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestSilentMembersExpire(t *testing.T) {
+func TestUnresponsiveMembersExpire(t *testing.T) {
 	c := qt.New(t)
 	m := NewMembers("self", "")
 	m.ApplyHeartbeat(start, &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1, "c:1")})
@@ -83,8 +83,8 @@
 	c.Check(m.AnnouncementTargets(start.Add(time.Hour)), qt.HasLen, 0, qt.Commentf("addresses that nobody names are forgotten"))
 }
 
-// TestAHostIsNoContactOfItself has peers name a host's own address, as they do in their announcements to it.
-func TestAHostIsNoContactOfItself(t *testing.T) {
+// TestOwnAddressIsNotAnnouncedTo has peers name a host's own address, as they do in their announcements to it.
+func TestOwnAddressIsNotAnnouncedTo(t *testing.T) {
 	c := qt.New(t)
 	g := New(Parts{Config: Config{Name: "self", Address: "self:1"}, Clock: func() time.Time { return start }, Random: rand.Float64})
 	g.members.ApplyHeartbeat(start, &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1, "self:1", "c:1")})
@@ -92,7 +92,7 @@
 	c.Check(g.members.AnnouncementTargets(start), qt.DeepEquals, []string{"c:1", "d:1"})
 }
 
-func TestReportsOfMembersCount(t *testing.T) {
+func TestOutdatedReportsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	m := NewMembers("self", "")
 	m.ApplyHeartbeat(start, &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)})
@@ -105,16 +105,16 @@
 	c.Check(counts, qt.IsFalse, qt.Commentf("of an unknown host"))
 }
 
-func TestHostsReportWhatTheyObserved(t *testing.T) {
+func TestEngineReportsReachPeers(t *testing.T) {
 	c := qt.New(t)
 	a := startNode(c, "a")
 	b := startNode(c, "b", a.gossip.Address())
-	a.look(func() bool { a.observed = []EngineReport{{Service: 5}}; return true })
+	a.with(func() bool { a.observed = []EngineReport{{Service: 5}}; return true })
 	eventually(c, "b has the report of a", func() bool {
 		a.gossip.RequestHeartbeat()
-		return b.look(func() bool { return len(b.reported["a"]) == 1 })
+		return b.with(func() bool { return len(b.reported["a"]) == 1 })
 	})
-	c.Check(b.look(func() bool { return b.reported["a"][0].Service == 5 }), qt.IsTrue)
+	c.Check(b.with(func() bool { return b.reported["a"][0].Service == 5 }), qt.IsTrue)
 }
 
 // node is a host that records what it receives.
@@ -124,12 +124,12 @@
 
 	mu       sync.Mutex
 	state    State
-	has      SyncRequest
+	own      SyncRequest
 	received map[string]*Heartbeat
 	observed []EngineReport
 	reported map[string][]EngineReport
 	lost     []string
-	taken    []string
+	applied  []string
 	// confirmations are those of this host, confirmed those of the last peer.
 	confirmations []TopicConfirmation
 	confirmed     []TopicConfirmation
@@ -201,7 +201,7 @@
 func (n *node) Revisions() SyncRequest {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.has
+	return n.own
 }
 
 func (n *node) HandleHeartbeat(peer string, heartbeat *Heartbeat) {
@@ -250,11 +250,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var response SyncResponse
-	if n.has.Settings > want.Settings {
+	if n.own.Settings > want.Settings {
 		response.Settings = []byte("settings")
 	}
-	if n.has.Directory > want.Directory {
-		response.Snapshot = &DirectorySnapshot{Revision: n.has.Directory}
+	if n.own.Directory > want.Directory {
+		response.Snapshot = &DirectorySnapshot{Revision: n.own.Directory}
 	}
 	return response
 }
@@ -266,15 +266,15 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(response.Settings) > 0 {
-		n.taken = append(n.taken, string(response.Settings))
-		n.has.Settings = 7
+		n.applied = append(n.applied, string(response.Settings))
+		n.own.Settings = 7
 	}
 	if response.Snapshot != nil {
-		n.has.Directory = response.Snapshot.Revision
+		n.own.Directory = response.Snapshot.Revision
 	}
 }
 
-func (n *node) look(f func() bool) bool {
+func (n *node) with(f func() bool) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return f()
@@ -318,7 +318,7 @@
 	}
 }
 
-func TestHostsFindEachOtherAndShare(t *testing.T) {
+func TestHostsDiscoverEachOtherAndSync(t *testing.T) {
 	c := qt.New(t)
 	a := startNode(c, "a")
 	b := startNode(c, "b", a.gossip.Address())
@@ -328,27 +328,27 @@
 	}
 	a.mu.Lock()
 	a.state = State{Loads: []EndpointLoad{{Endpoint: 5, Requests: 2, Tokens: 9}}, Settings: 7, Directory: 8}
-	a.has = SyncRequest{Settings: 7, Directory: 8}
+	a.own = SyncRequest{Settings: 7, Directory: 8}
 	a.mu.Unlock()
 	a.gossip.RequestHeartbeat()
 	for _, n := range []*node{b, d} {
 		eventually(c, "the load is received", func() bool {
-			return n.look(func() bool {
+			return n.with(func() bool {
 				return n.received["a"] != nil && len(n.received["a"].Loads) == 1 && n.received["a"].Loads[0].Tokens == 9
 			})
 		})
 		eventually(c, "newer revisions are fetched", func() bool {
-			return n.look(func() bool { return len(n.taken) > 0 && n.taken[0] == "settings" && n.has.Directory == 8 })
+			return n.with(func() bool { return len(n.applied) > 0 && n.applied[0] == "settings" && n.own.Directory == 8 })
 		})
 	}
 	a.stop()
 	a.gossip.Leave()
 	eventually(c, "a left", func() bool { return b.gossip.Hosts() == 2 && d.gossip.Hosts() == 2 })
 	// The member is dropped before its host is notified, so that is waited for too.
-	eventually(c, "b is notified", func() bool { return b.look(func() bool { return slices.Contains(b.lost, "a") }) })
+	eventually(c, "b is notified", func() bool { return b.with(func() bool { return slices.Contains(b.lost, "a") }) })
 }
 
-func TestReaders(t *testing.T) {
+func TestReaderSelection(t *testing.T) {
 	tests := map[string]struct {
 		hosts int
 		// failing is how many of the first hosts get no answers.
@@ -359,7 +359,7 @@
 		"a small fleet: a few for all":       {8, 0, freshness.Readers},
 		"a large one: a few for all":         {40, 0, freshness.Readers},
 		"others take over":                   {40, 2, freshness.Readers + 2},
-		"a store that is down for all":       {40, 40, maxReaderRank},
+		"a store that is down for all":       {40, 40, maxReaders},
 		"a huge one has no more readers":     {380, 0, freshness.Readers},
 	}
 	for name, test := range tests {
@@ -385,7 +385,7 @@
 				c.Check(order.Hosts, qt.Equals, test.hosts)
 				c.Check(order.ReadersBefore, qt.Equals, answered)
 				c.Check(order.Readers, qt.Equals, answered+1)
-				if order.MustReadStore() {
+				if order.IsReader() {
 					should++
 					reading[self] = i >= test.failing
 				}
@@ -398,46 +398,46 @@
 	}
 }
 
-// TestConfirmations checks that a confirmation reaches all members, and that one who lacks what the sender has
+// TestConfirmationsReachMembersAndStartFetches checks that a confirmation reaches all members, and that one who lacks what the sender has
 // fetches it without waiting for a heartbeat.
-func TestConfirmations(t *testing.T) {
+func TestConfirmationsReachMembersAndStartFetches(t *testing.T) {
 	c := qt.New(t)
 	a := startNode(c, "a")
 	b := startNode(c, "b", a.gossip.Address())
 	eventually(c, "both hosts", func() bool { return a.gossip.Hosts() == 2 && b.gossip.Hosts() == 2 })
-	a.look(func() bool {
-		a.has = SyncRequest{Settings: 7, Directory: 8}
+	a.with(func() bool {
+		a.own = SyncRequest{Settings: 7, Directory: 8}
 		a.confirmations = []TopicConfirmation{{Newest: 7, Revision: 9, AsOf: 70_000}, {Newest: 8, Revision: 9, AsOf: 70_001}}
 		return true
 	})
 	a.gossip.RequestConfirmation()
-	eventually(c, "b has the confirmation of a", func() bool { return b.look(func() bool { return len(b.confirmed) == 2 }) })
-	c.Check(b.look(func() bool { return b.confirmed[1].AsOf == 70_001 }), qt.IsTrue)
+	eventually(c, "b has the confirmation of a", func() bool { return b.with(func() bool { return len(b.confirmed) == 2 }) })
+	c.Check(b.with(func() bool { return b.confirmed[1].AsOf == 70_001 }), qt.IsTrue)
 	eventually(c, "b has fetched what a has", func() bool {
-		return b.look(func() bool { return b.has == SyncRequest{Settings: 7, Directory: 8} })
+		return b.with(func() bool { return b.own == SyncRequest{Settings: 7, Directory: 8} })
 	})
 }
 
-// TestPolls is a host that no heartbeat with the newer revisions has reached.
-func TestPolls(t *testing.T) {
+// TestStaleHostPollsPeers is a host that no heartbeat with the newer revisions has reached.
+func TestStaleHostPollsPeers(t *testing.T) {
 	c := qt.New(t)
 	a := startNode(c, "a")
 	b := startNode(c, "b", a.gossip.Address())
 	eventually(c, "both hosts", func() bool { return a.gossip.Hosts() == 2 && b.gossip.Hosts() == 2 })
-	a.look(func() bool {
-		a.has = SyncRequest{Settings: 7, Directory: 8}
+	a.with(func() bool {
+		a.own = SyncRequest{Settings: 7, Directory: 8}
 		return true
 	})
-	b.look(func() bool {
+	b.with(func() bool {
 		b.mustAsk = true
 		return true
 	})
 	eventually(c, "b has what a has", func() bool {
-		return b.look(func() bool { return b.has == SyncRequest{Settings: 7, Directory: 8} })
+		return b.with(func() bool { return b.own == SyncRequest{Settings: 7, Directory: 8} })
 	})
 }
 
-func TestConfirmationsOfUnknownHostsAreLeftOut(t *testing.T) {
+func TestConfirmationsOfUnknownHostsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	m := NewMembers("self", "")
 	_, known := m.ApplyConfirmation(&Confirmation{Incarnation: 1})
@@ -449,26 +449,26 @@
 	c.Check(member.Directory, qt.Equals, uint64(4), qt.Commentf("a late one takes nothing back"))
 }
 
-// TestConfirmationsOfHostsThatKnowNoEras guards against trust in a host that confirms an era which it has not read.
-func TestConfirmationsOfHostsThatKnowNoEras(t *testing.T) {
+// TestConfirmationsFromHostsWithoutErasAreIgnored guards against trust in a host that confirms an era which it has not read.
+func TestConfirmationsFromHostsWithoutErasAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	restored, err := era.Revision(1, 4)
 	c.Assert(err, qt.IsNil)
-	host := &node{has: SyncRequest{Settings: 3, Directory: 3}}
+	host := &node{own: SyncRequest{Settings: 3, Directory: 3}}
 	g := New(Parts{Config: Config{Name: "a"}, Host: host, Clock: time.Now, Random: func() float64 { return 0.5 }})
 	g.members.ApplyHeartbeat(time.Now(), &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("b", 1)})
 	topics := []TopicConfirmation{{Newest: 3, Revision: restored}, {Newest: 3, Revision: 5}}
-	g.confirmed(&Confirmation{Incarnation: 1, Topics: topics})
+	g.handleConfirmation(&Confirmation{Incarnation: 1, Topics: topics})
 	c.Check(host.confirmed, qt.HasLen, 0)
 	body, err := cbor.Marshal(topics)
 	c.Assert(err, qt.IsNil)
-	g.opened(&Envelope{Incarnation: 1, Kind: envelope.KindConfirmation, Body: body})
+	g.handleEnvelope(&Envelope{Incarnation: 1, Kind: envelope.KindConfirmation, Body: body})
 	c.Check(host.confirmed, qt.DeepEquals, topics)
 }
 
-// TestARevisionDoesNotWaitForItsTurn is the sweep at 300 hosts: heartbeats came 2.4 s apart,
+// TestNewRevisionSkipsHeartbeatPace is the sweep at 300 hosts: heartbeats came 2.4 s apart,
 // and a change of the configuration was in force after 5 s (CONFIG, DENIED).
-func TestARevisionDoesNotWaitForItsTurn(t *testing.T) {
+func TestNewRevisionSkipsHeartbeatPace(t *testing.T) {
 	c := qt.New(t)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -485,10 +485,10 @@
 	begun := make(chan bool)
 	go func() { begun <- g.waitForNext(make(chan struct{})) }()
 	c.Check(<-begun, qt.IsTrue)
-	c.Check(g.changed, qt.HasLen, 1, qt.Commentf("the change of loads still waits for its turn"))
+	c.Check(g.heartbeatWanted, qt.HasLen, 1, qt.Commentf("the change of loads still waits for its turn"))
 }
 
-func TestHeartbeatsOfALargeFleetCarryNoLoads(t *testing.T) {
+func TestLargeFleetHeartbeatsCarryNoLoads(t *testing.T) {
 	for name, hosts := range map[string]int{"small": 100, "large": 300} {
 		t.Run(name, func(t *testing.T) {
 			log := logrus.New()
@@ -503,18 +503,18 @@
 			}
 			host.state = State{Settings: 3, Loads: []EndpointLoad{{Endpoint: 1}}}
 			sent := g.newHeartbeat(g.parts.Host.State(!g.UsesAggregators()))
-			qt.Check(t, len(sent.Loads) > 0, qt.Equals, hosts < fullHeartbeats)
+			qt.Check(t, len(sent.Loads) > 0, qt.Equals, hosts < maxDirectMembers)
 			qt.Check(t, sent.Settings, qt.Equals, uint64(3))
-			qt.Check(t, g.nextReport() != nil, qt.Equals, hosts < fullHeartbeats)
+			qt.Check(t, g.nextReport() != nil, qt.Equals, hosts < maxDirectMembers)
 		})
 	}
 }
 
-// TestTheSettingsDoNotWaitForTheDirectory is the sweep at 300 hosts once more: the
+// TestSettingsAndDirectoryAreFetchedSeparately is the sweep at 300 hosts once more: the
 // settings were fetched with a directory of 3,000 entries, and behind it (CONFIG).
-func TestTheSettingsDoNotWaitForTheDirectory(t *testing.T) {
+func TestSettingsAndDirectoryAreFetchedSeparately(t *testing.T) {
 	c := qt.New(t)
-	peer := &node{has: SyncRequest{Settings: 7, Directory: 8}}
+	peer := &node{own: SyncRequest{Settings: 7, Directory: 8}}
 	own := SyncRequest{Settings: 3, Directory: 4}
 	member := &Member{Settings: 7, Directory: 8}
 	for _, test := range []struct {
@@ -536,8 +536,8 @@
 	c.Check(g.beginFetch(freshness.Endpoints), qt.IsTrue)
 }
 
-// TestNewsThatComeWhileAHostFetchesAreNotMissed has a host learn that one peer is ahead while it is about to fetch from another.
-func TestNewsThatComeWhileAHostFetchesAreNotMissed(t *testing.T) {
+// TestUpdatesDuringFetchAreNotMissed has a host learn that one peer is ahead while it is about to fetch from another.
+func TestUpdatesDuringFetchAreNotMissed(t *testing.T) {
 	tests := map[string]struct {
 		// had is what the host has once it begins to fetch what the first peer, at 10, has.
 		had uint64
@@ -554,7 +554,7 @@
 			has := map[*node]uint64{first: 10, second: 20, host: test.had}
 			for n, revision := range has {
 				n.mu.Lock()
-				n.has = SyncRequest{Settings: 1, Directory: revision}
+				n.own = SyncRequest{Settings: 1, Directory: revision}
 				n.state = State{Settings: 1, Directory: revision}
 				n.mu.Unlock()
 				n.gossip.RequestHeartbeat()
@@ -566,15 +566,15 @@
 				known = first
 				return ok && okFirst && member.Directory == 20
 			})
-			host.gossip.sync(freshness.Endpoints, known, host.Revisions())
+			host.gossip.syncTopic(freshness.Endpoints, known, host.Revisions())
 			c.Check(host.Revisions().Directory, qt.Equals, uint64(20))
 		})
 	}
 }
 
-// TestOnlyUnknownHostsAreAnnouncedTo is a fleet of 297 hosts: nine tenths of what hosts sent
+// TestAnnouncementsGoOnlyToUnknownHosts is a fleet of 297 hosts: nine tenths of what hosts sent
 // each other were announcements, sent to all whenever one host was new.
-func TestOnlyUnknownHostsAreAnnouncedTo(t *testing.T) {
+func TestAnnouncementsGoOnlyToUnknownHosts(t *testing.T) {
 	c := qt.New(t)
 	a := startNode(c, "a")
 	b := startNode(c, "b", a.gossip.Address())
@@ -588,9 +588,9 @@
 	c.Check(b.announcements.Load()-sent <= 2, qt.IsTrue, qt.Commentf("%d announcements", b.announcements.Load()-sent))
 }
 
-// TestAnUnknownSenderIsAsked is the loss of an announcement: without it, the heartbeats of its
+// TestUnknownSenderIsAskedToAnnounceItself is the loss of an announcement: without it, the heartbeats of its
 // sender would never count.
-func TestAnUnknownSenderIsAsked(t *testing.T) {
+func TestUnknownSenderIsAskedToAnnounceItself(t *testing.T) {
 	c := qt.New(t)
 	a := startNode(c, "a")
 	b := startNode(c, "b", a.gossip.Address())
@@ -602,7 +602,7 @@
 	eventually(c, "b is known again", func() bool { return a.gossip.Hosts() == 2 })
 }
 
-func TestUnknownSenders(t *testing.T) {
+func TestUnknownSendersAreAnnouncementTargets(t *testing.T) {
 	tests := map[string]struct {
 		prepare func(m *Members)
 		want    []string
--- a/internal/front/gossip/heartbeat.go
+++ b/internal/front/gossip/heartbeat.go
@@ -13,9 +13,9 @@
 	"oxbowslip.dev/oxbowslip/internal/front/envelope"
 )
 
-// heartbeat sends this host's state to all members, and announces this host to addresses
+// broadcastHeartbeat sends this host's state to all members, and announces this host to addresses
 // whose host is not known.
-func (g *Gossip) heartbeat() {
+func (g *Gossip) broadcastHeartbeat() {
 	state := g.parts.Host.State(!g.UsesAggregators())
 	g.mu.Lock()
 	if g.leaving {
@@ -23,34 +23,34 @@
 		return
 	}
 	heartbeat := g.newHeartbeat(state)
-	members := g.addresses()
+	members := g.memberAddresses()
 	announcement := g.newAnnouncement(true, 0)
-	targets := append(g.members.AnnouncementTargets(g.parts.Clock()), g.memberToAsk()...)
+	targets := append(g.members.AnnouncementTargets(g.parts.Clock()), g.memberToQuery()...)
 	report := g.nextReport()
 	g.mu.Unlock()
-	g.send(heartbeat, members)
+	g.sendHeartbeat(heartbeat, members)
 	if report != nil {
 		report.Engines = g.parts.Host.EngineReports()
 		g.sendDatagram(counters.PeerHeartbeats, report, members)
 	}
-	g.send(announcement, targets)
+	g.sendHeartbeat(announcement, targets)
 }
 
-// memberToAsk returns the address of a member to ask for hosts that this one does not know,
+// memberToQuery returns the address of a member to ask for hosts that this one does not know,
 // if that is due. The lock is held.
-func (g *Gossip) memberToAsk() []string {
+func (g *Gossip) memberToQuery() []string {
 	now := g.parts.Clock()
-	if now.Before(g.askAt) {
+	if now.Before(g.nextQueryAt) {
 		return nil
 	}
-	g.askAt = now.Add(backoff.Spread(askInterval, askSpread, g.parts.Random()))
-	return g.someMembers(1)
+	g.nextQueryAt = now.Add(backoff.Spread(queryInterval, querySpread, g.parts.Random()))
+	return g.randomAddresses(1)
 }
 
 // newHeartbeat returns the next heartbeat. The lock is held.
 func (g *Gossip) newHeartbeat(state State) *Heartbeat {
 	g.sequence++
-	g.last = State{Settings: state.Settings, Directory: state.Directory, ReadsStore: state.ReadsStore}
+	g.lastState = State{Settings: state.Settings, Directory: state.Directory, ReadsStore: state.ReadsStore}
 	return &Heartbeat{
 		Incarnation: g.incarnation, Sequence: g.sequence, Settings: state.Settings, Directory: state.Directory,
 		Loads: state.Loads, Ejections: state.Ejections, Holders: state.Holders, Leaving: g.leaving,
@@ -62,10 +62,10 @@
 // held.
 func (g *Gossip) nextReport() *Report {
 	now := g.parts.Clock()
-	if now.Before(g.reportAt) || g.aggregates() {
+	if now.Before(g.nextReportAt) || g.usesAggregatorsLocked() {
 		return nil
 	}
-	g.reportAt = now.Add(reportPace(g.members.Count() + 1))
+	g.nextReportAt = now.Add(reportPace(g.members.Count() + 1))
 	g.reports++
 	return &Report{Incarnation: g.incarnation, Sequence: g.reports}
 }
@@ -75,28 +75,28 @@
 func (g *Gossip) newAnnouncement(wantReply bool, addresses int) *Heartbeat {
 	g.sequence++
 	return &Heartbeat{
-		Incarnation: g.incarnation, Sequence: g.sequence, Settings: g.last.Settings, Directory: g.last.Directory, ReadsStore: g.last.ReadsStore,
+		Incarnation: g.incarnation, Sequence: g.sequence, Settings: g.lastState.Settings, Directory: g.lastState.Directory, ReadsStore: g.lastState.ReadsStore,
 		Announcement: &Announcement{
-			Host: g.parts.Config.Name, Address: g.address, Zone: g.parts.Config.Zone, Start: g.start, WantReply: wantReply,
-			Hosts: g.members.Count() + 1, KnownAddresses: g.someMembers(addresses),
+			Host: g.parts.Config.Name, Address: g.address, Zone: g.parts.Config.Zone, Start: g.startNanos, WantReply: wantReply,
+			Hosts: g.members.Count() + 1, KnownAddresses: g.randomAddresses(addresses),
 		},
 	}
 }
 
-// someMembers returns the addresses of at most a number of members, picked at random. The
+// randomAddresses returns the addresses of at most a number of members, picked at random. The
 // lock is held.
-func (g *Gossip) someMembers(most int) []string {
+func (g *Gossip) randomAddresses(most int) []string {
 	if most == 0 {
 		return nil
 	}
-	live := g.addresses()
+	live := g.memberAddresses()
 	first := int(g.parts.Random() * float64(len(live)))
 	rotated := slices.Concat(live[first:], live[:first])
 	return rotated[:min(most, len(rotated))]
 }
 
-// addresses returns where the members are. The lock is held.
-func (g *Gossip) addresses() []string {
+// memberAddresses returns where the members are. The lock is held.
+func (g *Gossip) memberAddresses() []string {
 	addresses := make([]string, 0, g.members.Count())
 	for _, member := range g.members.Live() {
 		addresses = append(addresses, member.Address)
@@ -104,15 +104,15 @@
 	return addresses
 }
 
-// reply announces this host to one that asked for it.
-func (g *Gossip) reply(asker *Announcement) {
+// replyToAnnouncement announces this host to one that asked for it.
+func (g *Gossip) replyToAnnouncement(asker *Announcement) {
 	g.mu.Lock()
-	announcement := g.newAnnouncement(false, addressesFor(asker.Hosts, g.members.Count()+1))
+	announcement := g.newAnnouncement(false, addressCountFor(asker.Hosts, g.members.Count()+1))
 	g.mu.Unlock()
-	g.send(announcement, []string{asker.Address})
+	g.sendHeartbeat(announcement, []string{asker.Address})
 }
 
-func (g *Gossip) send(h *Heartbeat, targets []string) {
+func (g *Gossip) sendHeartbeat(h *Heartbeat, targets []string) {
 	kind := counters.PeerHeartbeats
 	if h.Announcement != nil {
 		kind = counters.PeerAnnouncements
@@ -164,11 +164,11 @@
 	var h Heartbeat
 	err := cbor.Unmarshal(data, &h)
 	if err == nil {
-		g.received(&h, from)
+		g.handleHeartbeat(&h, from)
 		return
 	}
-	if decodeAs(data, g.reported) || decodeAs(data, g.confirmed) ||
-		decodeAs(data, g.contributed) || decodeAs(data, g.fleetSummed) || decodeAs(data, g.zoneSummed) || decodeAs(data, g.opened) {
+	if decodeAs(data, g.handleReport) || decodeAs(data, g.handleConfirmation) ||
+		decodeAs(data, g.handleContribution) || decodeAs(data, g.handleFleetSum) || decodeAs(data, g.handleZoneSum) || decodeAs(data, g.handleEnvelope) {
 		return
 	}
 	g.parts.Log.WithError(err).WithField("address", from).Debug("a datagram is none of the messages")
@@ -184,8 +184,8 @@
 	return true
 }
 
-// reported handles a report.
-func (g *Gossip) reported(r *Report) {
+// handleReport handles a report.
+func (g *Gossip) handleReport(r *Report) {
 	g.mu.Lock()
 	member, counts := g.members.ApplyReport(r)
 	g.mu.Unlock()
@@ -194,8 +194,8 @@
 	}
 }
 
-// received handles a heartbeat that came from an address.
-func (g *Gossip) received(h *Heartbeat, from string) {
+// handleHeartbeat handles a heartbeat that came from an address.
+func (g *Gossip) handleHeartbeat(h *Heartbeat, from string) {
 	g.mu.Lock()
 	member, isNew, counts := g.members.ApplyHeartbeat(g.parts.Clock(), h)
 	if !counts && h.Announcement == nil && !g.members.HasIncarnation(h.Incarnation) {
@@ -218,11 +218,11 @@
 	if h.Announcement == nil {
 		g.parts.Host.HandleHeartbeat(member.Name, h)
 	} else if h.Announcement.WantReply && !leaving {
-		g.reply(h.Announcement)
+		g.replyToAnnouncement(h.Announcement)
 	}
 	if isNew {
 		g.parts.Log.WithFields(logrus.Fields{"peer": member.Name, "address": member.Address, "hosts": hosts}).Info("peer joined")
-		g.joined(envelope.Sender{Host: member.Name, Incarnation: member.incarnation})
+		g.onJoin(envelope.Sender{Host: member.Name, Incarnation: member.incarnation})
 		g.RequestHeartbeat()
 	}
 	g.syncWith(member)
--- a/internal/front/gossip/members.go
+++ b/internal/front/gossip/members.go
@@ -21,16 +21,16 @@
 	// readsStore is set if the member reads the store and gets answers from it.
 	readsStore  bool
 	incarnation uint32
-	start       int64
+	startNanos  int64
 	sequence    uint64
-	reports     uint64
-	// sums is the newest sum over all hosts that the member has sent.
-	sums     uint64
-	lastSeen time.Time
-	// wantsSums is until when the member uses this host's sums, sendsZones until when it counts as one that
+	lastReport  uint64
+	// lastFleetSum is the newest sum over all hosts that the member has sent.
+	lastFleetSum uint64
+	lastSeen     time.Time
+	// wantsSumsUntil is until when the member uses this host's sums, sendsZoneSumsUntil until when it counts as one that
 	// sends those of its zone.
-	wantsSums  time.Time
-	sendsZones time.Time
+	wantsSumsUntil     time.Time
+	sendsZoneSumsUntil time.Time
 }
 
 // Members is what one host knows of the others. It does no input or output and takes the
@@ -41,8 +41,8 @@
 	// address is this host's own, which its peers name too.
 	address string
 	live    map[string]*Member
-	// names maps incarnations to members.
-	names map[uint32]string
+	// nameByIncarnation maps incarnations to members.
+	nameByIncarnation map[uint32]string
 	// contacts are addresses where a host may be.
 	contacts map[string]*contact
 }
@@ -50,19 +50,19 @@
 // NewMembers returns the view of a host of a zone that knows no other.
 func NewMembers(self, zone string) *Members {
 	return &Members{
-		self: self, zone: zone, live: make(map[string]*Member), names: make(map[uint32]string), contacts: make(map[string]*contact),
+		self: self, zone: zone, live: make(map[string]*Member), nameByIncarnation: make(map[uint32]string), contacts: make(map[string]*contact),
 	}
 }
 
 // contact is an address where a host may be.
 type contact struct {
-	// namedAt is when a host last named the address, triedAt when it was last sent an
+	// lastNamedAt is when a host last named the address, lastTriedAt when it was last sent an
 	// announcement.
-	namedAt time.Time
-	triedAt time.Time
-	// unknown is set if a heartbeat came from there whose incarnation is not known: its
+	lastNamedAt time.Time
+	lastTriedAt time.Time
+	// hasUnknownSender is set if a heartbeat came from there whose incarnation is not known: its
 	// announcement was lost.
-	unknown bool
+	hasUnknownSender bool
 }
 
 // AddContact adds an address where a host may be.
@@ -72,7 +72,7 @@
 		known = new(contact)
 		m.contacts[address] = known
 	}
-	known.namedAt = now
+	known.lastNamedAt = now
 }
 
 // ApplyHeartbeat handles a heartbeat. It returns the member that sent it. Counts is false if the
@@ -80,7 +80,7 @@
 // sender; isNew is set if the member was not live before.
 func (m *Members) ApplyHeartbeat(now time.Time, h *Heartbeat) (member Member, isNew, counts bool) {
 	if h.Announcement != nil {
-		isNew = m.announced(now, h)
+		isNew = m.applyAnnouncement(now, h)
 	}
 	known, ok := m.byIncarnation(h.Incarnation)
 	if !ok || h.Sequence <= known.sequence {
@@ -97,18 +97,18 @@
 
 // byIncarnation returns the member whose present incarnation it is.
 func (m *Members) byIncarnation(incarnation uint32) (*Member, bool) {
-	known, ok := m.live[m.names[incarnation]]
+	known, ok := m.live[m.nameByIncarnation[incarnation]]
 	return known, ok && known.incarnation == incarnation
 }
 
-// announced handles an announcement, and reports whether its host is new.
-func (m *Members) announced(now time.Time, h *Heartbeat) bool {
+// applyAnnouncement handles an announcement, and reports whether its host is new.
+func (m *Members) applyAnnouncement(now time.Time, h *Heartbeat) bool {
 	a := h.Announcement
 	if a.Host == m.self {
 		return false
 	}
 	known, ok := m.live[a.Host]
-	if ok && a.Start < known.start {
+	if ok && a.Start < known.startNanos {
 		return false
 	}
 	for _, address := range a.KnownAddresses {
@@ -119,18 +119,18 @@
 		return false
 	}
 	m.drop(a.Host)
-	m.live[a.Host] = &Member{Name: a.Host, Address: a.Address, Zone: a.Zone, incarnation: h.Incarnation, start: a.Start}
-	m.names[h.Incarnation] = a.Host
+	m.live[a.Host] = &Member{Name: a.Host, Address: a.Address, Zone: a.Zone, incarnation: h.Incarnation, startNanos: a.Start}
+	m.nameByIncarnation[h.Incarnation] = a.Host
 	return true
 }
 
 // ApplyReport handles a report. It returns the member that sent it, and whether it is newer than the last one.
 func (m *Members) ApplyReport(r *Report) (name string, counts bool) {
 	known, ok := m.byIncarnation(r.Incarnation)
-	if !ok || r.Sequence <= known.reports {
+	if !ok || r.Sequence <= known.lastReport {
 		return "", false
 	}
-	known.reports = r.Sequence
+	known.lastReport = r.Sequence
 	return known.Name, true
 }
 
@@ -142,7 +142,7 @@
 		return "", false
 	}
 	if c.WantsSums {
-		known.wantsSums = now.Add(aggregate.WorkTimeout)
+		known.wantsSumsUntil = now.Add(aggregate.WorkTimeout)
 	}
 	return known.Name, true
 }
@@ -153,7 +153,7 @@
 	if !ok {
 		return Member{}, false
 	}
-	sender.sendsZones = now.Add(aggregate.WorkTimeout)
+	sender.sendsZoneSumsUntil = now.Add(aggregate.WorkTimeout)
 	return *sender, true
 }
 
@@ -161,10 +161,10 @@
 // last one; the parts of one sum have the same number.
 func (m *Members) ApplyFleetSum(s *FleetSum) (name string, counts bool) {
 	known, ok := m.byIncarnation(s.Incarnation)
-	if !ok || s.Sequence < known.sums {
+	if !ok || s.Sequence < known.lastFleetSum {
 		return "", false
 	}
-	known.sums = s.Sequence
+	known.lastFleetSum = s.Sequence
 	return known.Name, true
 }
 
@@ -220,14 +220,14 @@
 
 // HasIncarnation reports whether an incarnation is that of a member.
 func (m *Members) HasIncarnation(incarnation uint32) bool {
-	_, ok := m.names[incarnation]
+	_, ok := m.nameByIncarnation[incarnation]
 	return ok
 }
 
 // drop forgets a member.
 func (m *Members) drop(name string) {
 	if member, ok := m.live[name]; ok {
-		delete(m.names, member.incarnation)
+		delete(m.nameByIncarnation, member.incarnation)
 		delete(m.live, name)
 	}
 }
@@ -236,7 +236,7 @@
 // names. Addresses that no host has named for long are forgotten.
 func (m *Members) Expire(now time.Time, limit time.Duration) []string {
 	for address, known := range m.contacts {
-		if now.Sub(known.namedAt) > contactTimeout {
+		if now.Sub(known.lastNamedAt) > contactTimeout {
 			delete(m.contacts, address)
 		}
 	}
@@ -268,7 +268,7 @@
 	if _, ok := m.contacts[address]; !ok {
 		m.AddContact(now, address)
 	}
-	m.contacts[address].unknown = true
+	m.contacts[address].hasUnknownSender = true
 }
 
 // AnnouncementTargets returns the addresses that are due for an announcement, and counts them as
@@ -281,11 +281,11 @@
 	}
 	var addresses []string
 	for address, known := range m.contacts {
-		wanted := known.unknown || !ofMembers[address]
-		if !wanted || (!known.triedAt.IsZero() && now.Sub(known.triedAt) < contactInterval) {
+		wanted := known.hasUnknownSender || !ofMembers[address]
+		if !wanted || (!known.lastTriedAt.IsZero() && now.Sub(known.lastTriedAt) < contactInterval) {
 			continue
 		}
-		known.triedAt, known.unknown = now, false
+		known.lastTriedAt, known.hasUnknownSender = now, false
 		addresses = append(addresses, address)
 	}
 	slices.Sort(addresses)
--- a/internal/front/gossip/registry.go
+++ b/internal/front/gossip/registry.go
@@ -19,12 +19,12 @@
 }
 
 const (
-	// settleTime is how long a host waits for its first peers before it decides whether it is alone: a few heartbeats.
-	settleTime = 400 * time.Millisecond
-	// joinTime is how long no more peers have joined when a host takes its place in their order: it learns of
+	// firstPeersWait is how long a host waits for its first peers before it decides whether it is alone: a few heartbeats.
+	firstPeersWait = 400 * time.Millisecond
+	// joinQuietTime is how long no more peers have joined when a host takes its place in their order: it learns of
 	// some with each heartbeat. A host that knows few peers takes itself for one of the first; in a
 	// large fleet that starts together that costs thousands of calls (TestAFleetThatStartsTogether).
-	joinTime = 700 * time.Millisecond
+	joinQuietTime = 700 * time.Millisecond
 	// maxSettleTime is how long a host waits at most for that, where peers join all the time, and how long it
 	// waits before it takes over from hosts that should read the store: their first held call and their
 	// next heartbeat take 3.3 s. With 40 hosts that start together, 80 of which read once, there were up to
@@ -40,7 +40,7 @@
 func (g *Gossip) KeepRegistered(done <-chan struct{}, registry Registry) {
 	ctx, cancel := lifetime.Context(done)
 	defer cancel()
-	if !lifetime.Sleep(ctx, settleTime) {
+	if !lifetime.Sleep(ctx, firstPeersWait) {
 		return
 	}
 	lifetime.Every(done, registerInterval, g.parts.Random, func(context.Context) { g.register(ctx, registry) })
@@ -48,39 +48,39 @@
 
 // registration is this host's row in the registry.
 type registration struct {
-	// calling is held during calls that change the row, so that they reach the registry in their order.
-	calling sync.Mutex
-	// isSent is set before the first call that makes the row: its answer may be lost. ended is set once the row must not
+	// callMu is held during calls that change the row, so that they reach the registry in their order.
+	callMu sync.Mutex
+	// wasAttempted is set before the first call that makes the row: its answer may be lost. ended is set once the row must not
 	// be made any more. Both belong to calling.
-	isSent, ended bool
+	wasAttempted, isClosed bool
 	// era is the newest era of the store that this host has registered in, or was to.
 	era uint64
-	// isThere is set once the registry has answered.
-	isThere atomic.Bool
+	// isRegistered is set once the registry has answered.
+	isRegistered atomic.Bool
 }
 
-// enter notes the era of the store. One that was restored may have lost the row.
-func (r *registration) enter(newest uint64) {
-	r.calling.Lock()
-	defer r.calling.Unlock()
+// noteEra notes the era of the store. One that was restored may have lost the row.
+func (r *registration) noteEra(newest uint64) {
+	r.callMu.Lock()
+	defer r.callMu.Unlock()
 	if newest > r.era {
 		r.era = newest
-		r.isThere.Store(false)
+		r.isRegistered.Store(false)
 	}
 }
 
 // make makes the row, unless it is there or must not be.
 func (r *registration) make(ctx context.Context, registry Registry, name, address string) error {
-	r.calling.Lock()
-	defer r.calling.Unlock()
-	if r.isThere.Load() || r.ended {
+	r.callMu.Lock()
+	defer r.callMu.Unlock()
+	if r.isRegistered.Load() || r.isClosed {
 		return nil
 	}
-	r.isSent = true
+	r.wasAttempted = true
 	if err := registry.Register(ctx, name, address); err != nil {
 		return err
 	}
-	r.isThere.Store(true)
+	r.isRegistered.Store(true)
 	return nil
 }
 
@@ -88,10 +88,10 @@
 // is under way is waited for. After an error the address may be there; it can be called again.
 func (g *Gossip) Unregister(ctx context.Context, registry Registry) error {
 	r := &g.registration
-	r.calling.Lock()
-	defer r.calling.Unlock()
-	r.ended = true
-	if !r.isSent {
+	r.callMu.Lock()
+	defer r.callMu.Unlock()
+	r.isClosed = true
+	if !r.wasAttempted {
 		return nil
 	}
 	return registry.Unregister(ctx, g.parts.Config.Name)
@@ -99,9 +99,9 @@
 
 // register does one round of KeepRegistered. After an error the next round tries again.
 func (g *Gossip) register(ctx context.Context, registry Registry) {
-	g.registration.enter(era.Of(g.parts.Host.Revisions().Directory))
+	g.registration.noteEra(era.Of(g.parts.Host.Revisions().Directory))
 	alone := g.Hosts() == 1
-	if !alone && (g.registration.isThere.Load() || !g.MustReadStore()) {
+	if !alone && (g.registration.isRegistered.Load() || !g.MustReadStore()) {
 		return
 	}
 	if err := g.registration.make(ctx, registry, g.parts.Config.Name, g.address); err != nil {
--- a/internal/front/gossip/rules.go
+++ b/internal/front/gossip/rules.go
@@ -17,48 +17,48 @@
 	idleInterval = time.Second
 	// idleSpread is the part of idleInterval over which heartbeats are spread.
 	idleSpread = 0.5
-	// pacePerMember and minPace space the heartbeats that report changes: the more peers a host has, the less often it
+	// pacePerHost and minPace space the heartbeats that report changes: the more peers a host has, the less often it
 	// sends, so that its bytes do not grow with the square of the fleet. 8 ms let 300 hosts send every 2.4 s each.
-	pacePerMember = 8 * time.Millisecond
-	minPace       = 80 * time.Millisecond
+	pacePerHost = 8 * time.Millisecond
+	minPace     = 80 * time.Millisecond
 )
 
 // pace returns the least time between two heartbeats in a fleet of a number of hosts.
-func pace(hosts int) time.Duration { return max(time.Duration(hosts)*pacePerMember, minPace) }
+func pace(hosts int) time.Duration { return max(time.Duration(hosts)*pacePerHost, minPace) }
 
 const (
-	// reportInterval is the least time between two reports: what they carry changes within seconds.
-	reportInterval = 200 * time.Millisecond
-	// reportPerMember makes it longer in a large fleet, so that the bytes of a host stay the same. With
+	// minReportPace is the least time between two reports: what they carry changes within seconds.
+	minReportPace = 200 * time.Millisecond
+	// reportPacePerHost makes it longer in a large fleet, so that the bytes of a host stay the same. With
 	// 200 ms, reports of 78 hosts were most of the bytes between zones on mfs-kochi-grown (scale-2: worth
 	// 0.53 instead of 0.72).
-	reportPerMember = 30 * time.Millisecond
+	reportPacePerHost = 30 * time.Millisecond
 )
 
 // reportPace returns the least time between two reports in a fleet of a number of hosts.
 func reportPace(hosts int) time.Duration {
-	return max(time.Duration(hosts)*reportPerMember, reportInterval)
+	return max(time.Duration(hosts)*reportPacePerHost, minReportPace)
 }
 
 const (
-	// silenceLimit is how long a member may send nothing before it is dropped: three idle intervals and some delay.
-	silenceLimit = 3500 * time.Millisecond
-	// silencePerMember raises the limit in a fleet so large that its hosts send rarely.
+	// minMemberTimeout is how long a member may send nothing before it is dropped: three idle intervals and some delay.
+	minMemberTimeout = 3500 * time.Millisecond
+	// memberTimeoutPerMember raises the limit in a fleet so large that its hosts send rarely.
 	// Needed at 300 hosts, where 3.5 s was less than two paces and members were dropped.
-	silencePerMember = 30 * time.Millisecond
+	memberTimeoutPerMember = 30 * time.Millisecond
 )
 
-// silenceAllowed returns how long a member may send nothing in a fleet with a number of
+// memberTimeout returns how long a member may send nothing in a fleet with a number of
 // other members.
-func silenceAllowed(members int) time.Duration {
-	return max(silenceLimit, time.Duration(members)*silencePerMember)
+func memberTimeout(members int) time.Duration {
+	return max(minMemberTimeout, time.Duration(members)*memberTimeoutPerMember)
 }
 
-// fullHeartbeats is the number of members up to which heartbeats carry loads, holders and
+// maxDirectMembers is the number of members up to which heartbeats carry loads, holders and
 // streams. In a larger fleet they cost more than they are worth: each host has little of an
 // endpoint's load, and all hosts find the preferred endpoint of a prefix by its hash. At 300
 // hosts they were most of the bytes between zones, at a price of 0.64 of a day.
-const fullHeartbeats = 120
+const maxDirectMembers = 120
 
 // How many addresses of other hosts an announcement carries. 64 addresses fit one datagram (TestHeartbeatBytes).
 const (
@@ -70,9 +70,9 @@
 	fewAddresses = 4
 )
 
-// addressesFor returns how many addresses to send to a host that knows a number of hosts, for
+// addressCountFor returns how many addresses to send to a host that knows a number of hosts, for
 // one that knows another number.
-func addressesFor(theirs, ours int) int {
+func addressCountFor(theirs, ours int) int {
 	switch {
 	case 2*theirs < ours:
 		return manyAddresses
@@ -83,10 +83,10 @@
 }
 
 const (
-	// askInterval is the mean time between two questions to some member for hosts that this one does not know.
-	askInterval = 3 * time.Second
-	// askSpread is the part of askInterval over which the questions are spread.
-	askSpread = 1
+	// queryInterval is the mean time between two questions to some member for hosts that this one does not know.
+	queryInterval = 3 * time.Second
+	// querySpread is the part of queryInterval over which the questions are spread.
+	querySpread = 1
 	// contactTimeout is how long an address is tried that no host names any more.
 	contactTimeout = 10 * time.Minute
 	// contactInterval is the time between two announcements to an address that does not answer.
@@ -100,11 +100,11 @@
 	// fetchHedge is how long a peer may take to answer before another one is asked too: some times what a directory of
 	// 3,500 endpoints takes on a link of 10 Mbit/s.
 	fetchHedge = 250 * time.Millisecond
-	// maxFetched is how many peers are asked in one go: one, two more, and four more. With half of them silent, one go
+	// maxFetchPeers is how many peers are asked in one go: one, two more, and four more. With half of them silent, one go
 	// in 128 fails. More would share the links of a large fleet that fetches at the same time.
-	maxFetched = 7
-	// pollCheck is the time between two looks whether peers have to be polled.
-	pollCheck = 200 * time.Millisecond
+	maxFetchPeers = 7
+	// pollCheckInterval is the time between two looks whether peers have to be polled.
+	pollCheckInterval = 200 * time.Millisecond
 	// pollInterval is the least time between two polls of peers.
 	pollInterval = 500 * time.Millisecond
 	// fetchTimeout bounds the calls to all of them: directories that hundreds of hosts fetch at the same time take
@@ -122,9 +122,9 @@
 )
 
 const (
-	// maxReaderRank is how many hosts may take over from readers that get no answers. It is bounded, so that not all
+	// maxReaders is how many hosts may take over from readers that get no answers. It is bounded, so that not all
 	// hosts ask a store that is down.
-	maxReaderRank = 3 * freshness.Readers
+	maxReaders = 3 * freshness.Readers
 )
 
 // Order is a host's place in the order of a hash, which all hosts share where not all are to do the same.
@@ -136,11 +136,9 @@
 	ReadersBefore, Readers int
 }
 
-// MustReadStore reports whether this host is to read the store: the first hosts in the order do, and for each of them
+// IsReader reports whether this host is to read the store: the first hosts in the order do, and for each of them
 // that gets no answers the next one. Hosts whose views differ only read more often than needed.
-func (o Order) MustReadStore() bool {
-	return o.Before < maxReaderRank && o.ReadersBefore < freshness.Readers
-}
+func (o Order) IsReader() bool { return o.Before < maxReaders && o.ReadersBefore < freshness.Readers }
 
 // Order returns this host's place in the order.
 func (m *Members) Order() Order {
--- a/internal/front/gossip/share.go
+++ b/internal/front/gossip/share.go
@@ -16,29 +16,29 @@
 // The messages by which hosts of a large fleet share their work through aggregators (package aggregate).
 
 const (
-	// shareSpread is the part of aggregate.Interval over which the messages of different hosts are spread.
-	shareSpread = 0.2
-	// sentWork is how many contributions a host remembers, to know which of them a sum counts: a sum is older than that
+	// shareJitter is the part of aggregate.Interval over which the messages of different hosts are spread.
+	shareJitter = 0.2
+	// keptContributions is how many contributions a host remembers, to know which of them a sum counts: a sum is older than that
 	// only if it would be too old to count.
-	sentWork = 8
-	// sumBatch is how many sums an aggregator sends at a time: 16 KB are 7 ms of a link of 20 Mbit/s, so that they hold
+	keptContributions = 8
+	// sumBatchHosts is how many sums an aggregator sends at a time: 16 KB are 7 ms of a link of 20 Mbit/s, so that they hold
 	// up no answer for longer.
-	sumBatch = 4
-	// sumPause is the part of aggregate.Interval over which the batches are spread.
-	sumPause = 0.6
-	// zoneAggregators is how many hosts of each zone are sent the sums of other zones: the one that is the
+	sumBatchHosts = 4
+	// sumBatchSpread is the part of aggregate.Interval over which the batches are spread.
+	sumBatchSpread = 0.6
+	// aggregatorsPerZone is how many hosts of each zone are sent the sums of other zones: the one that is the
 	// aggregator and the one that would take over.
-	zoneAggregators = 2
+	aggregatorsPerZone = 2
 )
 
-// shares is the state of this host's part in sharing work.
-type shares struct {
+// workSharing is the state of this host's part in sharing work.
+type workSharing struct {
 	choice aggregate.Choice
-	// sequence counts the contributions, sums the rounds of sums.
-	sequence uint64
-	sums     uint64
+	// contributions counts the contributions, sums the rounds of sums.
+	contributions uint64
+	sums          uint64
 	// sent are the last contributions, by their sequence modulo their number.
-	sent [sentWork]sentContribution
+	sent [keptContributions]sentContribution
 }
 
 // sentContribution is a contribution that was sent.
@@ -51,20 +51,20 @@
 func (g *Gossip) UsesAggregators() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.aggregates()
+	return g.usesAggregatorsLocked()
 }
 
-// aggregates is Aggregates with the lock held.
-func (g *Gossip) aggregates() bool { return g.members.Count() >= fullHeartbeats }
+// usesAggregatorsLocked is Aggregates with the lock held.
+func (g *Gossip) usesAggregatorsLocked() bool { return g.members.Count() >= maxDirectMembers }
 
-// share sends this host's work to its aggregators, and the sums of those that send it theirs, until done is
+// shareWork sends this host's work to its aggregators, and the sums of those that send it theirs, until done is
 // closed.
-func (g *Gossip) share(done <-chan struct{}) {
+func (g *Gossip) shareWork(done <-chan struct{}) {
 	ctx, cancel := lifetime.Context(done)
 	defer cancel()
 	next := g.parts.Clock()
 	for {
-		next = next.Add(backoff.Spread(aggregate.Interval, shareSpread, g.parts.Random()))
+		next = next.Add(backoff.Spread(aggregate.Interval, shareJitter, g.parts.Random()))
 		// A host that was frozen or is slow goes on from now: what it missed is of no use.
 		if now := g.parts.Clock(); next.Before(now) {
 			next = now
@@ -87,12 +87,12 @@
 		g.mu.Unlock()
 		return false
 	}
-	s := &g.shares
+	s := &g.sharing
 	before := s.choice.Primary()
 	primary, backup := s.choice.Pick(g.parts.Clock(), self, g.members.Ranked(g.parts.Config.Zone))
-	s.sequence++
-	s.sent[s.sequence%sentWork] = sentContribution{sequence: s.sequence, work: work}
-	contribution := Contribution{Incarnation: g.incarnation, Sequence: s.sequence, Work: work}
+	s.contributions++
+	s.sent[s.contributions%keptContributions] = sentContribution{sequence: s.contributions, work: work}
+	contribution := Contribution{Incarnation: g.incarnation, Sequence: s.contributions, Work: work}
 	primaryAddress, backupAddress := g.members.Address(primary), g.members.Address(backup)
 	g.mu.Unlock()
 	if primary != before {
@@ -119,22 +119,22 @@
 	}
 	zone, fleet := g.parts.Host.Sums()
 	g.mu.Lock()
-	g.shares.sums++
-	sequence := g.shares.sums
+	g.sharing.sums++
+	sequence := g.sharing.sums
 	g.mu.Unlock()
 	for i := range zone {
 		zone[i].Incarnation, zone[i].Sequence = g.incarnation, sequence
 		g.sendDatagram(counters.PeerHeartbeats, &zone[i], aggregators)
 	}
-	batches := (len(wanting) + sumBatch - 1) / sumBatch
+	batches := (len(wanting) + sumBatchHosts - 1) / sumBatchHosts
 	for i := range fleet {
 		fleet[i].Incarnation, fleet[i].Sequence = g.incarnation, sequence
 		if isPrimary {
-			g.useSum(&fleet[i])
+			g.applyFleetSum(&fleet[i])
 		}
-		for batch := range slices.Chunk(wanting, sumBatch) {
+		for batch := range slices.Chunk(wanting, sumBatchHosts) {
 			g.sendDatagram(counters.PeerHeartbeats, &fleet[i], batch)
-			if !lifetime.Sleep(ctx, time.Duration(sumPause*float64(aggregate.Interval)/float64(batches*len(fleet)))) {
+			if !lifetime.Sleep(ctx, time.Duration(sumBatchSpread*float64(aggregate.Interval)/float64(batches*len(fleet)))) {
 				return
 			}
 		}
@@ -150,23 +150,23 @@
 	taken := make(map[string]bool)
 	for _, zone := range g.members.Zones() {
 		ranked := g.members.Ranked(zone)
-		for _, name := range ranked[:min(zoneAggregators, len(ranked))] {
+		for _, name := range ranked[:min(aggregatorsPerZone, len(ranked))] {
 			taken[name] = true
 		}
 	}
 	for _, member := range g.members.Live() {
-		if now.Before(member.wantsSums) {
+		if now.Before(member.wantsSumsUntil) {
 			wanting = append(wanting, member.Address)
 		}
-		if taken[member.Name] || now.Before(member.sendsZones) {
+		if taken[member.Name] || now.Before(member.sendsZoneSumsUntil) {
 			aggregators = append(aggregators, member.Address)
 		}
 	}
 	return wanting, aggregators
 }
 
-// contributed handles the work of a host of this zone.
-func (g *Gossip) contributed(c *Contribution) {
+// handleContribution handles the work of a host of this zone.
+func (g *Gossip) handleContribution(c *Contribution) {
 	g.mu.Lock()
 	host, counts := g.members.ApplyContribution(g.parts.Clock(), c)
 	g.mu.Unlock()
@@ -175,8 +175,8 @@
 	}
 }
 
-// zoneSummed handles the sum of a zone.
-func (g *Gossip) zoneSummed(s *ZoneSum) {
+// handleZoneSum handles the sum of a zone.
+func (g *Gossip) handleZoneSum(s *ZoneSum) {
 	g.mu.Lock()
 	member, known := g.members.ApplyZoneSum(g.parts.Clock(), s)
 	g.mu.Unlock()
@@ -185,25 +185,25 @@
 	}
 }
 
-// fleetSummed handles the sum over all hosts from an aggregator.
-func (g *Gossip) fleetSummed(s *FleetSum) {
+// handleFleetSum handles the sum over all hosts from an aggregator.
+func (g *Gossip) handleFleetSum(s *FleetSum) {
 	g.mu.Lock()
 	aggregator, counts := g.members.ApplyFleetSum(s)
 	if counts {
-		g.shares.choice.Received(g.parts.Clock(), aggregator)
+		g.sharing.choice.Received(g.parts.Clock(), aggregator)
 	}
 	g.mu.Unlock()
 	if counts {
-		g.useSum(s)
+		g.applyFleetSum(s)
 	}
 }
 
-// useSum hands a sum over all hosts to the host, with its own work that the sum counts.
-func (g *Gossip) useSum(s *FleetSum) {
+// applyFleetSum hands a sum over all hosts to the host, with its own work that the sum counts.
+func (g *Gossip) applyFleetSum(s *FleetSum) {
 	var counted *Work
 	g.mu.Lock()
 	if i := slices.Index(s.Counted, g.incarnation); i >= 0 && i < len(s.Sequences) {
-		if sent := &g.shares.sent[s.Sequences[i]%sentWork]; sent.sequence == s.Sequences[i] {
+		if sent := &g.sharing.sent[s.Sequences[i]%keptContributions]; sent.sequence == s.Sequences[i] {
 			counted = &sent.work
 		}
 	}
--- a/internal/front/gossip/share_test.go
+++ b/internal/front/gossip/share_test.go
@@ -15,37 +15,37 @@
 	"oxbowslip.dev/oxbowslip/internal/front/keys"
 )
 
-// enlarge adds members of another zone to a host's view, so that its fleet has aggregators. Nobody listens at
+// addRemoteZoneMembers adds members of another zone to a host's view, so that its fleet has aggregators. Nobody listens at
 // their addresses.
-func (n *node) enlarge() {
+func (n *node) addRemoteZoneMembers() {
 	g := n.gossip
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for i := range fullHeartbeats {
+	for i := range maxDirectMembers {
 		a := announcement(fmt.Sprintf("far-%d", i), 1)
 		a.Zone, a.Address = "far", "127.0.0.1:9"
 		g.members.ApplyHeartbeat(time.Now(), &Heartbeat{Incarnation: uint32(i + 1), Sequence: 1, Announcement: a})
 	}
 }
 
-// TestHostsOfALargeFleetShareThroughAggregators starts three hosts of a zone. Each gets a sum that counts its own
+// TestLargeFleetSharesWorkThroughAggregators starts three hosts of a zone. Each gets a sum that counts its own
 // work, and goes on getting one when the aggregator leaves.
-func TestHostsOfALargeFleetShareThroughAggregators(t *testing.T) {
+func TestLargeFleetSharesWorkThroughAggregators(t *testing.T) {
 	c := qt.New(t)
 	hosts := map[string]*node{"a": startNode(c, "a")}
 	hosts["b"] = startNode(c, "b", hosts["a"].gossip.Address())
 	hosts["d"] = startNode(c, "d", hosts["a"].gossip.Address())
 	for name, n := range hosts {
 		eventually(c, "three hosts", func() bool { return n.gossip.Hosts() == 3 })
-		n.look(func() bool {
+		n.with(func() bool {
 			n.work = Work{Endpoints: []keys.Endpoint{5}, Requests: []int{len(name)}, Tokens: []int{1}}
 			return true
 		})
-		n.enlarge()
+		n.addRemoteZoneMembers()
 	}
 	counted := func(n *node) func() bool {
 		return func() bool {
-			return n.look(func() bool { return n.counted != nil && len(n.counted.Endpoints) == 1 })
+			return n.with(func() bool { return n.counted != nil && len(n.counted.Endpoints) == 1 })
 		}
 	}
 	for _, n := range hosts {
@@ -54,7 +54,7 @@
 	primary := func(n *node) string {
 		n.gossip.mu.Lock()
 		defer n.gossip.mu.Unlock()
-		return n.gossip.shares.choice.Primary()
+		return n.gossip.sharing.choice.Primary()
 	}
 	first := primary(hosts["a"])
 	hosts[first].stop()
@@ -65,13 +65,13 @@
 		}
 		eventually(c, "another aggregator is chosen", func() bool { return primary(n) != first })
 		before := 0
-		n.look(func() bool { before = n.fleetSums; return true })
-		eventually(c, "its sums come", func() bool { return n.look(func() bool { return n.fleetSums > before+1 }) })
+		n.with(func() bool { before = n.fleetSums; return true })
+		eventually(c, "its sums come", func() bool { return n.with(func() bool { return n.fleetSums > before+1 }) })
 	}
 }
 
-// TestSharesOfOtherZonesDoNotCount sends a contribution and a sum from unknown hosts and from another zone.
-func TestSharesOfOtherZonesDoNotCount(t *testing.T) {
+// TestMessagesOfOtherZonesAndUnknownHostsAreIgnored sends a contribution and a sum from unknown hosts and from another zone.
+func TestMessagesOfOtherZonesAndUnknownHostsAreIgnored(t *testing.T) {
 	tests := map[string]struct {
 		message any
 		counts  bool
@@ -106,33 +106,33 @@
 	}
 }
 
-// TestOvertakenSums sends sums out of order: the older one must not replace the newer.
-func TestOvertakenSums(t *testing.T) {
+// TestOutOfOrderFleetSumsAreIgnored sends sums out of order: the older one must not replace the newer.
+func TestOutOfOrderFleetSumsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	host := &node{}
 	g := New(Parts{Config: Config{Name: "self", Zone: "z"}, Host: host, Clock: time.Now, Random: rand.Float64})
 	g.members.ApplyHeartbeat(start, &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)})
 	for _, sequence := range []uint64{2, 1, 2, 3} {
-		g.fleetSummed(&FleetSum{Incarnation: 1, Sequence: sequence, Parts: 2})
+		g.handleFleetSum(&FleetSum{Incarnation: 1, Sequence: sequence, Parts: 2})
 	}
 	c.Check(host.fleetSums, qt.Equals, 3, qt.Commentf("the parts of one sum have the same number"))
 }
 
-// TestHostsSettleOnceNobodyJoins checks when a host takes its place in the order of its peers.
-func TestHostsSettleOnceNobodyJoins(t *testing.T) {
+// TestHostsSettleWhenNoPeersJoin checks when a host takes its place in the order of its peers.
+func TestHostsSettleWhenNoPeersJoin(t *testing.T) {
 	c := qt.New(t)
 	now := start
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	g := New(Parts{Config: Config{Name: "self", Zone: "z"}, Host: &node{received: make(map[string]*Heartbeat)}, Log: logrus.NewEntry(log), Clock: func() time.Time { return now }, Random: rand.Float64})
 	join := func(incarnation uint32) {
-		g.received(&Heartbeat{Incarnation: incarnation, Sequence: 1, Announcement: announcement(fmt.Sprint(incarnation), 1)}, "127.0.0.1:9")
+		g.handleHeartbeat(&Heartbeat{Incarnation: incarnation, Sequence: 1, Announcement: announcement(fmt.Sprint(incarnation), 1)}, "127.0.0.1:9")
 	}
 	join(1)
-	now = now.Add(joinTime - time.Millisecond)
+	now = now.Add(joinQuietTime - time.Millisecond)
 	c.Check(g.Settled(), qt.IsFalse)
 	join(2)
-	now = now.Add(joinTime - time.Millisecond)
+	now = now.Add(joinQuietTime - time.Millisecond)
 	c.Check(g.Settled(), qt.IsFalse, qt.Commentf("one has joined since"))
 	now = now.Add(time.Millisecond)
 	c.Check(g.Settled(), qt.IsTrue)
--- a/internal/front/gossip/sync.go
+++ b/internal/front/gossip/sync.go
@@ -31,14 +31,14 @@
 
 // syncHandler answers peers that lack a revision.
 type syncHandler struct {
-	host Host
-	sent func(kind counters.PeerTraffic, bytes int)
-	// sending holds a token for each snapshot that is being sent.
-	sending chan struct{}
+	host      Host
+	countSent func(kind counters.PeerTraffic, bytes int)
+	// snapshotSlots holds a token for each snapshot that is being sent.
+	snapshotSlots chan struct{}
 }
 
 func newSyncHandler(host Host, sent func(kind counters.PeerTraffic, bytes int)) syncHandler {
-	return syncHandler{host: host, sent: sent, sending: make(chan struct{}, maxSnapshots)}
+	return syncHandler{host: host, countSent: sent, snapshotSlots: make(chan struct{}, maxSnapshots)}
 }
 
 // errUnknownCall: a call of a newer version.
@@ -48,15 +48,15 @@
 func (h syncHandler) HandleRPC(stream drpc.Stream, rpc string) error {
 	switch rpc {
 	case rpcSync:
-		return h.sync(stream)
+		return h.answerSync(stream)
 	case rpcChanges:
-		return h.changes(stream)
+		return h.answerChanges(stream)
 	}
 	return merry.Errorf("%s %q", errUnknownCall, rpc)
 }
 
-// sync answers a SyncRequest.
-func (h syncHandler) sync(stream drpc.Stream) error {
+// answerSync answers a SyncRequest.
+func (h syncHandler) answerSync(stream drpc.Stream) error {
 	var request SyncRequest
 	if err := stream.MsgRecv(&request, encoding{}); err != nil {
 		return merry.Wrap(err)
@@ -64,23 +64,23 @@
 	response := h.host.Respond(request)
 	if response.Snapshot != nil {
 		select {
-		case h.sending <- struct{}{}:
-			defer func() { <-h.sending }()
+		case h.snapshotSlots <- struct{}{}:
+			defer func() { <-h.snapshotSlots }()
 		default:
 			response.Snapshot = nil
 		}
 	}
-	h.sent(counters.PeerSyncs, response.size())
+	h.countSent(counters.PeerSyncs, response.size())
 	return merry.Wrap(stream.MsgSend(&response, encoding{}))
 }
 
-// changes answers a ChangesRequest.
-func (h syncHandler) changes(stream drpc.Stream) error {
+// answerChanges answers a ChangesRequest.
+func (h syncHandler) answerChanges(stream drpc.Stream) error {
 	var request ChangesRequest
 	if err := stream.MsgRecv(&request, encoding{}); err != nil {
 		return merry.Wrap(err)
 	}
 	response := h.host.Changes(request)
-	h.sent(counters.PeerSyncs, len(response.Entries)+len(response.States))
+	h.countSent(counters.PeerSyncs, len(response.Entries)+len(response.States))
 	return merry.Wrap(stream.MsgSend(&response, encoding{}))
 }
