--- a/internal/front/envelope/envelope.go
+++ b/internal/front/envelope/envelope.go
@@ -1,43 +1,44 @@
-// Package envelope has the kinds of messages that the packages of oxbowslip-front send to their own kind at other hosts, and
-// what identifies the sender.
+// Package envelope defines the kinds of messages that packages of oxbowslip-front send to the same package at other
+// hosts, and the identity of their sender.
 //
-// It owns the numbers of the kinds and nothing else, so that a package that package gossip relies on can send messages too.
-// Package gossip carries them.
+// It owns only the numbers of the kinds, so that packages which package gossip imports can send messages too. Package
+// gossip transports them.
 package envelope
 
-// Kind is what a message is. The numbers stay as they were first given. A host drops kinds that it does not know, so that
-// new ones can be added without harm to older hosts.
+// Kind is the kind of a message. Numbers must not change. A host drops messages of unknown kinds, so new kinds are
+// compatible with older hosts.
 type Kind uint8
 
-// The kinds.
+// KindLeader and the other constants are the numbers on the wire.
 const (
 	KindLeader Kind = 1
 	KindUsage  Kind = 2
 	KindPoison Kind = 3
-	// KindLeaving is the endpoints that say that they leave.
+	// KindLeaving lists endpoints that report that they are leaving.
 	KindLeaving Kind = 4
-	// KindRejections is what endpoints reject.
+	// KindRejections reports the rejections of requests by endpoints.
 	KindRejections Kind = 5
-	// KindLimits is the limits that endpoints name, KindPermitAsk and KindPermitReply a question for a permit to send a
-	// request to one of them, and the reply.
+	// KindLimits lists the limits that endpoints name. KindPermitAsk asks for a permit to send a request to an endpoint
+	// with a limit, KindPermitReply answers.
 	KindLimits      Kind = 6
 	KindPermitAsk   Kind = 7
 	KindPermitReply Kind = 8
-	// KindFailures is what endpoints fail.
+	// KindFailures reports failures of endpoints.
 	KindFailures Kind = 9
-	// KindConfirmation is up to when the sender knows everything, in an era of the store after the first.
+	// KindConfirmation is a confirmation in an era of the store after the first.
 	KindConfirmation Kind = 10
-	// KindFixedReports is reports of usage that must not change, KindAskFixed asks a host for those that it knows.
+	// KindFixedReports carries usage reports that must not change any more, KindAskFixed asks a host for those that it
+	// has.
 	KindFixedReports Kind = 11
 	KindAskFixed     Kind = 12
 )
 
-// Sender is the host that a message came from.
+// Sender identifies the host that sent a message.
 type Sender struct {
 	Host string
-	// Incarnation differs from one start of the host to the next.
+	// Incarnation identifies one start of the host.
 	Incarnation uint32
 }
 
-// Handler handles a message, in CBOR.
+// Handler handles a message, whose body is encoded as CBOR.
 type Handler func(from Sender, body []byte)
--- a/internal/front/gossip/confirm.go
+++ b/internal/front/gossip/confirm.go
@@ -12,17 +12,16 @@
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
 
-// confirmDelay is how long a confirmation waits for another: the calls of a reader for settings and endpoints end at
-// about the same time, and one datagram can carry both.
+// confirmDelay is how long a confirmation is delayed to share a datagram with another: a reader's calls for settings and
+// for endpoints end at about the same time.
 const confirmDelay = 10 * time.Millisecond
 
-// RequestConfirmation asks for a confirmation to all members: the store has just answered this host. It does not
-// block.
+// RequestConfirmation requests a confirmation to all members, after the store has answered this host. It does not block.
 func (g *Gossip) RequestConfirmation() {
 	lifetime.Wake(g.confirmationWanted)
 }
 
-// sendConfirmations sends the confirmations that Confirm asks for until done is closed.
+// sendConfirmations sends the confirmations that RequestConfirmation requests until done is closed.
 func (g *Gossip) sendConfirmations(done <-chan struct{}) {
 	for {
 		select {
@@ -41,7 +40,7 @@
 	}
 }
 
-// sendConfirmation sends all members what this host can confirm.
+// sendConfirmation sends this host's confirmations to all members.
 func (g *Gossip) sendConfirmation() {
 	topics := g.parts.Host.Confirmations()
 	g.mu.Lock()
@@ -57,8 +56,9 @@
 	}
 }
 
-// isOfLaterEra reports whether a confirmation is of an era of the store after the first. Hosts that know no eras take revisions of
-// one from their peers, and then confirm what they have not read: theirs are told apart by the kind of message.
+// isOfLaterEra reports whether a confirmation belongs to an era of the store after the first. Hosts of versions without
+// eras accept revisions of a later era from peers and then confirm state that they have not read. Confirmations of later
+// eras are therefore sent as an envelope, which those versions never send.
 func isOfLaterEra(topics []TopicConfirmation) bool {
 	return slices.ContainsFunc(topics, func(t TopicConfirmation) bool { return era.Of(t.Revision) > 0 })
 }
@@ -70,18 +70,18 @@
 	}
 }
 
-// handleRestoredConfirmation handles a confirmation of a later era.
+// handleRestoredConfirmation handles a confirmation of a later era, after the store was restored from a backup.
 func (g *Gossip) handleRestoredConfirmation(from envelope.Sender, body []byte) {
 	c := Confirmation{Incarnation: from.Incarnation}
 	if err := cbor.Unmarshal(body, &c.Topics); err != nil {
-		g.parts.Log.WithError(err).WithField("peer", from.Host).Warn("a confirmation can't be read")
+		g.parts.Log.WithError(err).WithField("peer", from.Host).Warn("a confirmation can't be decoded, it is dropped")
 		return
 	}
 	g.applyConfirmation(&c)
 }
 
-// applyConfirmation hands a confirmation to the host. One of an unknown sender is left out: its next counts, once it has
-// announced itself.
+// applyConfirmation passes a confirmation to Host. A confirmation of an unknown sender is dropped; later ones are used
+// once the sender has announced itself.
 func (g *Gossip) applyConfirmation(c *Confirmation) {
 	g.mu.Lock()
 	member, known := g.members.ApplyConfirmation(c)
--- a/internal/front/gossip/envelope.go
+++ b/internal/front/gossip/envelope.go
@@ -14,16 +14,17 @@
 	// Incarnation identifies the sender as in Heartbeat, Sequence counts its envelopes.
 	Incarnation uint32
 	Sequence    uint64
-	// Fleet is the sender's fleet. Two that reach each other must not mix what they count.
+	// Fleet is the sender's fleet. Messages of another fleet are dropped, so that fleets that can reach each other do not
+	// mix their counts.
 	Fleet uint64
 	Kind  envelope.Kind
 	Body  cbor.RawMessage
 }
 
-// Handle sets what handles envelopes of a kind. It must be called before Start.
+// Handle sets the handler for envelopes of a kind. It must be called before Start.
 func (g *Gossip) Handle(kind envelope.Kind, handler envelope.Handler) { g.handlers[kind] = handler }
 
-// OnJoin sets what is called with each host that joins. It must be called before Start.
+// OnJoin sets a function that is called with each host that joins. It must be called before Start.
 func (g *Gossip) OnJoin(joined func(envelope.Sender)) { g.onJoin = joined }
 
 // Self returns this host as the sender of its envelopes.
@@ -42,7 +43,7 @@
 	return senders
 }
 
-// Broadcast sends a message to all members. A datagram may be lost; whoever sends makes up for that.
+// Broadcast sends a message to all members. Datagrams may be lost; the caller has to repeat them.
 func (g *Gossip) Broadcast(kind envelope.Kind, message any) {
 	g.mu.Lock()
 	addresses := g.memberAddresses()
@@ -50,7 +51,7 @@
 	g.sendEnvelope(kind, message, addresses)
 }
 
-// SendTo sends a message to a member. Nothing is sent if it is not known.
+// SendTo sends a message to a member. It does nothing if the host is not a member.
 func (g *Gossip) SendTo(host string, kind envelope.Kind, message any) {
 	g.mu.Lock()
 	address := g.members.Address(host)
@@ -63,7 +64,7 @@
 func (g *Gossip) sendEnvelope(kind envelope.Kind, message any, targets []string) {
 	body, err := cbor.Marshal(message)
 	if err != nil {
-		g.parts.Log.WithError(err).WithField("kind", kind).Error("a message can't be encoded")
+		g.parts.Log.WithError(err).WithField("kind", kind).Error("encoding a message failed, it is not sent")
 		return
 	}
 	g.mu.Lock()
@@ -73,7 +74,8 @@
 	g.sendDatagram(counters.PeerMessages, &e, targets)
 }
 
-// handleEnvelope handles an envelope. One of an unknown sender is left out: its next counts, once it has announced itself.
+// handleEnvelope passes an envelope to its handler. An envelope of an unknown sender is dropped; later ones are used
+// once the sender has announced itself.
 func (g *Gossip) handleEnvelope(e *Envelope) {
 	handler, known := g.handlers[e.Kind]
 	if !known || e.Fleet != g.parts.Config.Fleet {
--- a/internal/front/gossip/fetch.go
+++ b/internal/front/gossip/fetch.go
@@ -14,7 +14,7 @@
 	"oxbowslip.dev/oxbowslip/internal/front/freshness"
 )
 
-// syncWith fetches what a member has newer, unless it comes by itself first.
+// syncWith starts a fetch of each topic of which a member has a newer revision.
 func (g *Gossip) syncWith(member Member) {
 	own := g.parts.Host.Revisions()
 	for t := range freshness.Topics {
@@ -24,8 +24,8 @@
 	}
 }
 
-// syncTopic fetches a topic from a member that reported a newer revision, or from others that have one, until no member is known to
-// be ahead: what members report meanwhile starts no fetch. It ends as well once a round brings nothing new.
+// syncTopic fetches a topic from a member that reported a newer revision, or from others that have one. It repeats until
+// no member is ahead, because reports that arrive during a fetch start no other, or until a round fetches nothing new.
 func (g *Gossip) syncTopic(t freshness.Topic, first Member, before SyncRequest) {
 	defer g.endFetch(t)
 	for {
@@ -39,11 +39,11 @@
 	}
 }
 
-// syncRound fetches a topic once, after a grace for the change to come by itself. A host that knows nothing at all does not
-// wait.
+// syncRound fetches a topic once, after a grace period in which the change may arrive from the store or in a heartbeat. A
+// host without settings or endpoints does not wait.
 func (g *Gossip) syncRound(t freshness.Topic, first Member, before SyncRequest) {
 	if before.Settings > 0 && before.Directory > 0 {
-		// All hosts learn of a change at the same moment, from few that have it.
+		// All hosts learn of a change at the same time, and few hosts have it yet.
 		time.Sleep(syncGrace + time.Duration(g.parts.Random()*float64(g.Hosts())*float64(fetchSpreadPerHost)))
 	}
 	g.fetchTopic(&fetchRound{
@@ -63,13 +63,13 @@
 	})
 }
 
-// memberAhead returns a member at random of those that have a newer revision of a topic and have not been asked.
+// memberAhead returns a random member that has a newer revision of a topic and has not been asked.
 func (g *Gossip) memberAhead(t freshness.Topic, asked names) (Member, bool) {
 	return g.pick(func(m *Member) bool { return !asked[m.Name] && g.isBehind(t, m) })
 }
 
-// pollWhenStale polls members for what nobody has confirmed for too long, until done is closed: the store
-// may not answer this host, and the heartbeats of those who know more may be lost.
+// pollWhenStale polls members for topics that have not been confirmed for too long, until done is closed: the store may
+// not answer this host, and heartbeats of hosts with newer revisions may be lost.
 func (g *Gossip) pollWhenStale(done <-chan struct{}) {
 	ticker := time.NewTicker(pollCheckInterval)
 	defer ticker.Stop()
@@ -91,7 +91,7 @@
 	}
 }
 
-// poll fetches a topic from some members whatever they have reported.
+// poll fetches a topic from members at random, whatever revisions they have reported.
 func (g *Gossip) poll(t freshness.Topic) {
 	defer g.endFetch(t)
 	g.fetchTopic(&fetchRound{
@@ -101,7 +101,7 @@
 	})
 }
 
-// beginFetch reports whether fetches of a topic may begin; only one round runs at a time.
+// beginFetch reports whether a fetch of a topic may begin, and marks it as running; a topic has one fetch at a time.
 func (g *Gossip) beginFetch(t freshness.Topic) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -123,7 +123,7 @@
 	return isBehind(t, g.parts.Host.Revisions(), member)
 }
 
-// pick returns a member at random of those that are wanted.
+// pick returns a random member that satisfies a condition.
 func (g *Gossip) pick(wanted func(*Member) bool) (Member, bool) {
 	g.mu.Lock()
 	members := g.members.Live()
@@ -135,21 +135,21 @@
 	return members[int(g.parts.Random()*float64(len(members)))], true
 }
 
-// names are the names of some members.
+// names is a set of names of members.
 type names map[string]bool
 
-// fetchRound is a topic that is to be fetched, with the rule of whom to ask.
+// fetchRound describes a fetch of a topic: which members to ask, and when it is complete.
 type fetchRound struct {
 	topic freshness.Topic
-	// next picks the next member to ask, or none for now.
+	// next picks the next member to ask, and reports false if there is none at present.
 	next func(asked names) (Member, bool)
-	// isDone reports whether no more members need to be asked, once one has answered or none has yet.
+	// isDone reports whether no more members need to be asked. Answered is set if a member has answered.
 	isDone func(answered bool) bool
 }
 
-// fetchTopic asks members for a topic. If none has answered after fetchHedge, twice as many are asked beside those, so
-// that silent members do not use up the time: with half of them silent, an answer takes more than two hedges once in
-// eight times, and more than three once in 128.
+// fetchTopic asks members for a topic. As long as none has answered, it asks twice as many more after each fetchHedge, so
+// that unresponsive members do not use up the time: with half of the members unresponsive, an answer takes more than two
+// hedges in 1 of 8 cases, and more than three in 1 of 128.
 func (g *Gossip) fetchTopic(r *fetchRound) {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
@@ -183,7 +183,7 @@
 	}
 }
 
-// fetchFrom fetches a topic from a member and puts it in force. It reports whether the member answered.
+// fetchFrom fetches a topic from a member and applies it. It reports whether the member answered.
 func (g *Gossip) fetchFrom(ctx context.Context, t freshness.Topic, peer Member) bool {
 	own := g.parts.Host.Revisions()
 	if t == freshness.Endpoints && own.Directory > 0 && g.fetchChanges(ctx, peer, own.Directory) {
@@ -199,24 +199,24 @@
 		return true
 	}
 	if g.isBehind(t, &peer) {
-		g.parts.Log.WithError(err).WithField("peer", peer.Name).Warn("newer revisions can't be fetched from a peer")
+		g.parts.Log.WithError(err).WithField("peer", peer.Name).Warn("fetching newer revisions from a peer failed")
 	}
 	return false
 }
 
-// fetchChanges fetches what has changed in the directory after a revision from a member, and puts it in force. It reports
-// false if the whole is to be fetched instead: the member is of an older version, or does not know all changes since then.
+// fetchChanges fetches the changes of the directory after a revision from a member and applies them. It reports false if
+// a snapshot has to be fetched instead: the member has an older version, or no longer has all changes since then.
 func (g *Gossip) fetchChanges(ctx context.Context, peer Member, revision uint64) bool {
 	var response ChangesResponse
 	err := g.call(ctx, peer.Address, rpcChanges, &ChangesRequest{Directory: revision}, &response)
 	if err != nil {
-		g.parts.Log.WithError(err).WithField("peer", peer.Name).Debug("changes can't be fetched from a peer")
+		g.parts.Log.WithError(err).WithField("peer", peer.Name).Debug("fetching changes of the directory from a peer failed, a snapshot is fetched instead")
 		return false
 	}
 	return response.IsKnown && g.parts.Host.ApplyChanges(peer.Name, response)
 }
 
-// call calls the peer at an address. It blocks until ctx ends at the latest.
+// call makes a call to the peer at an address. It returns when ctx ends at the latest.
 func (g *Gossip) call(ctx context.Context, address, rpc string, request, response drpc.Message) error {
 	raw, err := g.parts.Network.Dial(ctx, address)
 	if err != nil {
--- a/internal/front/gossip/gossip.go
+++ b/internal/front/gossip/gossip.go
@@ -1,12 +1,11 @@
-// Package gossip lets the hosts of oxbowslip-front share what each knows: which
-// hosts are there, the work that each has in flight at the endpoints, endpoints that failed,
-// and the newest revisions of the settings and of the directory.
+// Package gossip exchanges state between the hosts of oxbowslip-front: the live hosts, the work that each host has
+// in flight at endpoints, ejected endpoints, and the newest revisions of the settings and of the directory.
 //
-// It owns the list of members, the UDP socket for heartbeats and the TCP listener for syncs.
-// Heartbeats are small datagrams; a host that lacks a newer revision asks the peer that
-// reported it (sync.go). What a heartbeat carries and what is done with it is up to Host.
-// Nothing is agreed on: every host decides alone from what it last received. oxbowslipd
-// instead sends requests to the host that schedules a shard (package daemon/peer).
+// It owns the member list, the UDP socket for heartbeats and the TCP listener for syncs. Heartbeats are small
+// datagrams; a host that lacks a newer revision fetches it from a peer that reported it (fetch.go, sync.go). The
+// contents of a heartbeat and their handling are up to Host. There is no consensus: every host decides alone from the
+// state that it last received. oxbowslipd instead forwards requests to the host that schedules a shard (package
+// daemon/peer).
 package gossip
 
 import (
@@ -27,7 +26,7 @@
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
 
-// State is what this host's next heartbeat carries.
+// State is the content of this host's next heartbeat.
 type State struct {
 	Settings   uint64
 	Directory  uint64
@@ -42,94 +41,93 @@
 // Host is the host that gossip exchanges messages for. Its methods may be called concurrently
 // and must not block.
 type Host interface {
-	// State returns what the next heartbeat carries. Direct is set if that includes loads and holders, as in
-	// a fleet without aggregators.
+	// State returns the content of the next heartbeat. It includes loads and holders if direct is set, as in a fleet
+	// without aggregators.
 	State(direct bool) State
 	// Work returns this host's work for its aggregators.
 	Work() Work
-	// HandleContribution handles the work of a host of this host's zone, or its own.
+	// HandleContribution handles the work of a host of this zone, which may be this host.
 	HandleContribution(host string, contribution *Contribution)
-	// Sums returns the parts of the sum over this host's zone, and those of the sum over all hosts.
+	// Sums returns the parts of the sum over this zone and the parts of the sum over all hosts.
 	Sums() ([]ZoneSum, []FleetSum)
-	// HandleZoneSum handles a sum over a zone that a peer sent.
+	// HandleZoneSum handles a peer's sum over its zone.
 	HandleZoneSum(peer, zone string, sum *ZoneSum)
-	// HandleFleetSum handles a sum over all hosts that a peer or this host made. Counted is the work of this host
-	// that the sum counts, or nil.
+	// HandleFleetSum handles a sum over all hosts, made by a peer or by this host. Counted is the work of this host
+	// that the sum includes, or nil.
 	HandleFleetSum(sum *FleetSum, counted *Work)
-	// Revisions returns the revisions up to which this host knows all changes.
+	// Revisions returns the revisions up to which this host has all changes.
 	Revisions() SyncRequest
-	// HandleHeartbeat handles a peer's heartbeat that has no announcement.
+	// HandleHeartbeat handles a peer's heartbeat without an announcement.
 	HandleHeartbeat(peer string, heartbeat *Heartbeat)
-	// EngineReports returns what the next report carries.
+	// EngineReports returns the content of the next report.
 	EngineReports() []EngineReport
 	// HandleReport handles a peer's report.
 	HandleReport(peer string, engines []EngineReport)
-	// Confirmations returns what this host can confirm to others.
+	// Confirmations returns the confirmations that this host can send, by topic.
 	Confirmations() []TopicConfirmation
 	// HandleConfirmations handles a peer's confirmations.
 	HandleConfirmations(topics []TopicConfirmation)
-	// MustAsk reports whether a host with a number of hosts before it has to ask others about a topic,
-	// because nobody has confirmed for too long what this host knows.
+	// MustAsk reports whether this host has to poll peers for a topic because its state has not been confirmed for too
+	// long. Before is the number of live hosts with a lower rank.
 	MustAsk(topic freshness.Topic, before int) bool
-	// HandlePeerLoss is called when a peer left or fell silent.
+	// HandlePeerLoss is called when a peer has left or timed out.
 	HandlePeerLoss(peer string)
-	// Respond returns what is newer than a peer's revisions.
+	// Respond returns the settings and the directory if they are newer than a peer's revisions.
 	Respond(request SyncRequest) SyncResponse
-	// Changes returns what has changed in the directory after a peer's revision, ApplyChanges puts a peer's in force. It
-	// reports false if this host lacks what they change.
+	// Changes returns the changes of the directory after a peer's revision. ApplyChanges applies a peer's changes; it
+	// reports false if this host lacks the entries that they change.
 	Changes(request ChangesRequest) ChangesResponse
 	ApplyChanges(peer string, response ChangesResponse) bool
-	// Apply puts the response of a peer in force, as it was known before.
+	// Apply applies a peer's response. Peer is the member's state from before the call.
 	Apply(peer Member, response SyncResponse)
 }
 
-// Config is who this host is among its peers.
+// Config identifies this host to its peers.
 type Config struct {
 	Name string
 	Zone string
-	// Address is where peers reach this host, by TCP and UDP. Port 0 picks a free one.
+	// Address is the TCP and UDP address at which peers reach this host. Port 0 picks a free port.
 	Address string
-	// FirstPeers are addresses of hosts to contact first; they may be stale.
+	// FirstPeers are the addresses of the hosts to contact first; they may be stale.
 	FirstPeers []string
-	// Fleet is the same at all hosts of a fleet, and another one at those of other fleets.
+	// Fleet identifies the fleet; it is equal at all hosts of a fleet.
 	Fleet uint64
 }
 
-// Parts are what a Gossip works with.
+// Parts are the dependencies of a Gossip.
 type Parts struct {
 	Config  Config
 	Host    Host
 	Network Network
 	Log     *logrus.Entry
 	Clock   func() time.Time
-	// Random returns numbers from 0 up to 1.
+	// Random returns a random number in [0, 1).
 	Random func() float64
-	// CountSent counts the bytes that go to peers.
+	// CountSent counts the bytes that are sent to peers.
 	CountSent func(kind counters.PeerTraffic, bytes int)
 }
 
-// Gossip is this host's part in the exchange. Its methods are safe for concurrent use.
+// Gossip exchanges state with peers. Its methods are safe for concurrent use.
 type Gossip struct {
 	parts Parts
-	// address is where peers reach this host: that of the configuration, with the port that was
-	// picked.
+	// address is the address at which peers reach this host: that of the configuration, with the port picked by Start.
 	address string
-	// started is when this host started, start the same in ns since 1970, which peers are told.
+	// started is when this host started, startNanos the same in Unix nanoseconds, as sent in announcements.
 	started     time.Time
 	startNanos  int64
 	incarnation uint32
 
-	// joinedAt is when the last peer joined, or this host started.
+	// joinedAt is when the last peer joined, or when this host started if no peer has joined.
 	joinedAt time.Time
 
 	registration registration
 
-	// handlers and joined are not changed once this host listens.
+	// handlers and onJoin do not change after Start.
 	handlers map[envelope.Kind]envelope.Handler
 	onJoin   func(envelope.Sender)
 	packets  net.PacketConn
 	listener net.Listener
-	// heartbeatWanted, urgent and confirm wake Run; see Changed, RequestUrgentHeartbeat and Confirm.
+	// These wake Run; see RequestHeartbeat, RequestUrgentHeartbeat and RequestConfirmation.
 	heartbeatWanted    chan struct{}
 	urgentWanted       chan struct{}
 	confirmationWanted chan struct{}
@@ -138,22 +136,22 @@
 	mu       sync.Mutex
 	members  *Members
 	sequence uint64
-	// envelopes counts those that were sent.
+	// envelopes counts the envelopes sent.
 	envelopes uint64
-	// lastState is what the last heartbeat carried, without its lists.
+	// lastState is the state in the last heartbeat, without its lists.
 	lastState State
-	// nextQueryAt is when some member is asked next for hosts that this one does not know.
+	// nextQueryAt is when a member is asked next for hosts that this host does not know.
 	nextQueryAt time.Time
-	// nextReportAt is when the next report is due, reports counts them.
+	// nextReportAt is when the next report is due; reports counts the reports sent.
 	nextReportAt time.Time
 	reports      uint64
 	leaving      bool
-	// fetching is which topics are being fetched.
+	// fetching is set for the topics that are being fetched.
 	fetching [freshness.Topics]bool
 	sharing  workSharing
 }
 
-// New returns a host's part that does not listen yet.
+// New returns a Gossip that does not listen yet.
 func New(parts Parts) *Gossip {
 	now := parts.Clock()
 	g := &Gossip{
@@ -168,7 +166,7 @@
 	return g
 }
 
-// AddContacts adds addresses where peers may be.
+// AddContacts adds addresses at which peers may listen.
 func (g *Gossip) AddContacts(addresses []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -184,8 +182,8 @@
 	return g.members.Count() + 1
 }
 
-// Settled reports whether this host knows its peers: it has run for a while, and either no more have joined
-// lately or that has taken too long.
+// Settled reports whether this host can rely on its member list: no peer has joined for joinQuietTime, or the host
+// has run for maxSettleTime.
 func (g *Gossip) Settled() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -193,9 +191,9 @@
 	return now.Sub(g.joinedAt) >= joinQuietTime || now.Sub(g.started) >= maxSettleTime
 }
 
-// IsReader reports whether this host is to read the store for all: its place among its peers says so, and it knows
-// that place. One that would only take over from others waits until it has run for long enough to know whether they
-// read.
+// MustReadStore reports whether this host has to read the store for its peers: it is settled, and its place in the order
+// makes it a reader. A host that would take over from other readers first waits for maxSettleTime, by when it has
+// received their heartbeats.
 func (g *Gossip) MustReadStore() bool {
 	if !g.Settled() {
 		return false
@@ -204,20 +202,20 @@
 	return order.IsReader() && (order.Before < freshness.Readers || g.parts.Clock().Sub(g.started) >= maxSettleTime)
 }
 
-// Order returns this host's place where not all hosts are to do the same.
+// Order returns this host's place in the order of the live hosts.
 func (g *Gossip) Order() Order {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.members.Order()
 }
 
-// RequestHeartbeat asks for a heartbeat as soon as the pace allows. It does not block.
+// RequestHeartbeat requests a heartbeat as soon as the pace allows. It does not block.
 func (g *Gossip) RequestHeartbeat() {
 	lifetime.Wake(g.heartbeatWanted)
 }
 
-// RequestUrgentHeartbeat asks for a heartbeat at once: this host has read a newer revision from the
-// store. It does not block.
+// RequestUrgentHeartbeat requests a heartbeat without waiting for the pace, as this host has read a newer revision
+// from the store. It does not block.
 func (g *Gossip) RequestUrgentHeartbeat() {
 	lifetime.Wake(g.urgentWanted)
 }
@@ -237,16 +235,16 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	g.listener, g.packets, g.cancel = listener, packets, cancel
-	// Serve ends when ctx is cancelled, and its error says only that.
+	// Serve returns when ctx is cancelled, with no other error than that.
 	go func() { _ = drpcserver.New(newSyncHandler(g.parts.Host, g.parts.CountSent)).Serve(ctx, listener) }()
 	go g.receive()
 	return nil
 }
 
-// Address returns where peers reach this host.
+// Address returns the address at which peers reach this host.
 func (g *Gossip) Address() string { return g.address }
 
-// Run sends heartbeats and confirmations, and polls members where it must, until done is closed.
+// Run sends heartbeats, confirmations and shared work, and polls members for stale topics, until done is closed.
 func (g *Gossip) Run(done <-chan struct{}) {
 	var others sync.WaitGroup
 	defer others.Wait()
@@ -262,7 +260,7 @@
 	}
 }
 
-// waitForNext waits until the next heartbeat is due, and reports false if done was closed.
+// waitForNext waits until the next heartbeat is due. It reports false if done was closed.
 func (g *Gossip) waitForNext(done <-chan struct{}) bool {
 	next := time.NewTimer(pace(g.Hosts()))
 	defer next.Stop()
@@ -285,7 +283,7 @@
 	return true
 }
 
-// expireMembers drops silent members.
+// expireMembers drops the members that have timed out.
 func (g *Gossip) expireMembers() {
 	g.mu.Lock()
 	limit := memberTimeout(g.members.Count())
@@ -298,7 +296,7 @@
 	}
 }
 
-// Leave informs all members that this host leaves. No heartbeat follows.
+// Leave notifies all members that this host leaves. No heartbeats are sent afterwards.
 func (g *Gossip) Leave() {
 	g.mu.Lock()
 	g.leaving = true
@@ -308,7 +306,7 @@
 	g.sendHeartbeat(heartbeat, members)
 }
 
-// Close ends the exchange.
+// Close closes the listener and the socket.
 func (g *Gossip) Close() {
 	if g.cancel == nil {
 		return
--- a/internal/front/gossip/gossip_test.go
+++ b/internal/front/gossip/gossip_test.go
@@ -503,9 +503,9 @@
 			}
 			host.state = State{Settings: 3, Loads: []EndpointLoad{{Endpoint: 1}}}
 			sent := g.newHeartbeat(g.parts.Host.State(!g.UsesAggregators()))
-			qt.Check(t, len(sent.Loads) > 0, qt.Equals, hosts < maxDirectMembers)
+			qt.Check(t, len(sent.Loads) > 0, qt.Equals, hosts < minMembersToAggregate)
 			qt.Check(t, sent.Settings, qt.Equals, uint64(3))
-			qt.Check(t, g.nextReport() != nil, qt.Equals, hosts < maxDirectMembers)
+			qt.Check(t, g.nextReport() != nil, qt.Equals, hosts < minMembersToAggregate)
 		})
 	}
 }
--- a/internal/front/gossip/heartbeat.go
+++ b/internal/front/gossip/heartbeat.go
@@ -13,8 +13,7 @@
 	"oxbowslip.dev/oxbowslip/internal/front/envelope"
 )
 
-// broadcastHeartbeat sends this host's state to all members, and announces this host to addresses
-// whose host is not known.
+// broadcastHeartbeat sends this host's state to all members, and announces this host to addresses of unknown hosts.
 func (g *Gossip) broadcastHeartbeat() {
 	state := g.parts.Host.State(!g.UsesAggregators())
 	g.mu.Lock()
@@ -36,8 +35,8 @@
 	g.sendHeartbeat(announcement, targets)
 }
 
-// memberToQuery returns the address of a member to ask for hosts that this one does not know,
-// if that is due. The lock is held.
+// memberToQuery returns the address of a member to ask for hosts that this host does not know, if a query is due. The
+// lock is held.
 func (g *Gossip) memberToQuery() []string {
 	now := g.parts.Clock()
 	if now.Before(g.nextQueryAt) {
@@ -58,8 +57,7 @@
 	}
 }
 
-// nextReport returns the next report, without what the host observed, or nil if none is due. The lock is
-// held.
+// nextReport returns the next report without its engines, or nil if none is due. The lock is held.
 func (g *Gossip) nextReport() *Report {
 	now := g.parts.Clock()
 	if now.Before(g.nextReportAt) || g.usesAggregatorsLocked() {
@@ -70,8 +68,8 @@
 	return &Report{Incarnation: g.incarnation, Sequence: g.reports}
 }
 
-// newAnnouncement returns a heartbeat that says who this host is, with the addresses of at
-// most a number of other hosts. The lock is held.
+// newAnnouncement returns a heartbeat with this host's announcement, which carries at most a number of addresses of
+// other hosts. The lock is held.
 func (g *Gossip) newAnnouncement(wantReply bool, addresses int) *Heartbeat {
 	g.sequence++
 	return &Heartbeat{
@@ -83,8 +81,7 @@
 	}
 }
 
-// randomAddresses returns the addresses of at most a number of members, picked at random. The
-// lock is held.
+// randomAddresses returns the addresses of at most a number of members, picked at random. The lock is held.
 func (g *Gossip) randomAddresses(most int) []string {
 	if most == 0 {
 		return nil
@@ -95,7 +92,7 @@
 	return rotated[:min(most, len(rotated))]
 }
 
-// memberAddresses returns where the members are. The lock is held.
+// memberAddresses returns the addresses of all members. The lock is held.
 func (g *Gossip) memberAddresses() []string {
 	addresses := make([]string, 0, g.members.Count())
 	for _, member := range g.members.Live() {
@@ -104,7 +101,7 @@
 	return addresses
 }
 
-// replyToAnnouncement announces this host to one that asked for it.
+// replyToAnnouncement announces this host to a host that asked for a reply.
 func (g *Gossip) replyToAnnouncement(asker *Announcement) {
 	g.mu.Lock()
 	announcement := g.newAnnouncement(false, addressCountFor(asker.Hosts, g.members.Count()+1))
@@ -127,22 +124,22 @@
 	}
 	data, err := cbor.Marshal(message)
 	if err != nil {
-		g.parts.Log.WithError(err).Error("a datagram can't be encoded")
+		g.parts.Log.WithError(err).Error("encoding a datagram failed, it is not sent")
 		return
 	}
 	g.parts.CountSent(kind, len(data)*len(targets))
 	for _, target := range targets {
 		address, err := net.ResolveUDPAddr("udp", target)
 		if err != nil {
-			g.parts.Log.WithError(err).WithField("address", target).Debug("a peer's address can't be used")
+			g.parts.Log.WithError(err).WithField("address", target).Debug("resolving a peer's address failed, the datagram is not sent there")
 			continue
 		}
-		// The next heartbeat makes up for one that is lost.
+		// Datagrams may be lost in any case; the next one carries the state again.
 		_, _ = g.packets.WriteTo(data, address)
 	}
 }
 
-// receive handles heartbeats until the socket is closed.
+// receive handles datagrams until the socket is closed.
 func (g *Gossip) receive() {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -151,15 +148,15 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			// A single datagram could not be read, such as one that was refused.
+			// The error concerns one datagram, such as an ICMP refusal of one that was sent.
 			continue
 		}
 		g.HandleDatagram(buffer[:n], from.String())
 	}
 }
 
-// HandleDatagram handles a datagram from an address, which may be any bytes. The messages are told apart by their number of
-// fields.
+// HandleDatagram decodes and handles a datagram from an address. The data are untrusted. Messages are distinguished by
+// the number and types of their fields.
 func (g *Gossip) HandleDatagram(data []byte, from string) {
 	var h Heartbeat
 	err := cbor.Unmarshal(data, &h)
@@ -171,10 +168,10 @@
 		decodeAs(data, g.handleContribution) || decodeAs(data, g.handleFleetSum) || decodeAs(data, g.handleZoneSum) || decodeAs(data, g.handleEnvelope) {
 		return
 	}
-	g.parts.Log.WithError(err).WithField("address", from).Debug("a datagram is none of the messages")
+	g.parts.Log.WithError(err).WithField("address", from).Debug("a datagram can't be decoded as any known message, it is dropped")
 }
 
-// decodeAs handles a datagram if it is a certain message, and reports whether it is.
+// decodeAs handles a datagram if it decodes as a message of type T, and reports whether it does.
 func decodeAs[T any](data []byte, handle func(*T)) bool {
 	message := new(T)
 	if cbor.Unmarshal(data, message) != nil {
@@ -184,7 +181,6 @@
 	return true
 }
 
-// handleReport handles a report.
 func (g *Gossip) handleReport(r *Report) {
 	g.mu.Lock()
 	member, counts := g.members.ApplyReport(r)
@@ -194,7 +190,7 @@
 	}
 }
 
-// handleHeartbeat handles a heartbeat that came from an address.
+// handleHeartbeat handles a heartbeat that was received from an address.
 func (g *Gossip) handleHeartbeat(h *Heartbeat, from string) {
 	g.mu.Lock()
 	member, isNew, counts := g.members.ApplyHeartbeat(g.parts.Clock(), h)
--- a/internal/front/gossip/members.go
+++ b/internal/front/gossip/members.go
@@ -10,7 +10,7 @@
 	"oxbowslip.dev/oxbowslip/internal/front/freshness"
 )
 
-// Member is another host that is alive.
+// Member is a live peer.
 type Member struct {
 	Name    string
 	Address string
@@ -18,54 +18,53 @@
 	// Settings and Directory are the newest revisions that the member has.
 	Settings  uint64
 	Directory uint64
-	// readsStore is set if the member reads the store and gets answers from it.
+	// readsStore is set if the member reads the store and receives answers from it.
 	readsStore  bool
 	incarnation uint32
 	startNanos  int64
 	sequence    uint64
 	lastReport  uint64
-	// lastFleetSum is the newest sum over all hosts that the member has sent.
+	// lastFleetSum is the sequence number of the newest sum over all hosts that the member has sent.
 	lastFleetSum uint64
 	lastSeen     time.Time
-	// wantsSumsUntil is until when the member uses this host's sums, sendsZoneSumsUntil until when it counts as one that
-	// sends those of its zone.
+	// wantsSumsUntil is when the member's request for this host's sums expires, sendsZoneSumsUntil when the member stops
+	// counting as a sender of sums over its zone.
 	wantsSumsUntil     time.Time
 	sendsZoneSumsUntil time.Time
 }
 
-// Members is what one host knows of the others. It does no input or output and takes the
-// time as a parameter; it is not safe for concurrent use.
+// Members is a host's view of its peers. It does no I/O and takes the time as a parameter. It is not safe for concurrent
+// use.
 type Members struct {
 	self string
 	zone string
-	// address is this host's own, which its peers name too.
+	// address is this host's own address, which announcements of peers contain as well.
 	address string
 	live    map[string]*Member
 	// nameByIncarnation maps incarnations to members.
 	nameByIncarnation map[uint32]string
-	// contacts are addresses where a host may be.
+	// contacts are the addresses at which hosts may listen.
 	contacts map[string]*contact
 }
 
-// NewMembers returns the view of a host of a zone that knows no other.
+// NewMembers returns the view of a host without peers.
 func NewMembers(self, zone string) *Members {
 	return &Members{
 		self: self, zone: zone, live: make(map[string]*Member), nameByIncarnation: make(map[uint32]string), contacts: make(map[string]*contact),
 	}
 }
 
-// contact is an address where a host may be.
+// contact is the state of an address at which a host may listen.
 type contact struct {
-	// lastNamedAt is when a host last named the address, lastTriedAt when it was last sent an
-	// announcement.
+	// lastNamedAt is when a host last named the address, lastTriedAt when an announcement was last sent to it.
 	lastNamedAt time.Time
 	lastTriedAt time.Time
-	// hasUnknownSender is set if a heartbeat came from there whose incarnation is not known: its
-	// announcement was lost.
+	// hasUnknownSender is set if a heartbeat of an unknown incarnation came from the address: the sender's announcement
+	// was lost.
 	hasUnknownSender bool
 }
 
-// AddContact adds an address where a host may be.
+// AddContact adds an address at which a host may listen, or renews it.
 func (m *Members) AddContact(now time.Time, address string) {
 	known, ok := m.contacts[address]
 	if !ok {
@@ -75,9 +74,8 @@
 	known.lastNamedAt = now
 }
 
-// ApplyHeartbeat handles a heartbeat. It returns the member that sent it. Counts is false if the
-// heartbeat is this host's own, older than the last one of its sender, or of an unknown
-// sender; isNew is set if the member was not live before.
+// ApplyHeartbeat applies a heartbeat and returns its sender. Counts is false if the heartbeat is this host's own, is not
+// newer than the sender's last one, or has an unknown sender. IsNew is set if the sender was not a member before.
 func (m *Members) ApplyHeartbeat(now time.Time, h *Heartbeat) (member Member, isNew, counts bool) {
 	if h.Announcement != nil {
 		isNew = m.applyAnnouncement(now, h)
@@ -95,13 +93,13 @@
 	return *known, isNew, true
 }
 
-// byIncarnation returns the member whose present incarnation it is.
+// byIncarnation returns the member with a current incarnation.
 func (m *Members) byIncarnation(incarnation uint32) (*Member, bool) {
 	known, ok := m.live[m.nameByIncarnation[incarnation]]
 	return known, ok && known.incarnation == incarnation
 }
 
-// applyAnnouncement handles an announcement, and reports whether its host is new.
+// applyAnnouncement applies an announcement. It reports whether it adds a member or a new incarnation of one.
 func (m *Members) applyAnnouncement(now time.Time, h *Heartbeat) bool {
 	a := h.Announcement
 	if a.Host == m.self {
@@ -124,7 +122,7 @@
 	return true
 }
 
-// ApplyReport handles a report. It returns the member that sent it, and whether it is newer than the last one.
+// ApplyReport records a report. It returns its sender, and whether the report is newer than the sender's last one.
 func (m *Members) ApplyReport(r *Report) (name string, counts bool) {
 	known, ok := m.byIncarnation(r.Incarnation)
 	if !ok || r.Sequence <= known.lastReport {
@@ -134,8 +132,8 @@
 	return known.Name, true
 }
 
-// ApplyContribution handles the work of a host. It returns the member that sent it, and whether that is of this
-// host's zone.
+// ApplyContribution records a contribution. It returns its sender, and whether the sender is a member of this host's
+// zone.
 func (m *Members) ApplyContribution(now time.Time, c *Contribution) (name string, counts bool) {
 	known, ok := m.byIncarnation(c.Incarnation)
 	if !ok || known.Zone != m.zone {
@@ -147,7 +145,7 @@
 	return known.Name, true
 }
 
-// ApplyZoneSum handles the sum of a zone. It returns the member that sent it, and whether it is known.
+// ApplyZoneSum records a sum over a zone. It returns its sender, and whether the sender is a member.
 func (m *Members) ApplyZoneSum(now time.Time, s *ZoneSum) (member Member, known bool) {
 	sender, ok := m.byIncarnation(s.Incarnation)
 	if !ok {
@@ -157,8 +155,8 @@
 	return *sender, true
 }
 
-// ApplyFleetSum handles a sum over all hosts. It returns the member that sent it, and whether it is not older than the
-// last one; the parts of one sum have the same number.
+// ApplyFleetSum records a sum over all hosts. It returns its sender, and whether the sum is at least as new as the
+// sender's last one; the parts of a sum share a sequence number.
 func (m *Members) ApplyFleetSum(s *FleetSum) (name string, counts bool) {
 	known, ok := m.byIncarnation(s.Incarnation)
 	if !ok || s.Sequence < known.lastFleetSum {
@@ -168,7 +166,7 @@
 	return known.Name, true
 }
 
-// Zones returns the zones of the members, in no order.
+// Zones returns the zones of the members in no particular order.
 func (m *Members) Zones() []string {
 	zones := make(map[string]bool)
 	for _, member := range m.live {
@@ -177,7 +175,7 @@
 	return slices.Collect(maps.Keys(zones))
 }
 
-// Ranked returns the names of the live hosts of a zone by rank, this host among them if it is in that zone.
+// Ranked returns the names of the live hosts of a zone in the order of Rank, including this host if it is in the zone.
 func (m *Members) Ranked(zone string) []string {
 	var names []string
 	if zone == m.zone {
@@ -192,7 +190,7 @@
 	return names
 }
 
-// Address returns the address of a member, or nothing if it is not live.
+// Address returns the address of a member, or "" if it is not live.
 func (m *Members) Address(name string) string {
 	if member, ok := m.live[name]; ok {
 		return member.Address
@@ -200,8 +198,7 @@
 	return ""
 }
 
-// ApplyConfirmation notes what a confirmation says of its sender. It returns the member that sent it, and whether it
-// is known.
+// ApplyConfirmation records the revisions in a confirmation. It returns its sender, and whether the sender is a member.
 func (m *Members) ApplyConfirmation(c *Confirmation) (member Member, known bool) {
 	sender, ok := m.byIncarnation(c.Incarnation)
 	if !ok {
@@ -218,13 +215,13 @@
 	return *sender, true
 }
 
-// HasIncarnation reports whether an incarnation is that of a member.
+// HasIncarnation reports whether an incarnation belongs to a member.
 func (m *Members) HasIncarnation(incarnation uint32) bool {
 	_, ok := m.nameByIncarnation[incarnation]
 	return ok
 }
 
-// drop forgets a member.
+// drop removes a member.
 func (m *Members) drop(name string) {
 	if member, ok := m.live[name]; ok {
 		delete(m.nameByIncarnation, member.incarnation)
@@ -232,8 +229,8 @@
 	}
 }
 
-// Expire drops the members that have been silent for longer than a limit, and returns their
-// names. Addresses that no host has named for long are forgotten.
+// Expire removes the members without a heartbeat for longer than a limit, and returns their names. It also removes the
+// addresses that no host has named for contactTimeout.
 func (m *Members) Expire(now time.Time, limit time.Duration) []string {
 	for address, known := range m.contacts {
 		if now.Sub(known.lastNamedAt) > contactTimeout {
@@ -260,10 +257,10 @@
 	return members
 }
 
-// Count returns the number of members, without this host.
+// Count returns the number of members; this host is not counted.
 func (m *Members) Count() int { return len(m.live) }
 
-// AddUnknownSender notes that a heartbeat of an unknown incarnation came from an address.
+// AddUnknownSender records that a heartbeat of an unknown incarnation came from an address.
 func (m *Members) AddUnknownSender(now time.Time, address string) {
 	if _, ok := m.contacts[address]; !ok {
 		m.AddContact(now, address)
@@ -271,10 +268,11 @@
 	m.contacts[address].hasUnknownSender = true
 }
 
-// AnnouncementTargets returns the addresses that are due for an announcement, and counts them as
-// tried: those that are no member's, and those of unknown senders.
+// AnnouncementTargets returns the addresses that are due for an announcement: those of unknown senders, and those that
+// belong to no member. They count as tried.
 func (m *Members) AnnouncementTargets(now time.Time) []string {
-	// A fleet of 300 hosts that announce themselves to themselves sends 100 datagrams a second for nothing.
+	// This host's own address is left out: 300 hosts that announce themselves to themselves send 100 useless datagrams
+	// a second.
 	ofMembers := map[string]bool{m.address: true}
 	for _, member := range m.live {
 		ofMembers[member.Address] = true
--- a/internal/front/gossip/registry.go
+++ b/internal/front/gossip/registry.go
@@ -10,8 +10,8 @@
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
 
-// Registry is where hosts leave their addresses for those that start later. Each error is
-// counted by the implementation.
+// Registry stores the addresses of hosts, so that hosts that start later can contact them. The implementation counts each
+// error.
 type Registry interface {
 	Register(ctx context.Context, name, address string) error
 	Unregister(ctx context.Context, name string) error
@@ -19,24 +19,23 @@
 }
 
 const (
-	// firstPeersWait is how long a host waits for its first peers before it decides whether it is alone: a few heartbeats.
+	// firstPeersWait is how long a host waits for its first peers, a few heartbeats, before it decides whether it is
+	// alone.
 	firstPeersWait = 400 * time.Millisecond
-	// joinQuietTime is how long no more peers have joined when a host takes its place in their order: it learns of
-	// some with each heartbeat. A host that knows few peers takes itself for one of the first; in a
-	// large fleet that starts together that costs thousands of calls (TestAFleetThatStartsTogether).
+	// joinQuietTime is how long no peer must have joined before a host relies on its place in the order: it learns of
+	// more peers with each heartbeat. A host that has seen few peers takes itself for a reader; in a large fleet that
+	// starts together, this costs thousands of calls to the store.
 	joinQuietTime = 700 * time.Millisecond
-	// maxSettleTime is how long a host waits at most for that, where peers join all the time, and how long it
-	// waits before it takes over from hosts that should read the store: their first held call and their
-	// next heartbeat take 3.3 s. With 40 hosts that start together, 80 of which read once, there were up to
-	// 158 calls when all twelve that may read began at once.
+	// maxSettleTime bounds that wait where peers keep joining. It is also how long a host waits before it takes over from
+	// readers of the store: their first held call and their next heartbeat take 3.3 s. Without this wait, a fleet of 40
+	// hosts that start together made up to 158 calls, because all twelve possible readers began at once.
 	maxSettleTime = 6 * time.Second
-	// registerInterval is the mean time between two tries to register.
+	// registerInterval is the mean time between two attempts to register.
 	registerInterval = 2 * time.Second
 )
 
-// KeepRegistered registers this host if it is one of those that read the store, or knows no
-// other, and contacts the hosts that have registered. It lists them again whenever it knows
-// no other. It runs until done is closed.
+// KeepRegistered registers this host if it reads the store or has no peers, and contacts the hosts that have registered.
+// It lists them again whenever it has no peers. It runs until done is closed.
 func (g *Gossip) KeepRegistered(done <-chan struct{}, registry Registry) {
 	ctx, cancel := lifetime.Context(done)
 	defer cancel()
@@ -48,18 +47,18 @@
 
 // registration is this host's row in the registry.
 type registration struct {
-	// callMu is held during calls that change the row, so that they reach the registry in their order.
+	// callMu is held during calls that change the row, so that they reach the registry in order.
 	callMu sync.Mutex
-	// wasAttempted is set before the first call that makes the row: its answer may be lost. ended is set once the row must not
-	// be made any more. Both belong to calling.
+	// wasAttempted is set before the first call that creates the row, because its answer may be lost. isClosed is set
+	// once the row must not be created again. Both are guarded by callMu.
 	wasAttempted, isClosed bool
-	// era is the newest era of the store that this host has registered in, or was to.
+	// era is the newest era of the store in which this host has registered or has to register.
 	era uint64
-	// isRegistered is set once the registry has answered.
+	// isRegistered is set once the registry has confirmed the row.
 	isRegistered atomic.Bool
 }
 
-// noteEra notes the era of the store. One that was restored may have lost the row.
+// noteEra records the era of the store. A store that was restored from a backup may have lost the row.
 func (r *registration) noteEra(newest uint64) {
 	r.callMu.Lock()
 	defer r.callMu.Unlock()
@@ -69,7 +68,7 @@
 	}
 }
 
-// make makes the row, unless it is there or must not be.
+// make creates the row, unless it exists or must not be created again.
 func (r *registration) make(ctx context.Context, registry Registry, name, address string) error {
 	r.callMu.Lock()
 	defer r.callMu.Unlock()
@@ -84,8 +83,8 @@
 	return nil
 }
 
-// Unregister removes this host's address from the registry, and keeps it from being registered again. A registration that
-// is under way is waited for. After an error the address may be there; it can be called again.
+// Unregister removes this host's address from the registry and prevents further registration. It waits for a
+// registration in progress. After an error the address may still be registered; Unregister can be called again.
 func (g *Gossip) Unregister(ctx context.Context, registry Registry) error {
 	r := &g.registration
 	r.callMu.Lock()
@@ -97,7 +96,7 @@
 	return registry.Unregister(ctx, g.parts.Config.Name)
 }
 
-// register does one round of KeepRegistered. After an error the next round tries again.
+// register runs one round of KeepRegistered. After an error the next round tries again.
 func (g *Gossip) register(ctx context.Context, registry Registry) {
 	g.registration.noteEra(era.Of(g.parts.Host.Revisions().Directory))
 	alone := g.Hosts() == 1
--- a/internal/front/gossip/share.go
+++ b/internal/front/gossip/share.go
@@ -13,31 +13,31 @@
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
 
-// The messages by which hosts of a large fleet share their work through aggregators (package aggregate).
+// Hosts of a large fleet share their work through aggregators (package aggregate). This file sends and receives the
+// messages for it.
 
 const (
-	// shareJitter is the part of aggregate.Interval over which the messages of different hosts are spread.
+	// shareJitter is the fraction of aggregate.Interval over which the messages of different hosts are spread.
 	shareJitter = 0.2
-	// keptContributions is how many contributions a host remembers, to know which of them a sum counts: a sum is older than that
-	// only if it would be too old to count.
+	// keptContributions is how many sent contributions a host keeps, to find the one that a sum includes. A sum with an
+	// older contribution has expired.
 	keptContributions = 8
-	// sumBatchHosts is how many sums an aggregator sends at a time: 16 KB are 7 ms of a link of 20 Mbit/s, so that they hold
-	// up no answer for longer.
+	// sumBatchHosts is the number of hosts to which an aggregator sends a sum at a time. A batch of 16 KB takes 7 ms on a
+	// link of 20 Mbit/s, which bounds the delay of other answers.
 	sumBatchHosts = 4
-	// sumBatchSpread is the part of aggregate.Interval over which the batches are spread.
+	// sumBatchSpread is the fraction of aggregate.Interval over which the batches are spread.
 	sumBatchSpread = 0.6
-	// aggregatorsPerZone is how many hosts of each zone are sent the sums of other zones: the one that is the
-	// aggregator and the one that would take over.
+	// aggregatorsPerZone is how many hosts of each zone receive the sums of other zones: the aggregator and its backup.
 	aggregatorsPerZone = 2
 )
 
-// workSharing is the state of this host's part in sharing work.
+// workSharing is this host's state for sharing work.
 type workSharing struct {
 	choice aggregate.Choice
-	// contributions counts the contributions, sums the rounds of sums.
+	// contributions counts the contributions sent, sums the rounds of sums sent.
 	contributions uint64
 	sums          uint64
-	// sent are the last contributions, by their sequence modulo their number.
+	// sent holds the last contributions by sequence number modulo keptContributions.
 	sent [keptContributions]sentContribution
 }
 
@@ -47,25 +47,25 @@
 	work     Work
 }
 
-// UsesAggregators reports whether the fleet is so large that hosts share their work through aggregators.
+// UsesAggregators reports whether the fleet is large enough that hosts share their work through aggregators.
 func (g *Gossip) UsesAggregators() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.usesAggregatorsLocked()
 }
 
-// usesAggregatorsLocked is Aggregates with the lock held.
-func (g *Gossip) usesAggregatorsLocked() bool { return g.members.Count() >= maxDirectMembers }
+// usesAggregatorsLocked is UsesAggregators with the lock held.
+func (g *Gossip) usesAggregatorsLocked() bool { return g.members.Count() >= minMembersToAggregate }
 
-// shareWork sends this host's work to its aggregators, and the sums of those that send it theirs, until done is
-// closed.
+// shareWork sends this host's work to its aggregators, and sums to the hosts that use this host as their aggregator,
+// until done is closed.
 func (g *Gossip) shareWork(done <-chan struct{}) {
 	ctx, cancel := lifetime.Context(done)
 	defer cancel()
 	next := g.parts.Clock()
 	for {
 		next = next.Add(backoff.Spread(aggregate.Interval, shareJitter, g.parts.Random()))
-		// A host that was frozen or is slow goes on from now: what it missed is of no use.
+		// A host that was suspended or is slow skips the rounds that it missed.
 		if now := g.parts.Clock(); next.Before(now) {
 			next = now
 		}
@@ -78,7 +78,7 @@
 	}
 }
 
-// contribute sends this host's work to its aggregators. It reports whether this host is its own.
+// contribute sends this host's work to its aggregators. It reports whether this host is its own aggregator.
 func (g *Gossip) contribute() bool {
 	work := g.parts.Host.Work()
 	self := g.parts.Config.Name
@@ -111,7 +111,7 @@
 	return primary == self
 }
 
-// sendSums sends the sums of an aggregator, until ctx ends.
+// sendSums sends an aggregator's sums in batches, or until ctx ends. A host that is no aggregator sends nothing.
 func (g *Gossip) sendSums(ctx context.Context, isPrimary bool) {
 	wanting, aggregators := g.sumTargets()
 	if len(wanting) == 0 && !isPrimary {
@@ -141,8 +141,8 @@
 	}
 }
 
-// sumTargets returns the addresses of the hosts that use this host's sums, and those of the aggregators that
-// are sent the sum of its zone: the first of each zone, and those that send theirs.
+// sumTargets returns the addresses of the hosts that use this host's sums, and the addresses of the aggregators that
+// receive the sum over its zone: the first hosts of each zone, and those that send sums over their zones.
 func (g *Gossip) sumTargets() (wanting, aggregators []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -165,7 +165,7 @@
 	return wanting, aggregators
 }
 
-// handleContribution handles the work of a host of this zone.
+// handleContribution passes the work of a member of this zone to Host.
 func (g *Gossip) handleContribution(c *Contribution) {
 	g.mu.Lock()
 	host, counts := g.members.ApplyContribution(g.parts.Clock(), c)
@@ -175,7 +175,7 @@
 	}
 }
 
-// handleZoneSum handles the sum of a zone.
+// handleZoneSum passes a member's sum over its zone to Host.
 func (g *Gossip) handleZoneSum(s *ZoneSum) {
 	g.mu.Lock()
 	member, known := g.members.ApplyZoneSum(g.parts.Clock(), s)
@@ -185,7 +185,7 @@
 	}
 }
 
-// handleFleetSum handles the sum over all hosts from an aggregator.
+// handleFleetSum handles an aggregator's sum over all hosts.
 func (g *Gossip) handleFleetSum(s *FleetSum) {
 	g.mu.Lock()
 	aggregator, counts := g.members.ApplyFleetSum(s)
@@ -198,7 +198,7 @@
 	}
 }
 
-// applyFleetSum hands a sum over all hosts to the host, with its own work that the sum counts.
+// applyFleetSum passes a sum over all hosts to Host, with the work of this host that the sum includes.
 func (g *Gossip) applyFleetSum(s *FleetSum) {
 	var counted *Work
 	g.mu.Lock()
--- a/internal/front/gossip/share_test.go
+++ b/internal/front/gossip/share_test.go
@@ -21,7 +21,7 @@
 	g := n.gossip
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for i := range maxDirectMembers {
+	for i := range minMembersToAggregate {
 		a := announcement(fmt.Sprintf("far-%d", i), 1)
 		a.Zone, a.Address = "far", "127.0.0.1:9"
 		g.members.ApplyHeartbeat(time.Now(), &Heartbeat{Incarnation: uint32(i + 1), Sequence: 1, Announcement: a})
--- a/internal/front/gossip/sync.go
+++ b/internal/front/gossip/sync.go
@@ -10,8 +10,8 @@
 	"oxbowslip.dev/oxbowslip/internal/front/freshness"
 )
 
-// requestFor returns a request for what is newer of a topic and of nothing else. The topics are fetched
-// separately: a change of the settings must not wait for a large directory.
+// requestFor returns a request for newer data of one topic only. The topics are fetched separately so that a change of
+// the settings does not wait for the transfer of a large directory.
 func requestFor(t freshness.Topic, own SyncRequest) SyncRequest {
 	if t == freshness.Settings {
 		own.Directory = math.MaxUint64
@@ -21,7 +21,7 @@
 	return own
 }
 
-// isBehind reports whether a member has a newer revision of a topic than a host with some revisions.
+// isBehind reports whether a member has a newer revision of a topic than a host with the given revisions.
 func isBehind(t freshness.Topic, own SyncRequest, member *Member) bool {
 	if t == freshness.Settings {
 		return member.Settings > own.Settings
@@ -29,7 +29,7 @@
 	return member.Directory > own.Directory
 }
 
-// syncHandler answers peers that lack a revision.
+// syncHandler answers the calls of peers that lack a revision.
 type syncHandler struct {
 	host      Host
 	countSent func(kind counters.PeerTraffic, bytes int)
@@ -41,7 +41,7 @@
 	return syncHandler{host: host, countSent: sent, snapshotSlots: make(chan struct{}, maxSnapshots)}
 }
 
-// errUnknownCall: a call of a newer version.
+// errUnknownCall is the error for a call that this version does not have.
 const errUnknownCall = "unknown call"
 
 // HandleRPC answers one call.
