--- a/internal/front/gossip/capacity_test.go
+++ b/internal/front/gossip/capacity_test.go
@@ -11,8 +11,8 @@
 	"oxbowslip.dev/oxbowslip/internal/front/keys"
 )
 
-// TestHeartbeatBytes measures the slopes of docs/CAPACITY.md, and bounds them: a heartbeat
-// must fit a datagram.
+// TestHeartbeatBytes measures the size of heartbeats by content, for docs/CAPACITY.md, and checks that a heartbeat fits a
+// datagram.
 func TestHeartbeatBytes(t *testing.T) {
 	c := qt.New(t)
 	size := func(endpoints, reads, known int) int {
@@ -34,17 +34,17 @@
 		c.Assert(err, qt.IsNil)
 		return len(data)
 	}
-	// A heartbeat without an announcement knows of no address.
+	// plain stands for a heartbeat without an announcement.
 	const plain = -1
 	empty := size(0, 0, plain)
-	t.Logf("empty %d B, an endpoint %d B, a read %d B; an introduction with no address %d B, with many %d B",
+	t.Logf("empty %d B, per endpoint %d B, per holder %d B; announcement without addresses %d B, with many %d B",
 		empty, (size(100, 0, plain)-empty)/100, (size(0, 100, plain)-empty)/100, size(0, 0, 0), size(0, 0, manyAddresses))
 	c.Check(empty < 40, qt.IsTrue)
 	c.Check(size(100, 12, plain) < maxDatagram, qt.IsTrue)
 	c.Check(size(0, 0, manyAddresses) < maxDatagram, qt.IsTrue)
 }
 
-// TestConfirmationBytes measures confirmations, and bounds them: a reader sends one to all hosts every two seconds.
+// TestConfirmationBytes bounds the size of confirmations: a reader sends one to all hosts every two seconds.
 func TestConfirmationBytes(t *testing.T) {
 	c := qt.New(t)
 	const days = 30 * 24 * 3_600_000
@@ -56,7 +56,7 @@
 	c.Check(len(data) <= 48, qt.IsTrue)
 }
 
-// TestReportBytes measures reports, and bounds them: they are sent to all hosts some times a second.
+// TestReportBytes bounds the size of reports: they are sent to all hosts several times a second.
 func TestReportBytes(t *testing.T) {
 	c := qt.New(t)
 	size := func(classes int) int {
@@ -73,7 +73,7 @@
 		return len(data)
 	}
 	empty := size(0)
-	t.Logf("empty %d B, a class %d B", empty, (size(100)-empty)/100)
+	t.Logf("empty %d B, per class %d B", empty, (size(100)-empty)/100)
 	c.Check(empty < 50, qt.IsTrue)
 	c.Check(size(12) < maxDatagram, qt.IsTrue)
 }
--- a/internal/front/gossip/envelope.go
+++ b/internal/front/gossip/envelope.go
@@ -11,7 +11,7 @@
 type Envelope struct {
 	_ struct{} `cbor:",toarray"`
 
-	// Incarnation identifies the sender as in Heartbeat, Sequence counts its envelopes.
+	// Incarnation identifies the sender, as in Heartbeat. Sequence counts its envelopes.
 	Incarnation uint32
 	Sequence    uint64
 	// Fleet is the sender's fleet. Messages of another fleet are dropped, so that fleets that can reach each other do not
--- a/internal/front/gossip/golden_test.go
+++ b/internal/front/gossip/golden_test.go
@@ -12,8 +12,8 @@
 	"oxbowslip.dev/oxbowslip/internal/proof/golden"
 )
 
-// messages holds one value of each message between hosts, with every field set and no
-// two fields of a message alike, so that moving a field changes the bytes.
+// messages returns a value of each message between hosts. Every field is set and differs from the other fields of the
+// message, so that moving a field changes the bytes.
 func messages() map[string]any {
 	return map[string]any{
 		"beat": &Heartbeat{
@@ -67,16 +67,15 @@
 	}
 }
 
-// TestGoldenMessages holds the encoded form of each message to what hosts of commit
-// 4c58500 send, and decodes what they sent. Reports came later.
+// TestGoldenMessages compares the encoded form of each message with that of released versions, and decodes theirs.
 func TestGoldenMessages(t *testing.T) {
 	for name, message := range messages() {
 		t.Run(name, func(t *testing.T) { golden.Message(t, name, message) })
 	}
 }
 
-// TestMessagesDecodeOnlyAsTheirOwnType: a host takes a datagram for the first message that it decodes as, and an older
-// one drops what it does not know. So none may decode as another.
+// TestMessagesDecodeOnlyAsTheirOwnType checks that no message decodes as another: a host uses the first type as which a
+// datagram decodes, and an older host has to drop types that it does not have.
 func TestMessagesDecodeOnlyAsTheirOwnType(t *testing.T) {
 	forms := map[string]func() any{
 		"beat":         func() any { return new(Heartbeat) },
@@ -94,8 +93,8 @@
 	}
 }
 
-// TestGoldenKeys holds the short names that hosts use for endpoints and services, and the
-// units of the counts: a host that derived them otherwise would misread its peers.
+// TestGoldenKeys pins the keys of endpoints, services and classes, the units of counts and the name of the sync call. A
+// host with other values would misread its peers.
 func TestGoldenKeys(t *testing.T) {
 	c := qt.New(t)
 	c.Check(keys.OfEndpoint("engine-1"), qt.Equals, keys.Endpoint(0x777cfdda))
--- a/internal/front/gossip/gossip_test.go
+++ b/internal/front/gossip/gossip_test.go
@@ -37,14 +37,14 @@
 		heartbeats []received
 		live       int
 	}{
-		"announced": {[]received{{Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)}, true, true}, {Heartbeat{Incarnation: 1, Sequence: 2}, false, true}}, 1},
-		"a heartbeat without an announcement does not count": {[]received{{Heartbeat{Incarnation: 1, Sequence: 1}, false, false}}, 0},
-		"an echo does not count":                             {[]received{{Heartbeat{Incarnation: 9, Sequence: 1, Announcement: announcement("self", 1)}, false, false}}, 0},
-		"a late heartbeat does not count": {[]received{
+		"an announced sender is added":                {[]received{{Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)}, true, true}, {Heartbeat{Incarnation: 1, Sequence: 2}, false, true}}, 1},
+		"a heartbeat of an unknown sender is ignored": {[]received{{Heartbeat{Incarnation: 1, Sequence: 1}, false, false}}, 0},
+		"the host's own announcement is ignored":      {[]received{{Heartbeat{Incarnation: 9, Sequence: 1, Announcement: announcement("self", 1)}, false, false}}, 0},
+		"an outdated heartbeat is ignored": {[]received{
 			{Heartbeat{Incarnation: 1, Sequence: 2, Announcement: announcement("a", 1)}, true, true},
 			{Heartbeat{Incarnation: 1, Sequence: 1}, false, false},
 		}, 1},
-		"a new incarnation replaces the old": {[]received{
+		"a new incarnation replaces the old one": {[]received{
 			{Heartbeat{Incarnation: 1, Sequence: 50, Announcement: announcement("a", 1)}, true, true},
 			{Heartbeat{Incarnation: 2, Sequence: 1, Announcement: announcement("a", 2)}, true, true},
 			{Heartbeat{Incarnation: 1, Sequence: 51}, false, false},
@@ -75,15 +75,16 @@
 	m.ApplyHeartbeat(start.Add(900*time.Millisecond), &Heartbeat{Incarnation: 2, Sequence: 1, Announcement: announcement("b", 1)})
 	c.Check(m.AnnouncementTargets(start.Add(time.Second)), qt.DeepEquals, []string{"c:1"})
 	c.Check(m.Expire(start.Add(1100*time.Millisecond), time.Second), qt.DeepEquals, []string{"a"})
-	c.Check(m.AnnouncementTargets(start.Add(1100*time.Millisecond)), qt.DeepEquals, []string{"a:1"}, qt.Commentf("it is tried again: it may come back"))
-	c.Check(m.AnnouncementTargets(start.Add(1200*time.Millisecond)), qt.HasLen, 0, qt.Commentf("each address has been tried just now"))
+	c.Check(m.AnnouncementTargets(start.Add(1100*time.Millisecond)), qt.DeepEquals, []string{"a:1"}, qt.Commentf("the address of a lost member is tried again, because the member may return"))
+	c.Check(m.AnnouncementTargets(start.Add(1200*time.Millisecond)), qt.HasLen, 0, qt.Commentf("each address was tried less than contactInterval ago"))
 	c.Check(m.AnnouncementTargets(start.Add(time.Second+contactInterval)), qt.DeepEquals, []string{"c:1"})
 	c.Check(m.Live(), qt.HasLen, 1)
 	m.Expire(start.Add(contactTimeout+500*time.Millisecond), time.Hour)
-	c.Check(m.AnnouncementTargets(start.Add(time.Hour)), qt.HasLen, 0, qt.Commentf("addresses that nobody names are forgotten"))
+	c.Check(m.AnnouncementTargets(start.Add(time.Hour)), qt.HasLen, 0, qt.Commentf("addresses that no host names expire"))
 }
 
-// TestOwnAddressIsNotAnnouncedTo has peers name a host's own address, as they do in their announcements to it.
+// TestOwnAddressIsNotAnnouncedTo guards against hosts that announce themselves to themselves, because peers include a
+// host's own address in their announcements to it.
 func TestOwnAddressIsNotAnnouncedTo(t *testing.T) {
 	c := qt.New(t)
 	g := New(Parts{Config: Config{Name: "self", Address: "self:1"}, Clock: func() time.Time { return start }, Random: rand.Float64})
@@ -100,9 +101,9 @@
 	c.Check(name, qt.Equals, "a")
 	c.Check(counts, qt.IsTrue)
 	_, counts = m.ApplyReport(&Report{Incarnation: 1, Sequence: 1})
-	c.Check(counts, qt.IsFalse, qt.Commentf("an older one came late"))
+	c.Check(counts, qt.IsFalse, qt.Commentf("an outdated report"))
 	_, counts = m.ApplyReport(&Report{Incarnation: 2, Sequence: 3})
-	c.Check(counts, qt.IsFalse, qt.Commentf("of an unknown host"))
+	c.Check(counts, qt.IsFalse, qt.Commentf("a report of an unknown host"))
 }
 
 func TestEngineReportsReachPeers(t *testing.T) {
@@ -117,7 +118,7 @@
 	c.Check(b.with(func() bool { return b.reported["a"][0].Service == 5 }), qt.IsTrue)
 }
 
-// node is a host that records what it receives.
+// node is a Host that records the calls that it receives.
 type node struct {
 	gossip *Gossip
 	done   chan struct{}
@@ -130,22 +131,22 @@
 	reported map[string][]EngineReport
 	lost     []string
 	applied  []string
-	// confirmations are those of this host, confirmed those of the last peer.
+	// confirmations are sent by this host, confirmed were last received from a peer.
 	confirmations []TopicConfirmation
 	confirmed     []TopicConfirmation
 	mustAsk       bool
-	// work is this host's, contributed that of the hosts of its zone; zoneSums counts the sums of peers, fleetSums
-	// those over all hosts, the last of which counts counted.
+	// work is this host's work, contributed the work of the hosts of its zone. zoneSums counts the zone sums of peers,
+	// fleetSums the sums over all hosts; counted is this host's work in the last one.
 	work        Work
 	contributed map[string]*Contribution
 	zoneSums    map[string]int
 	fleetSums   int
 	counted     *Work
-	// announcements counts what was sent.
+	// announcements counts the announcements sent.
 	announcements atomic.Int32
 }
 
-// count is called with each send.
+// count counts the announcements among the sent messages.
 func (n *node) count(kind counters.PeerTraffic, _ int) {
 	if kind == counters.PeerAnnouncements {
 		n.announcements.Add(1)
@@ -313,7 +314,7 @@
 func eventually(c *qt.C, what string, reached func() bool) {
 	for deadline := time.Now().Add(20 * time.Second); !reached(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			c.Fatalf("never reached: %s", what)
+			c.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
@@ -343,24 +344,24 @@
 	}
 	a.stop()
 	a.gossip.Leave()
-	eventually(c, "a left", func() bool { return b.gossip.Hosts() == 2 && d.gossip.Hosts() == 2 })
-	// The member is dropped before its host is notified, so that is waited for too.
+	eventually(c, "a has left", func() bool { return b.gossip.Hosts() == 2 && d.gossip.Hosts() == 2 })
+	// Members drops a before Host is notified, so the notification is awaited separately.
 	eventually(c, "b is notified", func() bool { return b.with(func() bool { return slices.Contains(b.lost, "a") }) })
 }
 
 func TestReaderSelection(t *testing.T) {
 	tests := map[string]struct {
 		hosts int
-		// failing is how many of the first hosts get no answers.
+		// failing is the number of hosts, first in the order, that get no answers from the store.
 		failing int
 		want    int
 	}{
-		"fewer than needed: each for itself": {3, 0, 3},
-		"a small fleet: a few for all":       {8, 0, freshness.Readers},
-		"a large one: a few for all":         {40, 0, freshness.Readers},
-		"others take over":                   {40, 2, freshness.Readers + 2},
-		"a store that is down for all":       {40, 40, maxReaders},
-		"a huge one has no more readers":     {380, 0, freshness.Readers},
+		"fewer hosts than readers: all read":                    {3, 0, 3},
+		"a small fleet":                                         {8, 0, freshness.Readers},
+		"a large fleet":                                         {40, 0, freshness.Readers},
+		"other hosts take over from failing readers":            {40, 2, freshness.Readers + 2},
+		"the number of readers is bounded if the store is down": {40, 40, maxReaders},
+		"a very large fleet has no more readers":                {380, 0, freshness.Readers},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -370,7 +371,7 @@
 				names = append(names, fmt.Sprintf("host-%d", n))
 			}
 			slices.SortFunc(names, func(a, b string) int { return cmp.Compare(Rank(a), Rank(b)) })
-			// Each host in its order sees which of those before it read.
+			// The hosts decide in their order; each knows which hosts before it read.
 			reading := make(map[string]bool)
 			should, answered := 0, 0
 			for i, self := range names {
@@ -398,8 +399,8 @@
 	}
 }
 
-// TestConfirmationsReachMembersAndStartFetches checks that a confirmation reaches all members, and that one who lacks what the sender has
-// fetches it without waiting for a heartbeat.
+// TestConfirmationsReachMembersAndStartFetches checks that a confirmation reaches all members, and that a member with an
+// older revision fetches the newer one without waiting for a heartbeat.
 func TestConfirmationsReachMembersAndStartFetches(t *testing.T) {
 	c := qt.New(t)
 	a := startNode(c, "a")
@@ -413,12 +414,12 @@
 	a.gossip.RequestConfirmation()
 	eventually(c, "b has the confirmation of a", func() bool { return b.with(func() bool { return len(b.confirmed) == 2 }) })
 	c.Check(b.with(func() bool { return b.confirmed[1].AsOf == 70_001 }), qt.IsTrue)
-	eventually(c, "b has fetched what a has", func() bool {
+	eventually(c, "b has fetched the revisions of a", func() bool {
 		return b.with(func() bool { return b.own == SyncRequest{Settings: 7, Directory: 8} })
 	})
 }
 
-// TestStaleHostPollsPeers is a host that no heartbeat with the newer revisions has reached.
+// TestStaleHostPollsPeers checks that a host fetches newer revisions by polling if no heartbeat with them reaches it.
 func TestStaleHostPollsPeers(t *testing.T) {
 	c := qt.New(t)
 	a := startNode(c, "a")
@@ -432,7 +433,7 @@
 		b.mustAsk = true
 		return true
 	})
-	eventually(c, "b has what a has", func() bool {
+	eventually(c, "b has the revisions of a", func() bool {
 		return b.with(func() bool { return b.own == SyncRequest{Settings: 7, Directory: 8} })
 	})
 }
@@ -446,10 +447,11 @@
 	member, known := m.ApplyConfirmation(&Confirmation{Incarnation: 1, Topics: []TopicConfirmation{{Newest: 5}, {Newest: 2}, {Newest: 99}}})
 	c.Check(known, qt.IsTrue)
 	c.Check(member.Settings, qt.Equals, uint64(5))
-	c.Check(member.Directory, qt.Equals, uint64(4), qt.Commentf("a late one takes nothing back"))
+	c.Check(member.Directory, qt.Equals, uint64(4), qt.Commentf("an older revision does not replace a newer one"))
 }
 
-// TestConfirmationsFromHostsWithoutErasAreIgnored guards against trust in a host that confirms an era which it has not read.
+// TestConfirmationsFromHostsWithoutErasAreIgnored guards against confirmations of a later era by hosts whose version has
+// no eras and which have not read that era from the store.
 func TestConfirmationsFromHostsWithoutErasAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	restored, err := era.Revision(1, 4)
@@ -466,8 +468,8 @@
 	c.Check(host.confirmed, qt.DeepEquals, topics)
 }
 
-// TestNewRevisionSkipsHeartbeatPace is the sweep at 300 hosts: heartbeats came 2.4 s apart,
-// and a change of the configuration was in force after 5 s (CONFIG, DENIED).
+// TestNewRevisionSkipsHeartbeatPace guards against late changes of the settings in a large fleet: at 300 hosts the pace
+// is 2.4 s, and with it a change took 5 s to reach all hosts.
 func TestNewRevisionSkipsHeartbeatPace(t *testing.T) {
 	c := qt.New(t)
 	log := logrus.New()
@@ -479,13 +481,13 @@
 	for n := range 300 {
 		g.members.ApplyHeartbeat(time.Now(), &Heartbeat{Incarnation: uint32(n + 1), Sequence: 1, Announcement: announcement(fmt.Sprintf("host-%d", n), 1)})
 	}
-	// Its turn would come in some seconds, and with a change only then.
+	// Without the urgent request, the heartbeat would wait for the pace of some seconds.
 	g.RequestHeartbeat()
 	g.RequestUrgentHeartbeat()
 	begun := make(chan bool)
 	go func() { begun <- g.waitForNext(make(chan struct{})) }()
 	c.Check(<-begun, qt.IsTrue)
-	c.Check(g.heartbeatWanted, qt.HasLen, 1, qt.Commentf("the change of loads still waits for its turn"))
+	c.Check(g.heartbeatWanted, qt.HasLen, 1, qt.Commentf("the change of loads still waits for the pace"))
 }
 
 func TestLargeFleetHeartbeatsCarryNoLoads(t *testing.T) {
@@ -510,8 +512,8 @@
 	}
 }
 
-// TestSettingsAndDirectoryAreFetchedSeparately is the sweep at 300 hosts once more: the
-// settings were fetched with a directory of 3,000 entries, and behind it (CONFIG).
+// TestSettingsAndDirectoryAreFetchedSeparately guards against settings that arrive late because they are fetched
+// together with, or after, a large directory (3,000 entries at 300 hosts).
 func TestSettingsAndDirectoryAreFetchedSeparately(t *testing.T) {
 	c := qt.New(t)
 	peer := &node{own: SyncRequest{Settings: 7, Directory: 8}}
@@ -536,14 +538,15 @@
 	c.Check(g.beginFetch(freshness.Endpoints), qt.IsTrue)
 }
 
-// TestUpdatesDuringFetchAreNotMissed has a host learn that one peer is ahead while it is about to fetch from another.
+// TestUpdatesDuringFetchAreNotMissed checks that a host that learns of a newer revision while it fetches from another
+// peer fetches that revision too.
 func TestUpdatesDuringFetchAreNotMissed(t *testing.T) {
 	tests := map[string]struct {
-		// had is what the host has once it begins to fetch what the first peer, at 10, has.
+		// had is the host's revision when it begins to fetch from the first peer, which has revision 10.
 		had uint64
 	}{
-		"what the first peer has has come by itself": {10},
-		"the first peer is asked":                    {5},
+		"the first peer's revision has arrived otherwise": {10},
+		"the first peer is asked":                         {5},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -560,7 +563,7 @@
 				n.gossip.RequestHeartbeat()
 			}
 			var known Member
-			eventually(c, "the host knows who is ahead", func() bool {
+			eventually(c, "the host has received the revisions of both peers", func() bool {
 				member, ok := host.gossip.pick(func(m *Member) bool { return m.Name == "second" && m.Directory == 20 })
 				first, okFirst := host.gossip.pick(func(m *Member) bool { return m.Name == "first" && m.Directory == 10 })
 				known = first
@@ -572,8 +575,8 @@
 	}
 }
 
-// TestAnnouncementsGoOnlyToUnknownHosts is a fleet of 297 hosts: nine tenths of what hosts sent
-// each other were announcements, sent to all whenever one host was new.
+// TestAnnouncementsGoOnlyToUnknownHosts guards against announcements to all hosts whenever a host joins. In a fleet of
+// 297 hosts they made up nine tenths of the traffic between hosts.
 func TestAnnouncementsGoOnlyToUnknownHosts(t *testing.T) {
 	c := qt.New(t)
 	a := startNode(c, "a")
@@ -584,12 +587,12 @@
 	for _, n := range []*node{a, b, late} {
 		eventually(c, "three hosts", func() bool { return n.gossip.Hosts() == 3 })
 	}
-	// b introduces itself to the new host: by itself or asked, and at most both.
+	// b announces itself to the new host by its own decision, on request, or both.
 	c.Check(b.announcements.Load()-sent <= 2, qt.IsTrue, qt.Commentf("%d announcements", b.announcements.Load()-sent))
 }
 
-// TestUnknownSenderIsAskedToAnnounceItself is the loss of an announcement: without it, the heartbeats of its
-// sender would never count.
+// TestUnknownSenderIsAskedToAnnounceItself guards against the loss of an announcement, after which the sender's
+// heartbeats would never be used.
 func TestUnknownSenderIsAskedToAnnounceItself(t *testing.T) {
 	c := qt.New(t)
 	a := startNode(c, "a")
@@ -599,7 +602,7 @@
 	a.gossip.members.drop("b")
 	delete(a.gossip.members.contacts, b.gossip.Address())
 	a.gossip.mu.Unlock()
-	eventually(c, "b is known again", func() bool { return a.gossip.Hosts() == 2 })
+	eventually(c, "b is a member again", func() bool { return a.gossip.Hosts() == 2 })
 }
 
 func TestUnknownSendersAreAnnouncementTargets(t *testing.T) {
@@ -607,12 +610,12 @@
 		prepare func(m *Members)
 		want    []string
 	}{
-		"an unknown address": {func(m *Members) { m.AddUnknownSender(start, "x:1") }, []string{"x:1"}},
-		"a member's address, with another life": {func(m *Members) {
+		"an unknown address is a target": {func(m *Members) { m.AddUnknownSender(start, "x:1") }, []string{"x:1"}},
+		"a member's address with another incarnation is a target": {func(m *Members) {
 			m.ApplyHeartbeat(start, &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)})
 			m.AddUnknownSender(start, "a:1")
 		}, []string{"a:1"}},
-		"asked a moment ago": {func(m *Members) {
+		"an address that was tried recently is no target": {func(m *Members) {
 			m.AddUnknownSender(start, "x:1")
 			m.AnnouncementTargets(start)
 			m.AddUnknownSender(start, "x:1")
--- a/internal/front/gossip/messages.go
+++ b/internal/front/gossip/messages.go
@@ -9,81 +9,74 @@
 	"oxbowslip.dev/oxbowslip/internal/front/keys"
 )
 
-// The messages are CBOR arrays without field names. Hosts of different versions run side by side, and a
-// host can't decode an array of another length than it knows, so that the fields must not change: what
-// is new goes into a message of its own, which older hosts ignore. testdata/golden holds the encoded
-// form of each.
+// The messages are CBOR arrays without field names. Hosts of different versions run side by side, and a host can't decode
+// an array of an unexpected length. The fields of a message must therefore not change: new data go into a new message,
+// which older hosts ignore. testdata/golden holds the encoded form of each message.
 
-// Heartbeat is one datagram: all of a host's state that others use, so that the next one
-// makes up for one that is lost.
+// Heartbeat is a datagram with all of a host's state that peers use, so that a lost one is made up for by the next.
 type Heartbeat struct {
 	_ struct{} `cbor:",toarray"`
 
-	// Incarnation identifies the sender: each start of a host draws a new number. Sequence counts
-	// the heartbeats of one incarnation.
+	// Incarnation identifies the sender; it is drawn at random at each start of a host. Sequence counts the heartbeats of
+	// an incarnation.
 	Incarnation uint32
 	Sequence    uint64
-	// Announcement is who the sender is. It goes to hosts that do not know the sender yet;
-	// a heartbeat with it carries nothing of the sender's work.
+	// Announcement identifies the sender to hosts that do not know it yet. A heartbeat with an announcement carries no
+	// work of the sender.
 	Announcement *Announcement
-	// Settings and Directory are the newest revisions that the sender has.
+	// Settings and Directory are the sender's newest revisions.
 	Settings  uint64
 	Directory uint64
 	Leaving   bool
-	// IsReader is set if the sender reads the store and gets answers from it.
+	// ReadsStore is set if the sender reads the store and receives answers from it.
 	ReadsStore bool
 	Loads      []EndpointLoad
 	Ejections  []Ejection
-	// Holders are prefixes that the sender lately sent to endpoints, each in a few
-	// heartbeats.
+	// Holders are the endpoints to which the sender has recently sent prefixes. Each is included in a few heartbeats.
 	Holders []Holder
-	// Delta is the newest change of the directory, Patch that of the settings, each in a few
-	// heartbeats.
+	// Delta is the newest change of the directory, Patch that of the settings. Each is included in a few heartbeats.
 	Delta *DirectoryDelta
-	// Streams are recent streams of short prompts. Only hosts before 0.3 send and use them.
+	// Streams counts recent streams of short prompts. Only hosts of versions before 0.3 send and use it.
 	Streams []StreamCount
 	Patch   *SettingsPatch
 }
 
-// Report is a datagram with what the sender has observed of engines. It is sent with some of the
-// heartbeats.
+// Report is a datagram with the sender's observations of engines. It accompanies some of the heartbeats.
 type Report struct {
 	_ struct{} `cbor:",toarray"`
 
-	// Incarnation identifies the sender as in Heartbeat, Sequence counts its reports.
+	// Incarnation identifies the sender, as in Heartbeat. Sequence counts its reports.
 	Incarnation uint32
 	Sequence    uint64
 	Engines     []EngineReport
 }
 
-// Confirmation is a datagram of a host that the store has just answered: up to when it knows
-// everything. The topics have the order of package freshness; a receiver uses those that it knows.
+// Confirmation is a datagram of a host that the store has just answered. It states the point in time up to which the
+// sender has all changes, by topic. The topics are in the order of package freshness; a receiver ignores unknown ones.
 type Confirmation struct {
 	_ struct{} `cbor:",toarray"`
 
-	// Incarnation identifies the sender as in Heartbeat.
+	// Incarnation identifies the sender, as in Heartbeat.
 	Incarnation uint32
 	Topics      []TopicConfirmation
 }
 
-// TopicConfirmation is up to when the sender knows a topic. The fields mean what those of
-// freshness.Confirmation mean.
+// TopicConfirmation is the confirmation of a topic. The fields are those of freshness.Confirmation.
 type TopicConfirmation struct {
 	_ struct{} `cbor:",toarray"`
 
 	Newest   uint64
 	Revision uint64
-	// AsOf is the store's clock in milliseconds.
+	// AsOf is a time of the store's clock in milliseconds.
 	AsOf uint64
 }
 
-// Work is the work of one host or of several together (package aggregate). The loads are in columns, which
-// take 8 B an endpoint (TestShareBytes).
+// Work is the work in flight of one or more hosts (package aggregate). The loads are in columns, which take 8 bytes per
+// endpoint (TestShareBytes).
 type Work struct {
 	_ struct{} `cbor:",toarray"`
 
-	// Requests and Tokens are those of the endpoint at the same place in Endpoints. The tokens are in units
-	// of TokenUnit.
+	// Requests and Tokens belong to the endpoint at the same index of Endpoints. Tokens are in units of TokenUnit.
 	Endpoints []keys.Endpoint
 	Requests  []int
 	Tokens    []int
@@ -91,11 +84,11 @@
 	Engines   []EngineReport
 }
 
-// Contribution is a datagram with the work of a host for an aggregator of its zone.
+// Contribution is a datagram with the work of a host, sent to an aggregator of its zone.
 type Contribution struct {
 	_ struct{} `cbor:",toarray"`
 
-	// Incarnation identifies the sender as in Heartbeat, Sequence counts its contributions.
+	// Incarnation identifies the sender, as in Heartbeat. Sequence counts its contributions.
 	Incarnation uint32
 	Sequence    uint64
 	// WantsSums is set if the sender uses the sums of this aggregator.
@@ -103,43 +96,43 @@
 	Work      Work
 }
 
-// ZoneSum is a datagram of an aggregator for those of other zones: the sum over the hosts of its zone.
+// ZoneSum is a datagram with the sum over the hosts of a zone, sent by its aggregator to those of other zones.
 type ZoneSum struct {
 	_ struct{} `cbor:",toarray"`
 
-	// Incarnation identifies the sender as in Heartbeat, Sequence counts its sums.
+	// Incarnation identifies the sender, as in Heartbeat. Sequence counts its sums.
 	Incarnation uint32
 	Sequence    uint64
-	// Hosts is the number of hosts that the sum counts.
+	// Hosts is the number of hosts that the sum includes.
 	Hosts int
-	// Splits are what the sender would decide for all hosts.
+	// Splits are the splits that the sender would decide for all hosts.
 	Splits []ServiceSplit
-	// Part is the number of this part of Parts; they differ in the endpoints.
+	// Part is the index of this part, Parts the number of parts. Each part covers other endpoints.
 	Part  int
 	Parts int
 	Work  Work
 }
 
-// FleetSum is a datagram of an aggregator for the hosts of its zone: the sum over all hosts.
+// FleetSum is a datagram with the sum over all hosts, sent by an aggregator to the hosts of its zone.
 type FleetSum struct {
 	_ struct{} `cbor:",toarray"`
 
-	// Incarnation identifies the sender as in Heartbeat, Sequence counts its sums.
+	// Incarnation identifies the sender, as in Heartbeat. Sequence counts its sums.
 	Incarnation uint32
 	Sequence    uint64
-	// Counted are the incarnations of the zone's hosts that the sum counts, Sequences their contributions.
+	// Counted are the incarnations of the zone's hosts that the sum includes, Sequences their contributions' numbers.
 	Counted   []uint32
 	Sequences []uint64
-	// Splits are what Decider, a host, has decided for all.
+	// Splits are the splits that the host Decider has decided for all hosts.
 	Decider string
 	Splits  []ServiceSplit
-	// Part is the number of this part of Parts; they differ in the endpoints.
+	// Part is the index of this part, Parts the number of parts. Each part covers other endpoints.
 	Part  int
 	Parts int
 	Work  Work
 }
 
-// ServiceSplit is how the endpoints of a service are divided. The fields mean what those of engine.Split mean.
+// ServiceSplit is the division of a service's endpoints into partitions. The fields are those of engine.Split.
 type ServiceSplit struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -148,14 +141,14 @@
 	Long    []keys.Class
 }
 
-// SettingsPatch turns one configuration into the next. A host that has another one than From
-// can't use it.
+// SettingsPatch changes the configuration of revision From into that of revision To. A host with any other revision can't
+// apply it.
 type SettingsPatch struct {
 	_ struct{} `cbor:",toarray"`
 
 	From uint64
 	To   uint64
-	// Data is the newer configuration, compressed against the older one (package pack).
+	// Data is the newer configuration, compressed with the older one as its base (package pack).
 	Data []byte
 }
 
@@ -168,7 +161,7 @@
 	Changes []EndpointChange
 }
 
-// EndpointChange sets the entry of an endpoint, or removes it.
+// EndpointChange sets or removes the entry of an endpoint.
 type EndpointChange struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -176,15 +169,15 @@
 	Service string
 	Address string
 	Zone    string
-	// Version is that of the endpoint's software.
+	// Version is the version of the endpoint's software.
 	Version string
 	Slots   int
-	// Leaving is set if the endpoint takes no new work, Gone if its entry is removed.
+	// Leaving is set if the endpoint accepts no new work, Gone if its entry is removed.
 	Leaving bool
 	Gone    bool
 }
 
-// Holder is an endpoint that was sent a prompt with a prefix, and so has it in its cache.
+// Holder is an endpoint to which a prompt with a prefix was sent, and which therefore holds it in its cache.
 type Holder struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -192,20 +185,20 @@
 	Endpoint keys.Endpoint
 }
 
-// Announcement is the host that an incarnation belongs to.
+// Announcement identifies the host of an incarnation.
 type Announcement struct {
 	_ struct{} `cbor:",toarray"`
 
 	Host    string
 	Address string
 	Zone    string
-	// Start orders the incarnations of a host: its wall clock in ns when it started.
+	// Start orders the incarnations of a host. It is the wall clock in Unix nanoseconds at the start.
 	Start int64
-	// KnownAddresses are those of some other hosts.
+	// KnownAddresses are the addresses of some other hosts.
 	KnownAddresses []string
 	// WantReply asks the receiver to announce itself too.
 	WantReply bool
-	// Hosts is how many hosts the sender knows, itself included.
+	// Hosts is the number of hosts that the sender knows, including itself.
 	Hosts int
 }
 
@@ -218,12 +211,12 @@
 
 	Endpoint keys.Endpoint
 	Requests int
-	// Tokens are prompt tokens that are not processed yet, in units of TokenUnit.
+	// Tokens is the number of prompt tokens not yet processed, in units of TokenUnit.
 	Tokens int
 }
 
-// StreamCount counts recent streams of short prompts at a service, and those that paused for too long,
-// in eighths of a stream. Only hosts before 0.3 send and use it.
+// StreamCount counts the recent streams of short prompts at a service, and those of them with too long a pause, in
+// eighths of a stream. Only hosts of versions before 0.3 send and use it.
 type StreamCount struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -232,8 +225,8 @@
 	All     int
 }
 
-// EngineReport is what the sender knows of the engines and the traffic of a service. The fields mean
-// what those of package engine mean.
+// EngineReport is the sender's estimates of the engines and the traffic of a service. The fields are those of package
+// engine.
 type EngineReport struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -244,10 +237,10 @@
 	Classes   []ClassDemand
 }
 
-// RequestUnit is the number of units of ClassDemand.Requests that one request counts.
+// RequestUnit is the number of units of ClassDemand.Requests per request.
 const RequestUnit = 8
 
-// ClassDemand is what the sender sent of a request class lately. The tokens are in units of TokenUnit.
+// ClassDemand is the sender's recent demand of a request class. Tokens are in units of TokenUnit.
 type ClassDemand struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -258,7 +251,7 @@
 	Open     int
 }
 
-// Figure is a learned quantity with the number of samples that it rests on.
+// Figure is an estimate and the number of samples behind it.
 type Figure struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -266,16 +259,16 @@
 	Samples int
 }
 
-// Ejection is an endpoint that the sender sends no new work.
+// Ejection is an endpoint that the sender has ejected: it sends no new work to it.
 type Ejection struct {
 	_ struct{} `cbor:",toarray"`
 
 	Endpoint keys.Endpoint
-	// Left is how long the ejection still lasts.
+	// Left is the time until the ejection ends.
 	Left time.Duration
 }
 
-// SyncRequest asks a peer for what is newer than the given revisions.
+// SyncRequest asks a peer for the settings and the directory if they are newer than the given revisions.
 type SyncRequest struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -283,18 +276,18 @@
 	Directory uint64
 }
 
-// SyncResponse answers a SyncRequest. What is not newer is left out.
+// SyncResponse answers a SyncRequest. It leaves out settings and directory if they are not newer.
 type SyncResponse struct {
 	_ struct{} `cbor:",toarray"`
 
-	// Settings is a configuration as the deployment writes it, compressed against the one of
-	// revision Base, or by itself if Base is 0.
+	// Settings is a configuration in the deployment's format, compressed with that of revision Base as its base, or
+	// without a base if Base is 0.
 	Settings []byte
 	Base     uint64
 	Snapshot *DirectorySnapshot
 }
 
-// size returns about the number of bytes of the response.
+// size returns the approximate number of bytes of the response.
 func (r *SyncResponse) size() int {
 	size := len(r.Settings)
 	if r.Snapshot != nil {
@@ -307,14 +300,14 @@
 type DirectorySnapshot struct {
 	_ struct{} `cbor:",toarray"`
 
-	// Revision is the state up to which all changes are known, Changed the newest change.
+	// Revision is the revision up to which all changes are included, Changed the revision of the newest change.
 	Revision uint64
 	Changed  uint64
-	// Entries is a list of EndpointChange in CBOR, compressed by itself.
+	// Entries is a list of EndpointChange in CBOR, compressed without a base.
 	Entries []byte
 }
 
-// ChangesRequest asks a peer for what has changed in the directory after a revision.
+// ChangesRequest asks a peer for the changes of the directory after a revision.
 type ChangesRequest struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -325,13 +318,13 @@
 type ChangesResponse struct {
 	_ struct{} `cbor:",toarray"`
 
-	// IsKnown is set if the peer still has all changes since then.
+	// IsKnown is set if the peer still has all changes since the requested revision.
 	IsKnown bool
-	// From is the revision that was asked for, To the one that the changes lead to.
+	// From is the requested revision, To the revision after the changes.
 	From uint64
 	To   uint64
-	// Entries and States are lists of EndpointChange in CBOR, compressed by themselves. Of those in States only the
-	// state has changed, and all else but the ID is left out.
+	// Entries and States are lists of EndpointChange in CBOR, compressed without a base. States holds the entries of which
+	// only the state has changed; they contain the ID and the state alone.
 	Entries []byte
 	States  []byte
 }
@@ -339,10 +332,10 @@
 // rpcChanges is the name of the call that takes a ChangesRequest.
 const rpcChanges = "oxbowslip/changes"
 
-// rpcSync is the name of the call that takes a SyncRequest. It stays as it was first named.
+// rpcSync is the name of the call that takes a SyncRequest. Hosts of older versions use it, so it must not change.
 const rpcSync = "oxbowslip/news"
 
-// encoding is CBOR for drpc.
+// encoding encodes the messages of drpc as CBOR.
 type encoding struct{}
 
 // Marshal encodes a message.
--- a/internal/front/gossip/share_test.go
+++ b/internal/front/gossip/share_test.go
@@ -15,7 +15,7 @@
 	"oxbowslip.dev/oxbowslip/internal/front/keys"
 )
 
-// addRemoteZoneMembers adds members of another zone to a host's view, so that its fleet has aggregators. Nobody listens at
+// addRemoteZoneMembers adds members of another zone to a host's view, so that it uses aggregators. No host listens at
 // their addresses.
 func (n *node) addRemoteZoneMembers() {
 	g := n.gossip
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestLargeFleetSharesWorkThroughAggregators starts three hosts of a zone. Each gets a sum that counts its own
-// work, and goes on getting one when the aggregator leaves.
+// TestLargeFleetSharesWorkThroughAggregators starts three hosts in a zone. Each must receive sums that include its own
+// work, and must keep receiving them after the aggregator leaves.
 func TestLargeFleetSharesWorkThroughAggregators(t *testing.T) {
 	c := qt.New(t)
 	hosts := map[string]*node{"a": startNode(c, "a")}
@@ -49,7 +49,7 @@
 		}
 	}
 	for _, n := range hosts {
-		eventually(c, "the sum counts this host", counted(n))
+		eventually(c, "the sum includes this host", counted(n))
 	}
 	primary := func(n *node) string {
 		n.gossip.mu.Lock()
@@ -63,26 +63,27 @@
 		if name == first {
 			continue
 		}
-		eventually(c, "another aggregator is chosen", func() bool { return primary(n) != first })
+		eventually(c, "another aggregator is picked", func() bool { return primary(n) != first })
 		before := 0
 		n.with(func() bool { before = n.fleetSums; return true })
-		eventually(c, "its sums come", func() bool { return n.with(func() bool { return n.fleetSums > before+1 }) })
+		eventually(c, "the new aggregator's sums arrive", func() bool { return n.with(func() bool { return n.fleetSums > before+1 }) })
 	}
 }
 
-// TestMessagesOfOtherZonesAndUnknownHostsAreIgnored sends a contribution and a sum from unknown hosts and from another zone.
+// TestMessagesOfOtherZonesAndUnknownHostsAreIgnored checks that contributions of other zones and messages of unknown
+// hosts are dropped.
 func TestMessagesOfOtherZonesAndUnknownHostsAreIgnored(t *testing.T) {
 	tests := map[string]struct {
 		message any
 		counts  bool
 	}{
-		"work of an unknown host":       {&Contribution{Incarnation: 99, WantsSums: true}, false},
-		"work of another zone":          {&Contribution{Incarnation: 2, WantsSums: true}, false},
-		"work of this zone":             {&Contribution{Incarnation: 1, WantsSums: true}, true},
-		"a sum from an unknown host":    {&FleetSum{Incarnation: 99, Parts: 1}, false},
-		"a sum of an aggregator":        {&FleetSum{Incarnation: 1, Parts: 1}, true},
-		"a zone's sum of an unknown":    {&ZoneSum{Incarnation: 99, Parts: 1}, false},
-		"a zone's sum of an aggregator": {&ZoneSum{Incarnation: 2, Parts: 1}, true},
+		"contribution of an unknown host": {&Contribution{Incarnation: 99, WantsSums: true}, false},
+		"contribution of another zone":    {&Contribution{Incarnation: 2, WantsSums: true}, false},
+		"contribution of this zone":       {&Contribution{Incarnation: 1, WantsSums: true}, true},
+		"fleet sum of an unknown host":    {&FleetSum{Incarnation: 99, Parts: 1}, false},
+		"fleet sum of an aggregator":      {&FleetSum{Incarnation: 1, Parts: 1}, true},
+		"zone sum of an unknown host":     {&ZoneSum{Incarnation: 99, Parts: 1}, false},
+		"zone sum of an aggregator":       {&ZoneSum{Incarnation: 2, Parts: 1}, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -106,7 +107,7 @@
 	}
 }
 
-// TestOutOfOrderFleetSumsAreIgnored sends sums out of order: the older one must not replace the newer.
+// TestOutOfOrderFleetSumsAreIgnored checks that an older sum that arrives late does not replace a newer one.
 func TestOutOfOrderFleetSumsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	host := &node{}
@@ -115,10 +116,10 @@
 	for _, sequence := range []uint64{2, 1, 2, 3} {
 		g.handleFleetSum(&FleetSum{Incarnation: 1, Sequence: sequence, Parts: 2})
 	}
-	c.Check(host.fleetSums, qt.Equals, 3, qt.Commentf("the parts of one sum have the same number"))
+	c.Check(host.fleetSums, qt.Equals, 3, qt.Commentf("the parts of a sum share a sequence number"))
 }
 
-// TestHostsSettleWhenNoPeersJoin checks when a host takes its place in the order of its peers.
+// TestHostsSettleWhenNoPeersJoin checks when a host relies on its place in the order of hosts.
 func TestHostsSettleWhenNoPeersJoin(t *testing.T) {
 	c := qt.New(t)
 	now := start
@@ -133,17 +134,16 @@
 	c.Check(g.Settled(), qt.IsFalse)
 	join(2)
 	now = now.Add(joinQuietTime - time.Millisecond)
-	c.Check(g.Settled(), qt.IsFalse, qt.Commentf("one has joined since"))
+	c.Check(g.Settled(), qt.IsFalse, qt.Commentf("a peer has joined since"))
 	now = now.Add(time.Millisecond)
 	c.Check(g.Settled(), qt.IsTrue)
 	join(3)
 	c.Check(g.Settled(), qt.IsFalse)
 	now = start.Add(maxSettleTime)
-	c.Check(g.Settled(), qt.IsTrue, qt.Commentf("peers may join all the time"))
+	c.Check(g.Settled(), qt.IsTrue, qt.Commentf("peers keep joining"))
 }
 
-// TestShareBytes measures the messages through aggregators, and bounds them: with 320 endpoints and all holders, a
-// sum must fit a datagram.
+// TestShareBytes bounds the size of fleet sums: with 320 endpoints and all holders, a sum must fit a datagram.
 func TestShareBytes(t *testing.T) {
 	c := qt.New(t)
 	size := func(endpoints, holders, hosts int) int {
@@ -165,8 +165,8 @@
 		return len(data)
 	}
 	empty := size(0, 0, 0)
-	t.Logf("empty %d B, an endpoint %d B, a holder %d B, a host of the zone %d B", empty,
+	t.Logf("empty %d B, per endpoint %d B, per holder %d B, per host of the zone %d B", empty,
 		(size(100, 0, 0)-empty)/100, (size(0, 100, 0)-empty)/100, (size(0, 0, 100)-empty)/100)
 	c.Check(size(320, 400, 60) < 8192, qt.IsTrue)
-	c.Check(size(1000, 400, 60) < maxDatagram, qt.IsTrue, qt.Commentf("a whole part"))
+	c.Check(size(1000, 400, 60) < maxDatagram, qt.IsTrue, qt.Commentf("a full part"))
 }
