--- a/internal/front/gossip/gossip_test.go
+++ b/internal/front/gossip/gossip_test.go
@@ -37,7 +37,7 @@
 		heartbeats []received
 		live       int
 	}{
-		"an announced sender is added":                {[]received{{Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)}, true, true}, {Heartbeat{Incarnation: 1, Sequence: 2}, false, true}}, 1},
+		"announced": {[]received{{Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)}, true, true}, {Heartbeat{Incarnation: 1, Sequence: 2}, false, true}}, 1},
 		"a heartbeat of an unknown sender is ignored": {[]received{{Heartbeat{Incarnation: 1, Sequence: 1}, false, false}}, 0},
 		"the host's own announcement is ignored":      {[]received{{Heartbeat{Incarnation: 9, Sequence: 1, Announcement: announcement("self", 1)}, false, false}}, 0},
 		"an outdated heartbeat is ignored": {[]received{
--- a/internal/front/gossip/members.go
+++ b/internal/front/gossip/members.go
@@ -66,12 +66,12 @@
 
 // AddContact adds an address at which a host may listen, or renews it.
 func (m *Members) AddContact(now time.Time, address string) {
-	known, ok := m.contacts[address]
+	entry, ok := m.contacts[address]
 	if !ok {
-		known = new(contact)
-		m.contacts[address] = known
+		entry = new(contact)
+		m.contacts[address] = entry
 	}
-	known.lastNamedAt = now
+	entry.lastNamedAt = now
 }
 
 // ApplyHeartbeat applies a heartbeat and returns its sender. Counts is false if the heartbeat is this host's own, is not
@@ -80,23 +80,23 @@
 	if h.Announcement != nil {
 		isNew = m.applyAnnouncement(now, h)
 	}
-	known, ok := m.byIncarnation(h.Incarnation)
-	if !ok || h.Sequence <= known.sequence {
+	sender, ok := m.byIncarnation(h.Incarnation)
+	if !ok || h.Sequence <= sender.sequence {
 		return Member{}, false, false
 	}
-	known.sequence, known.lastSeen = h.Sequence, now
-	known.Settings, known.Directory, known.readsStore = h.Settings, h.Directory, h.ReadsStore
+	sender.sequence, sender.lastSeen = h.Sequence, now
+	sender.Settings, sender.Directory, sender.readsStore = h.Settings, h.Directory, h.ReadsStore
 	if h.Leaving {
-		m.drop(known.Name)
-		delete(m.contacts, known.Address)
+		m.drop(sender.Name)
+		delete(m.contacts, sender.Address)
 	}
-	return *known, isNew, true
+	return *sender, isNew, true
 }
 
 // byIncarnation returns the member with a current incarnation.
 func (m *Members) byIncarnation(incarnation uint32) (*Member, bool) {
-	known, ok := m.live[m.nameByIncarnation[incarnation]]
-	return known, ok && known.incarnation == incarnation
+	member, ok := m.live[m.nameByIncarnation[incarnation]]
+	return member, ok && member.incarnation == incarnation
 }
 
 // applyAnnouncement applies an announcement. It reports whether it adds a member or a new incarnation of one.
@@ -105,15 +105,15 @@
 	if a.Host == m.self {
 		return false
 	}
-	known, ok := m.live[a.Host]
-	if ok && a.Start < known.startNanos {
+	member, ok := m.live[a.Host]
+	if ok && a.Start < member.startNanos {
 		return false
 	}
 	for _, address := range a.KnownAddresses {
 		m.AddContact(now, address)
 	}
 	m.AddContact(now, a.Address)
-	if ok && known.incarnation == h.Incarnation {
+	if ok && member.incarnation == h.Incarnation {
 		return false
 	}
 	m.drop(a.Host)
@@ -124,25 +124,25 @@
 
 // ApplyReport records a report. It returns its sender, and whether the report is newer than the sender's last one.
 func (m *Members) ApplyReport(r *Report) (name string, counts bool) {
-	known, ok := m.byIncarnation(r.Incarnation)
-	if !ok || r.Sequence <= known.lastReport {
+	sender, ok := m.byIncarnation(r.Incarnation)
+	if !ok || r.Sequence <= sender.lastReport {
 		return "", false
 	}
-	known.lastReport = r.Sequence
-	return known.Name, true
+	sender.lastReport = r.Sequence
+	return sender.Name, true
 }
 
 // ApplyContribution records a contribution. It returns its sender, and whether the sender is a member of this host's
 // zone.
 func (m *Members) ApplyContribution(now time.Time, c *Contribution) (name string, counts bool) {
-	known, ok := m.byIncarnation(c.Incarnation)
-	if !ok || known.Zone != m.zone {
+	sender, ok := m.byIncarnation(c.Incarnation)
+	if !ok || sender.Zone != m.zone {
 		return "", false
 	}
 	if c.WantsSums {
-		known.wantsSumsUntil = now.Add(aggregate.WorkTimeout)
+		sender.wantsSumsUntil = now.Add(aggregate.WorkTimeout)
 	}
-	return known.Name, true
+	return sender.Name, true
 }
 
 // ApplyZoneSum records a sum over a zone. It returns its sender, and whether the sender is a member.
@@ -158,12 +158,12 @@
 // ApplyFleetSum records a sum over all hosts. It returns its sender, and whether the sum is at least as new as the
 // sender's last one; the parts of a sum share a sequence number.
 func (m *Members) ApplyFleetSum(s *FleetSum) (name string, counts bool) {
-	known, ok := m.byIncarnation(s.Incarnation)
-	if !ok || s.Sequence < known.lastFleetSum {
+	sender, ok := m.byIncarnation(s.Incarnation)
+	if !ok || s.Sequence < sender.lastFleetSum {
 		return "", false
 	}
-	known.lastFleetSum = s.Sequence
-	return known.Name, true
+	sender.lastFleetSum = s.Sequence
+	return sender.Name, true
 }
 
 // Zones returns the zones of the members in no particular order.
@@ -232,8 +232,8 @@
 // Expire removes the members without a heartbeat for longer than a limit, and returns their names. It also removes the
 // addresses that no host has named for contactTimeout.
 func (m *Members) Expire(now time.Time, limit time.Duration) []string {
-	for address, known := range m.contacts {
-		if now.Sub(known.lastNamedAt) > contactTimeout {
+	for address, entry := range m.contacts {
+		if now.Sub(entry.lastNamedAt) > contactTimeout {
 			delete(m.contacts, address)
 		}
 	}
@@ -278,12 +278,12 @@
 		ofMembers[member.Address] = true
 	}
 	var addresses []string
-	for address, known := range m.contacts {
-		wanted := known.hasUnknownSender || !ofMembers[address]
-		if !wanted || (!known.lastTriedAt.IsZero() && now.Sub(known.lastTriedAt) < contactInterval) {
+	for address, entry := range m.contacts {
+		wanted := entry.hasUnknownSender || !ofMembers[address]
+		if !wanted || (!entry.lastTriedAt.IsZero() && now.Sub(entry.lastTriedAt) < contactInterval) {
 			continue
 		}
-		known.lastTriedAt, known.hasUnknownSender = now, false
+		entry.lastTriedAt, entry.hasUnknownSender = now, false
 		addresses = append(addresses, address)
 	}
 	slices.Sort(addresses)
