--- a/internal/front/envelope/envelope.go
+++ b/internal/front/envelope/envelope.go
@@ -18,19 +18,19 @@
 	KindLeaving Kind = 4
 	// KindRejections reports the rejections of requests by endpoints.
 	KindRejections Kind = 5
-	// KindLimits lists the limits that endpoints name. KindPermitAsk asks for a permit to send a request to an endpoint
+	// KindLimits lists the limits that endpoints name. KindPermitRequest asks for a permit to send a request to an endpoint
 	// with a limit, KindPermitReply answers.
 	KindLimits      Kind = 6
-	KindPermitAsk   Kind = 7
+	KindPermitRequest   Kind = 7
 	KindPermitReply Kind = 8
 	// KindFailures reports failures of endpoints.
 	KindFailures Kind = 9
 	// KindConfirmation is a confirmation in an era of the store after the first.
 	KindConfirmation Kind = 10
-	// KindFixedReports carries usage reports that must not change any more, KindAskFixed asks a host for those that it
+	// KindFixedReports carries usage reports that must not change any more, KindFixedReportsRequest asks a host for those that it
 	// has.
 	KindFixedReports Kind = 11
-	KindAskFixed     Kind = 12
+	KindFixedReportsRequest     Kind = 12
 )
 
 // Sender identifies the host that sent a message.
--- a/internal/front/fx.go
+++ b/internal/front/fx.go
@@ -238,7 +238,7 @@
 		},
 		Host: sync, Network: p.Network, Log: logging.Part(p.Log, "peers"), Clock: p.Clock, Random: p.Random, CountSent: p.Counters.SentToPeers,
 	})
-	g.Handle(envelope.KindPermitAsk, p.Limiter.ReceivedAsk)
+	g.Handle(envelope.KindPermitRequest, p.Limiter.ReceivedAsk)
 	g.Handle(envelope.KindPermitReply, p.Limiter.ReceivedReply)
 	p.Late.gossip.Store(g)
 	p.Late.sync.Store(sync)
--- a/internal/front/leading.go
+++ b/internal/front/leading.go
@@ -86,7 +86,7 @@
 		parts.Announced = l.reporter.Announced
 		p.Gossip.Handle(envelope.KindUsage, l.reporter.Received)
 		p.Gossip.Handle(envelope.KindFixedReports, l.reporter.ReceivedFixed)
-		p.Gossip.Handle(envelope.KindAskFixed, l.reporter.ReceivedAsk)
+		p.Gossip.Handle(envelope.KindFixedReportsRequest, l.reporter.ReceivedAsk)
 	}
 	if provider.Has(hostconfig.TaskAutoscale) {
 		inventory := capacity.NewInventory(p.Directory.IsLeaving)
--- a/internal/front/reporter/reporter_test.go
+++ b/internal/front/reporter/reporter_test.go
@@ -176,7 +176,7 @@
 		return
 	}
 	handle := map[envelope.Kind]envelope.Handler{
-		envelope.KindUsage: receiver.Received, envelope.KindFixedReports: receiver.ReceivedFixed, envelope.KindAskFixed: receiver.ReceivedAsk,
+		envelope.KindUsage: receiver.Received, envelope.KindFixedReports: receiver.ReceivedFixed, envelope.KindFixedReportsRequest: receiver.ReceivedAsk,
 	}[kind]
 	handle(envelope.Sender{Host: h.name, Incarnation: 1}, body)
 }
