--- a/internal/front/envelope/envelope.go
+++ b/internal/front/envelope/envelope.go
@@ -20,17 +20,17 @@
 	KindRejections Kind = 5
 	// KindLimits lists the limits that endpoints name. KindPermitRequest asks for a permit to send a request to an endpoint
 	// with a limit, KindPermitReply answers.
-	KindLimits      Kind = 6
-	KindPermitRequest   Kind = 7
-	KindPermitReply Kind = 8
+	KindLimits        Kind = 6
+	KindPermitRequest Kind = 7
+	KindPermitReply   Kind = 8
 	// KindFailures reports failures of endpoints.
 	KindFailures Kind = 9
 	// KindConfirmation is a confirmation in an era of the store after the first.
 	KindConfirmation Kind = 10
 	// KindFixedReports carries usage reports that must not change any more, KindFixedReportsRequest asks a host for those that it
 	// has.
-	KindFixedReports Kind = 11
-	KindFixedReportsRequest     Kind = 12
+	KindFixedReports        Kind = 11
+	KindFixedReportsRequest Kind = 12
 )
 
 // Sender identifies the host that sent a message.
