--- a/internal/front/relay/attempt.go
+++ b/internal/front/relay/attempt.go
@@ -69,7 +69,7 @@
 
 // attempt makes one try at an endpoint.
 func (x *exchange) attempt(ctx context.Context, a *owner.Attempt) owner.Result {
-	ctx, watch := httprelay.WatchSilence(ctx, beforeAnswer(&x.policy, a), owner.ErrStalled)
+	ctx, watch := httprelay.WithIdleTimeout(ctx, beforeAnswer(&x.policy, a), owner.ErrStalled)
 	defer watch.Stop()
 	answer, err := x.server.parts.Client.Do(ctx, x.upstreamCall(a))
 	if errors.Is(err, upstream.ErrWithheld) {
