--- a/internal/front/relay/attempt.go
+++ b/internal/front/relay/attempt.go
@@ -23,15 +23,15 @@
 	// maxDials bounds the endpoints of one request that may turn out to be unreachable without counting as tries. A
 	// request that finds two endpoints dead in a row has used up most of a short target.
 	maxDials = 2
-	// maxPlainBytes bounds a plain answer, which is held in memory until it is whole. Plain answers of the users have
+	// maxPlainAnswerBytes bounds a plain answer, which is held in memory until it is whole. Plain answers of the users have
 	// 800 bytes.
-	maxPlainBytes = 16 << 20
-	// headerLastID carries the ID of the last event that the caller got (Server-Sent Events).
-	headerLastID = "Last-Event-Id"
+	maxPlainAnswerBytes = 16 << 20
+	// headerLastEventID carries the ID of the last event that the caller got (Server-Sent Events).
+	headerLastEventID = "Last-Event-Id"
 )
 
-// job describes the request for its owner.
-func (x *exchange) job() *owner.Job {
+// newJob describes the request for its owner.
+func (x *exchange) newJob() *owner.Job {
 	return &owner.Job{
 		Request: x.admissionRequest(),
 		Shard:   x.service,
@@ -39,7 +39,7 @@
 			Repeatable: x.policy.Repeatable, MaxTries: x.policy.MaxTries, MaxDials: maxDials, ResendNotStarted: true,
 		},
 		BudgetGroup: x.service,
-		Deadline:    x.limit,
+		Deadline:    x.deadline,
 		CanContinue: x.policy.Resumable,
 		IsPoison:    func() bool { return x.server.parts.Poison.IsPoison(x.key) },
 		Attempt:     x.attempt,
@@ -69,36 +69,36 @@
 
 // attempt makes one try at an endpoint.
 func (x *exchange) attempt(ctx context.Context, a *owner.Attempt) owner.Result {
-	ctx, watch := httprelay.WithIdleTimeout(ctx, beforeAnswer(&x.policy, a), owner.ErrStalled)
+	ctx, watch := httprelay.WithIdleTimeout(ctx, answerTimeout(&x.policy, a), owner.ErrStalled)
 	defer watch.Stop()
 	answer, err := x.server.parts.Client.Do(ctx, x.upstreamCall(a))
 	if errors.Is(err, upstream.ErrWithheld) {
 		return owner.Result{Event: request.EventWithheld, Err: err}
 	}
 	if err != nil {
-		x.failed(ctx, a, err)
+		x.reportFailure(ctx, a, err)
 		if errors.Is(err, request.ErrNotSent) {
 			return owner.Result{Event: request.EventDialFailed, Err: err}
 		}
-		x.broke(ctx, a, !x.policy.Stream)
+		x.reportBroken(ctx, a, !x.policy.Stream)
 		return owner.Result{Event: request.EventBroken, Err: err}
 	}
 	defer answer.Close()
-	x.noteSignal(a, answer)
+	x.recordSignal(a, answer)
 	if x.server.parts.Dialect.IsNotStarted(answer.Status, answer.Header) {
-		return x.notStarted(a, answer)
+		return x.handleNotStarted(a, answer)
 	}
 	if x.policy.Stream && answer.Status == http.StatusOK {
-		watch.SetLimit(ctx, betweenEvents(&x.policy, a))
+		watch.SetLimit(ctx, eventTimeout(&x.policy, a))
 		return x.relayStream(ctx, a, answer, watch)
 	}
-	return x.holdPlain(ctx, a, answer)
+	return x.relayPlain(ctx, a, answer)
 }
 
-// noteSignal notes what the head of an answer says of its endpoint, as soon as it has come: the store may be away when an
+// recordSignal notes what the head of an answer says of its endpoint, as soon as it has come: the store may be away when an
 // endpoint begins to leave, and the rest of an answer may never come. An answer of another endpoint at its address says
 // nothing of this one.
-func (x *exchange) noteSignal(a *owner.Attempt, answer *upstream.Answer) {
+func (x *exchange) recordSignal(a *owner.Attempt, answer *upstream.Answer) {
 	if x.server.parts.Dialect.IsOtherEndpoint(answer.Status) {
 		return
 	}
@@ -109,32 +109,32 @@
 	})
 }
 
-// failed reports an endpoint's failure, unless the request itself was ended. Silence is a
+// reportFailure reports an endpoint's failure, unless the request itself was ended. Silence is a
 // failure too.
-func (x *exchange) failed(ctx context.Context, a *owner.Attempt, cause error) {
+func (x *exchange) reportFailure(ctx context.Context, a *owner.Attempt, cause error) {
 	if ctx.Err() == nil || errors.Is(context.Cause(ctx), owner.ErrStalled) {
 		x.server.parts.Health.Failed(a.EndpointID, !errors.Is(cause, request.ErrNotSent), cause)
 	}
 }
 
-// broke reports a call that was sent and broken by its endpoint, which may have ended under it. Begun is set if the
+// reportBroken reports a call that was sent and broken by its endpoint, which may have ended under it. Begun is set if the
 // endpoint had begun to answer, or would not have said so. A call that was ended from here proves nothing.
-func (x *exchange) broke(ctx context.Context, a *owner.Attempt, begun bool) {
+func (x *exchange) reportBroken(ctx context.Context, a *owner.Attempt, begun bool) {
 	if ctx.Err() == nil {
 		x.server.parts.Poison.Broke(&poison.Call{Request: x.key, Endpoint: a.EndpointID, Address: a.Endpoint.Address, Begun: begun})
 	}
 }
 
-// answered reports that an endpoint answered to the end.
-func (x *exchange) answered(a *owner.Attempt) {
+// reportAnswered reports that an endpoint answered to the end.
+func (x *exchange) reportAnswered(a *owner.Attempt) {
 	x.server.parts.Health.Answered(a.EndpointID)
 	x.server.parts.Poison.Answered(x.key)
 }
 
-func (x *exchange) notStarted(a *owner.Attempt, answer *upstream.Answer) owner.Result {
+func (x *exchange) handleNotStarted(a *owner.Attempt, answer *upstream.Answer) owner.Result {
 	// The rest of the answer is read so that the connection can be kept; if that fails, it is
 	// closed.
-	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxPlainBytes))
+	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxPlainAnswerBytes))
 	if x.server.parts.Dialect.IsOtherEndpoint(answer.Status) {
 		x.server.parts.Health.Failed(a.EndpointID, false, errors.New("another endpoint has its address"))
 	}
@@ -144,10 +144,10 @@
 func (x *exchange) upstreamCall(a *owner.Attempt) *upstream.Call {
 	header := x.server.parts.Dialect.EndpointHeader(x.r.Header, Send{
 		EndpointID: a.EndpointID, Workspace: x.workspace, Tier: x.policy.Tier, Urgency: x.policy.Urgency, FetchFrom: a.FetchFrom,
-		TimeLeft: x.limit.Sub(x.server.parts.Clock.Now()),
+		TimeLeft: x.deadline.Sub(x.server.parts.Clock.Now()),
 	})
 	if x.stream.lastID != "" {
-		header.Set(headerLastID, x.stream.lastID)
+		header.Set(headerLastEventID, x.stream.lastID)
 	}
 	return &upstream.Call{
 		Address: a.Endpoint.Address, ID: x.call.ID, Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host,
@@ -168,24 +168,24 @@
 	}
 }
 
-// holdPlain reads a plain answer whole before any of it is passed on, so that a broken one can
+// relayPlain reads a plain answer whole before any of it is passed on, so that a broken one can
 // be told from a whole one.
-func (x *exchange) holdPlain(ctx context.Context, a *owner.Attempt, answer *upstream.Answer) owner.Result {
-	x.began()
-	body, err := io.ReadAll(io.LimitReader(answer, maxPlainBytes+1))
-	if err == nil && len(body) > maxPlainBytes {
+func (x *exchange) relayPlain(ctx context.Context, a *owner.Attempt, answer *upstream.Answer) owner.Result {
+	x.countRun()
+	body, err := io.ReadAll(io.LimitReader(answer, maxPlainAnswerBytes+1))
+	if err == nil && len(body) > maxPlainAnswerBytes {
 		err = errors.New("answer too large")
 	}
 	if err != nil {
-		x.failed(ctx, a, err)
-		x.broke(ctx, a, true)
+		x.reportFailure(ctx, a, err)
+		x.reportBroken(ctx, a, true)
 		return owner.Result{Event: request.EventBroken, Err: err}
 	}
 	held := &httprelay.HeldAnswer{Status: answer.Status, Header: answer.Header, Body: body}
 	if answer.Status >= http.StatusInternalServerError || answer.Status == http.StatusTooManyRequests {
-		return x.serverFault(held)
+		return x.keepServerError(held)
 	}
-	x.answered(a)
+	x.reportAnswered(a)
 	if !a.Deliver() {
 		return owner.Result{Event: request.EventBroken}
 	}
@@ -193,12 +193,12 @@
 	return owner.Result{Event: request.EventWhole}
 }
 
-// serverFault keeps an endpoint's failure, to be passed on if nothing better comes. A status
+// keepServerError keeps an endpoint's failure, to be passed on if nothing better comes. A status
 // that promises that the request did not run is not passed on: the endpoint did not say so in
 // the way that counts.
-func (x *exchange) serverFault(held *httprelay.HeldAnswer) owner.Result {
+func (x *exchange) keepServerError(held *httprelay.HeldAnswer) owner.Result {
 	if held.Status != http.StatusServiceUnavailable && held.Status != http.StatusTooManyRequests {
-		x.failure = held
+		x.serverError = held
 	}
 	return owner.Result{Event: request.EventBroken, Err: errors.New("endpoint answered " + strconv.Itoa(held.Status))}
 }
--- a/internal/front/relay/exchange.go
+++ b/internal/front/relay/exchange.go
@@ -33,20 +33,20 @@
 	body    []byte
 	// key is the same for each request that asks for the same.
 	key keys.Request
-	// limit is when the request's time is over.
-	limit time.Time
+	// deadline is when the request's time is over.
+	deadline time.Time
 
 	stream streamState
-	// counted is set once the meter has counted the request.
-	counted bool
+	// isCounted is set once the meter has counted the request.
+	isCounted bool
 	// sentAt is when the last attempt was sent.
 	sentAt time.Time
 	// signal is what the last answer said of its endpoint.
 	signal pushback.Signal
 	// answer is the whole answer for the caller, failure an endpoint's own failure that is
 	// passed on if nothing better comes.
-	answer  *httprelay.HeldAnswer
-	failure *httprelay.HeldAnswer
+	answer      *httprelay.HeldAnswer
+	serverError *httprelay.HeldAnswer
 }
 
 // prepare finds out what the request is and whether it may run, and reads its body. It returns
@@ -65,10 +65,10 @@
 	}
 	x.revision, x.age = current.Number, x.server.parts.Freshness.Age(freshness.Settings)
 	x.server.parts.Counters.DecidedAt(x.age)
-	if refusal := x.classify(current.Tree); refusal != nil {
+	if refusal := x.resolveRoute(current.Tree); refusal != nil {
 		return refusal
 	}
-	x.limit = x.arrived.Add(timeLimit(x.policy.TimeLimit, x.call.MaxWait))
+	x.deadline = x.arrived.Add(timeLimit(x.policy.TimeLimit, x.call.MaxWait))
 	var refusal *request.Refusal
 	x.body, refusal = httprelay.ReadBody(x.w, x.r, int64(x.policy.MaxBodyBytes), x.server.parts.Timeouts.Read)
 	x.key = keys.OfRequest(&keys.Identity{
@@ -86,8 +86,8 @@
 	return class
 }
 
-// classify finds the route, the workspace and the settings that apply to them.
-func (x *exchange) classify(tree *settings.Tree) *request.Refusal {
+// resolveRoute finds the route, the workspace and the settings that apply to them.
+func (x *exchange) resolveRoute(tree *settings.Tree) *request.Refusal {
 	host, _, _ := strings.Cut(x.r.Host, ":")
 	route, ok := tree.RouteFor(host, x.r.URL.Path)
 	if !ok {
@@ -111,44 +111,44 @@
 // run leads the request through its attempts and answers the caller.
 func (x *exchange) run() {
 	p := &x.server.parts
-	ctx, cancel := p.Clock.WithDeadline(x.r.Context(), x.limit, owner.ErrTimeLimit)
+	ctx, cancel := p.Clock.WithDeadline(x.r.Context(), x.deadline, owner.ErrTimeLimit)
 	defer cancel()
-	job := x.job()
+	job := x.newJob()
 	end := p.Owner.Run(ctx, job)
 	if x.stream.events > 1 && end.Sends == 1 {
-		p.Health.Streamed(x.service, x.stream.observed())
+		p.Health.Streamed(x.service, x.stream.summary())
 	}
-	x.logEnd(&end)
+	x.logResult(&end)
 	switch end.Outcome {
 	case request.OutcomeAnswered:
 		if x.answer != nil {
 			x.answer.Send(x.w)
 		}
 		whole := p.Clock.Now().Sub(x.arrived)
-		p.Counters.Answered(x.route.Class, whole, x.attained(&end, whole), 0)
+		p.Counters.Answered(x.route.Class, whole, x.metTargets(&end, whole), 0)
 	case request.OutcomeBroken:
 		// net/http closes the connection without the end of the answer, so that the caller
 		// sees that it is cut.
 		panic(http.ErrAbortHandler)
 	case request.OutcomeRefused:
-		if x.failure != nil {
-			x.failure.Send(x.w)
+		if x.serverError != nil {
+			x.serverError.Send(x.w)
 			return
 		}
 		writeRefusal(x.w, x.call.ID, end.Refusal)
 	}
 }
 
-// began has the meter count the request, once.
-func (x *exchange) began() {
-	if !x.counted {
-		x.counted = true
+// countRun has the meter count the request, once.
+func (x *exchange) countRun() {
+	if !x.isCounted {
+		x.isCounted = true
 		x.server.parts.Meter.Began(x.workspace, x.server.parts.Clock.Now())
 	}
 }
 
-// attained reports whether an answer met the targets of its class.
-func (x *exchange) attained(end *owner.End, whole time.Duration) bool {
+// metTargets reports whether an answer met the targets of its class.
+func (x *exchange) metTargets(end *owner.End, whole time.Duration) bool {
 	if !x.policy.Stream {
 		return x.policy.WholeAnswer == 0 || whole <= x.policy.WholeAnswer
 	}
--- a/internal/front/relay/log.go
+++ b/internal/front/relay/log.go
@@ -15,13 +15,13 @@
 	}).Warn("refused before a decision")
 }
 
-// logEnd logs the end of a request with the figures that decided it. `oxbowslip logs` reads
+// logResult logs the end of a request with the figures that decided it. `oxbowslip logs` reads
 // these lines by their fields.
-func (x *exchange) logEnd(end *owner.End) {
+func (x *exchange) logResult(end *owner.End) {
 	leftOut := int64(0)
 	if end.Outcome == request.OutcomeAnswered && end.Tries <= 1 {
 		var ok bool
-		if leftOut, ok = x.server.answered.Allow(x.server.parts.Clock.Now()); !ok {
+		if leftOut, ok = x.server.answeredSampler.Allow(x.server.parts.Clock.Now()); !ok {
 			return
 		}
 	}
@@ -30,7 +30,7 @@
 		"service": x.service, "endpoint": end.Endpoint, "tries": end.Tries, "sends": end.Sends,
 		"revision": x.revision, "age_ms": x.age.Milliseconds(), "took_ms": x.server.parts.Clock.Now().Sub(x.arrived).Milliseconds(),
 		"first_ms": end.FirstToken.Milliseconds(), "events": x.stream.events, "pause_ms": x.stream.longestPause.Milliseconds(),
-		"prompt": x.call.PromptTokens, "prefix": x.sharedPart(), "steps": end.Steps,
+		"prompt": x.call.PromptTokens, "prefix": x.lastSharedPart(), "steps": end.Steps,
 	}
 	if x.signal.Leaving {
 		fields["endpoint_leaving"] = true
@@ -57,8 +57,8 @@
 	}
 }
 
-// sharedPart returns the ID of the last part of the prompt that other requests share.
-func (x *exchange) sharedPart() string {
+// lastSharedPart returns the ID of the last part of the prompt that other requests share.
+func (x *exchange) lastSharedPart() string {
 	if n := len(x.call.Parts); n > 1 {
 		return x.call.Parts[n-2].ID
 	}
--- a/internal/front/relay/panic_test.go
+++ b/internal/front/relay/panic_test.go
@@ -16,27 +16,27 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// failing is a dialect in which the program fails for one request.
-type failing struct{ Dialect }
+// panickingDialect is a dialect in which the program fails for one request.
+type panickingDialect struct{ Dialect }
 
 // ParseCall panics for the request with a bad ID.
-func (failing) ParseCall(r *http.Request) (Call, error) {
+func (panickingDialect) ParseCall(r *http.Request) (Call, error) {
 	if r.Header.Get(headerRequestID) == "bad" {
 		panic("an index out of range")
 	}
 	return Call{ID: r.Header.Get(headerRequestID)}, http.ErrNotSupported
 }
 
-// TestAPanicEndsOneRequest has the program fail in one request: its caller sees a cut, it is counted and logged, and the
+// TestPanicAbortsOnlyItsRequest has the program fail in one request: its caller sees a cut, it is counted and logged, and the
 // next request on the same host is answered.
-func TestAPanicEndsOneRequest(t *testing.T) {
+func TestPanicAbortsOnlyItsRequest(t *testing.T) {
 	c := qt.New(t)
 	var lines bytes.Buffer
 	log := logrus.New()
 	log.SetOutput(&lines)
 	count := counters.New()
 	server := httptest.NewUnstartedServer(New(Parts{
-		Dialect: failing{}, Counters: count, Log: logrus.NewEntry(log), Clock: clock.New(clock.NewSystem(), logrus.NewEntry(log)),
+		Dialect: panickingDialect{}, Counters: count, Log: logrus.NewEntry(log), Clock: clock.New(clock.NewSystem(), logrus.NewEntry(log)),
 	}))
 	server.Start()
 	defer server.Close()
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -96,19 +96,19 @@
 	Timeouts httprelay.Timeouts
 }
 
-// answeredLines bounds the log lines a second for requests that were answered at the first
+// maxAnsweredLines bounds the log lines a second for requests that were answered at the first
 // try; all others have a line each. Logs took 5.5 % of the hosts' processor time on a quiet day with it.
-const answeredLines = 50
+const maxAnsweredLines = 50
 
 // Server answers the callers of routes. It is an http.Handler.
 type Server struct {
-	parts    Parts
-	answered *logging.Sampler
+	parts           Parts
+	answeredSampler *logging.Sampler
 }
 
 // New returns a server.
 func New(parts Parts) *Server {
-	return &Server{parts: parts, answered: logging.NewSampler(answeredLines)}
+	return &Server{parts: parts, answeredSampler: logging.NewSampler(maxAnsweredLines)}
 }
 
 // recover ends a request in which the program has panicked, so that all others go on: its connection is cut, which
--- a/internal/front/relay/stream.go
+++ b/internal/front/relay/stream.go
@@ -20,14 +20,14 @@
 	// maxEventBytes bounds one event; a stream with a larger one counts as broken. Events of the users have up to 400
 	// bytes.
 	maxEventBytes = 256 << 10
-	// eventBuffer is the buffer that is allocated for each stream.
-	eventBuffer = 4 << 10
+	// eventBufferBytes is the buffer that is allocated for each stream.
+	eventBufferBytes = 4 << 10
 )
 
 // streamState is what is known of a stream over all its attempts.
 type streamState struct {
-	// started is set once the head went to the caller.
-	started bool
+	// isHeadSent is set once the head went to the caller.
+	isHeadSent bool
 	// events is the number of events that were passed on, lastID the ID of the last.
 	events  int
 	lastID  string
@@ -36,13 +36,13 @@
 	// longestPause is the longest time between two events, and beside the prompt tokens that the
 	// endpoint had to read when it ended.
 	longestPause time.Duration
-	beside       int
+	unreadTokens int
 }
 
-// observed returns what was seen of the stream.
-func (s *streamState) observed() engine.Stream {
+// summary returns what was seen of the stream.
+func (s *streamState) summary() engine.Stream {
 	return engine.Stream{
-		Events: s.events, Lasted: s.lastAt.Sub(s.firstAt), Longest: s.longestPause, Beside: s.beside,
+		Events: s.events, Lasted: s.lastAt.Sub(s.firstAt), Longest: s.longestPause, Beside: s.unreadTokens,
 	}
 }
 
@@ -50,38 +50,38 @@
 // caller does not read.
 func (x *exchange) relayStream(ctx context.Context, a *owner.Attempt, answer *upstream.Answer, watch *httprelay.IdleTimer) owner.Result {
 	scanner := bufio.NewScanner(answer)
-	scanner.Buffer(make([]byte, 0, eventBuffer), maxEventBytes)
+	scanner.Buffer(make([]byte, 0, eventBufferBytes), maxEventBytes)
 	scanner.Split(splitEvents)
 	for scanner.Scan() {
 		watch.Reset()
-		x.began()
+		x.countRun()
 		event := scanner.Bytes()
 		if !x.stream.isNext(eventID(event)) {
 			continue
 		}
-		if result := x.passOn(a, answer, event); result != nil {
+		if result := x.forwardEvent(a, answer, event); result != nil {
 			return *result
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		x.failed(ctx, a, err)
-		x.broke(ctx, a, true)
+		x.reportFailure(ctx, a, err)
+		x.reportBroken(ctx, a, true)
 		return owner.Result{Event: request.EventBroken, Err: err}
 	}
-	x.answered(a)
+	x.reportAnswered(a)
 	if !a.Deliver() {
 		return owner.Result{Event: request.EventBroken}
 	}
-	x.begin(answer)
+	x.sendHead(answer)
 	return owner.Result{Event: request.EventWhole}
 }
 
-// passOn sends one event to the caller. It returns a result if the attempt is over.
-func (x *exchange) passOn(a *owner.Attempt, answer *upstream.Answer, event []byte) *owner.Result {
+// forwardEvent sends one event to the caller. It returns a result if the attempt is over.
+func (x *exchange) forwardEvent(a *owner.Attempt, answer *upstream.Answer, event []byte) *owner.Result {
 	if !a.Deliver() {
 		return &owner.Result{Event: request.EventBroken}
 	}
-	x.begin(answer)
+	x.sendHead(answer)
 	control := http.NewResponseController(x.w)
 	// The writers of tests have no deadlines; those of net/http do.
 	_ = control.SetWriteDeadline(time.Now().Add(x.server.parts.Timeouts.Write))
@@ -91,27 +91,27 @@
 	if err := control.Flush(); err != nil {
 		return &owner.Result{Event: request.EventCallerGone, Err: err}
 	}
-	if x.stream.passed(x.server.parts.Clock.Now(), eventID(event)) {
-		x.stream.beside = x.server.parts.Health.Unread(a.EndpointID)
+	if x.stream.recordEvent(x.server.parts.Clock.Now(), eventID(event)) {
+		x.stream.unreadTokens = x.server.parts.Health.Unread(a.EndpointID)
 	}
 	a.Tokens(x.stream.events)
 	return nil
 }
 
-// begin sends the head of the answer, once: an answer that is resumed elsewhere keeps the head
+// sendHead sends the head of the answer, once: an answer that is resumed elsewhere keeps the head
 // of the endpoint that began it.
-func (x *exchange) begin(answer *upstream.Answer) {
-	if x.stream.started {
+func (x *exchange) sendHead(answer *upstream.Answer) {
+	if x.stream.isHeadSent {
 		return
 	}
-	x.stream.started = true
+	x.stream.isHeadSent = true
 	httprelay.CopyHeader(x.w.Header(), answer.Header)
 	x.w.WriteHeader(answer.Status)
 }
 
-// passed counts an event that went to the caller, and reports whether the pause before it was the
+// recordEvent counts an event that went to the caller, and reports whether the pause before it was the
 // longest.
-func (s *streamState) passed(now time.Time, id string) bool {
+func (s *streamState) recordEvent(now time.Time, id string) bool {
 	longest := false
 	if s.events == 0 {
 		s.firstAt = now
@@ -148,8 +148,8 @@
 	return ""
 }
 
-// errCutEvent is the error of a stream that ended inside an event.
-var errCutEvent = errors.New("the stream ended inside an event")
+// errTruncatedEvent is the error of a stream that ended inside an event.
+var errTruncatedEvent = errors.New("the stream ended inside an event")
 
 // splitEvents is a bufio.SplitFunc that returns whole events with their blank line, as they are
 // on the wire.
@@ -160,7 +160,7 @@
 		}
 	}
 	if atEOF && len(data) > 0 {
-		return 0, nil, errCutEvent
+		return 0, nil, errTruncatedEvent
 	}
 	return 0, nil, nil
 }
--- a/internal/front/upstream/connection.go
+++ b/internal/front/upstream/connection.go
@@ -19,25 +19,25 @@
 	keepAliveProbes = 2
 )
 
-// idleMargin is the part of the time that an endpoint keeps an idle connection for which it is used here. The endpoint
+// idleTimeShare is the part of the time that an endpoint keeps an idle connection for which it is used here. The endpoint
 // may close a little early, and a call that crosses the close fails.
-const idleMargin = 0.6
+const idleTimeShare = 0.6
 
 // connection is a connection to an endpoint, with a buffer for what was read ahead.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
-	// last is set if the endpoint closes the connection after its answer.
-	last bool
+	// isLast is set if the endpoint closes the connection after its answer.
+	isLast bool
 	// expires is when a kept connection is not used any more.
 	expires time.Time
 }
 
-// note records what an answer says about its connection.
-func (c *connection) note(response *http.Response, now time.Time, keepIdle time.Duration) {
-	c.last = response.Close
+// recordAnswer records what an answer says about its connection.
+func (c *connection) recordAnswer(response *http.Response, now time.Time, keepIdle time.Duration) {
+	c.isLast = response.Close
 	if stated, ok := keepAliveTimeout(response.Header.Get("Keep-Alive")); ok {
-		keepIdle = time.Duration(float64(stated) * idleMargin)
+		keepIdle = time.Duration(float64(stated) * idleTimeShare)
 	}
 	c.expires = now.Add(keepIdle)
 }
@@ -55,9 +55,9 @@
 	return 0, false
 }
 
-// quiet reports whether a kept connection is open with nothing to read. Bytes that are there
+// isQuiet reports whether a kept connection is open with nothing to read. Bytes that are there
 // belong to no call.
-func (c *connection) quiet() bool {
+func (c *connection) isQuiet() bool {
 	holder, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/front/upstream/pool.go
+++ b/internal/front/upstream/pool.go
@@ -15,11 +15,11 @@
 // connect returns a kept connection that still works, or makes one.
 func (c *Client) connect(ctx context.Context, call *Call) (*connection, error) {
 	for {
-		conn := c.take(call.Address)
+		conn := c.takeIdle(call.Address)
 		if conn == nil {
 			return c.dial(ctx, call)
 		}
-		if c.clock().Before(conn.expires) && conn.quiet() {
+		if c.clock().Before(conn.expires) && conn.isQuiet() {
 			return conn, nil
 		}
 		conn.Close()
@@ -29,7 +29,7 @@
 func (c *Client) dial(ctx context.Context, call *Call) (*connection, error) {
 	timeout := call.ConnectTimeout
 	if timeout == 0 {
-		timeout = defaultConnect
+		timeout = defaultConnectTimeout
 	}
 	dialer := &net.Dialer{
 		Timeout: timeout,
@@ -58,19 +58,19 @@
 	case err != nil:
 		return false, merry.Wrap(err)
 	}
-	c.keepUnused(address, conn)
+	c.putUnused(address, conn)
 	return false, nil
 }
 
-// keepUnused keeps a connection on which nothing was sent for a later call.
-func (c *Client) keepUnused(address string, conn *connection) {
+// putUnused keeps a connection on which nothing was sent for a later call.
+func (c *Client) putUnused(address string, conn *connection) {
 	if conn.expires.IsZero() {
 		conn.expires = c.clock().Add(c.config.KeepIdle)
 	}
-	c.keep(address, conn)
+	c.putIdle(address, conn)
 }
 
-func (c *Client) take(address string) *connection {
+func (c *Client) takeIdle(address string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	kept := c.idle[address]
@@ -82,10 +82,10 @@
 	return conn
 }
 
-func (c *Client) keep(address string, conn *connection) {
+func (c *Client) putIdle(address string, conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || len(c.idle[address]) >= idlePerAddress {
+	if c.closed || len(c.idle[address]) >= maxIdlePerAddress {
 		conn.Close()
 		return
 	}
--- a/internal/front/upstream/upstream.go
+++ b/internal/front/upstream/upstream.go
@@ -26,20 +26,20 @@
 )
 
 const (
-	// inlineBytes is the size up to which a call is written before its answer is read. Larger ones are written while
+	// maxInlineBytes is the size up to which a call is written before its answer is read. Larger ones are written while
 	// the answer is read, because an endpoint may answer before it has read them. It fits the send buffer of a
 	// connection.
-	inlineBytes = 4 << 10
-	// maxSurplus bounds the answers to other calls that are dropped in search of the right one. One at a time has been
+	maxInlineBytes = 4 << 10
+	// maxSurplusAnswers bounds the answers to other calls that are dropped in search of the right one. One at a time has been
 	// seen.
-	maxSurplus = 4
+	maxSurplusAnswers = 4
 	// readBufBytes is the read buffer of a connection.
 	readBufBytes = 8 << 10
-	// idlePerAddress bounds the kept connections to an endpoint. The users' endpoints take 100 to 370 connections from
+	// maxIdlePerAddress bounds the kept connections to an endpoint. The users' endpoints take 100 to 370 connections from
 	// all hosts together.
-	idlePerAddress = 16
-	// defaultConnect bounds connecting if a call does not say.
-	defaultConnect = time.Second
+	maxIdlePerAddress = 16
+	// defaultConnectTimeout bounds connecting if a call does not say.
+	defaultConnectTimeout = time.Second
 )
 
 // Call is one HTTP call to an endpoint.
@@ -69,9 +69,9 @@
 	// ends with its connection.
 	Framed bool
 
-	body     io.ReadCloser
-	exchange *exchange
-	whole    bool
+	body       io.ReadCloser
+	exchange   *exchange
+	isComplete bool
 }
 
 // Config is how a client recognises answers and keeps connections.
@@ -136,13 +136,13 @@
 		return nil, merry.Wrap(request.ErrNotSent, merry.WithCause(err), merry.AppendMessage(err.Error()))
 	}
 	if call.OnSend != nil && !call.OnSend() {
-		c.keepUnused(call.Address, conn)
+		c.putUnused(call.Address, conn)
 		return nil, merry.Wrap(ErrWithheld)
 	}
-	x := &exchange{client: c, conn: conn, address: call.Address, written: make(chan error, 1)}
-	x.stop = context.AfterFunc(ctx, func() { conn.Close() })
+	x := &exchange{client: c, conn: conn, address: call.Address, writeResult: make(chan error, 1)}
+	x.stopAbort = context.AfterFunc(ctx, func() { conn.Close() })
 	x.write(wire)
-	answer, err := x.read(call)
+	answer, err := x.readAnswer(call)
 	if err != nil {
 		x.abandon()
 		return nil, merry.Wrap(request.ErrBroken, merry.WithCause(err), merry.AppendMessage(err.Error()))
@@ -179,30 +179,30 @@
 
 // exchange is one call on one connection.
 type exchange struct {
-	client  *Client
-	conn    *connection
-	address string
-	stop    func() bool
-	written chan error
+	client      *Client
+	conn        *connection
+	address     string
+	stopAbort   func() bool
+	writeResult chan error
 }
 
 // write sends the call, in the background if it is large.
 func (x *exchange) write(wire []byte) {
-	if len(wire) <= inlineBytes {
+	if len(wire) <= maxInlineBytes {
 		_, err := x.conn.Write(wire)
-		x.written <- err
+		x.writeResult <- err
 		return
 	}
 	go func() {
 		_, err := x.conn.Write(wire)
-		x.written <- err
+		x.writeResult <- err
 	}()
 }
 
-// read finds the answer to the call. Answers to other calls are dropped.
-func (x *exchange) read(call *Call) (*Answer, error) {
+// readAnswer finds the answer to the call. Answers to other calls are dropped.
+func (x *exchange) readAnswer(call *Call) (*Answer, error) {
 	request := &http.Request{Method: call.Method}
-	for surplus := 0; surplus <= maxSurplus; {
+	for surplus := 0; surplus <= maxSurplusAnswers; {
 		response, err := http.ReadResponse(x.conn.reader, request)
 		if err != nil {
 			return nil, err
@@ -213,7 +213,7 @@
 		if x.client.config.AnswerID(response.Header) == call.ID {
 			return x.answer(response), nil
 		}
-		if !framed(response) {
+		if !isFramed(response) {
 			return nil, errors.New("an answer to another call without an end")
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
@@ -225,20 +225,20 @@
 }
 
 func (x *exchange) answer(response *http.Response) *Answer {
-	x.conn.note(response, x.client.clock(), x.client.config.KeepIdle)
+	x.conn.recordAnswer(response, x.client.clock(), x.client.config.KeepIdle)
 	return &Answer{
-		Status: response.StatusCode, Header: response.Header, Framed: framed(response),
+		Status: response.StatusCode, Header: response.Header, Framed: isFramed(response),
 		body: response.Body, exchange: x,
 	}
 }
 
-func framed(response *http.Response) bool {
+func isFramed(response *http.Response) bool {
 	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 }
 
 // abandon closes the connection, which makes the endpoint stop working on the call.
 func (x *exchange) abandon() {
-	x.stop()
+	x.stopAbort()
 	x.conn.Close()
 }
 
@@ -246,7 +246,7 @@
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if err == io.EOF {
-		a.whole = true
+		a.isComplete = true
 	}
 	return n, err
 }
@@ -255,12 +255,12 @@
 // left on it.
 func (a *Answer) Close() {
 	x := a.exchange
-	if !x.stop() || !a.whole || !a.Framed || x.conn.last || x.conn.reader.Buffered() > 0 {
+	if !x.stopAbort() || !a.isComplete || !a.Framed || x.conn.isLast || x.conn.reader.Buffered() > 0 {
 		x.conn.Close()
 		return
 	}
 	select {
-	case err := <-x.written:
+	case err := <-x.writeResult:
 		if err != nil {
 			x.conn.Close()
 			return
@@ -270,5 +270,5 @@
 		x.conn.Close()
 		return
 	}
-	x.client.keep(x.address, x.conn)
+	x.client.putIdle(x.address, x.conn)
 }
--- a/internal/front/upstream/upstream_test.go
+++ b/internal/front/upstream/upstream_test.go
@@ -24,19 +24,19 @@
 	return New(Config{AnswerID: func(h http.Header) string { return h.Get(headerID) }, KeepIdle: 10 * time.Second, DeadPeer: time.Second}, clock)
 }
 
-// peer is a server on bare connections. Each connection is served by the handler,
+// testServer is a server on bare connections. Each connection is served by the handler,
 // which gets the number of the connection.
-type peer struct {
+type testServer struct {
 	listener net.Listener
 	mu       sync.Mutex
 	accepted int
 }
 
-func startPeer(c *qt.C, serve func(number int, conn net.Conn, reader *bufio.Reader)) *peer {
+func startTestServer(c *qt.C, serve func(number int, conn net.Conn, reader *bufio.Reader)) *testServer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { listener.Close() })
-	p := &peer{listener: listener}
+	p := &testServer{listener: listener}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -56,11 +56,11 @@
 	return p
 }
 
-func (p *peer) call(id, body string) *Call {
+func (p *testServer) call(id, body string) *Call {
 	return &Call{Address: p.listener.Addr().String(), ID: id, Method: http.MethodPost, Target: "/x", Host: "h", Body: []byte(body)}
 }
 
-func (p *peer) connections() int {
+func (p *testServer) connections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.accepted
@@ -89,7 +89,7 @@
 	return "HTTP/1.1 200 OK\r\nX-Call: " + id + "\r\n" + strings.Join(headers, "") + "Content-Length: " + string(rune('0'+len(body))) + "\r\n\r\n" + body
 }
 
-func (p *peer) do(client *Client, call *Call) (string, error) {
+func (p *testServer) do(client *Client, call *Call) (string, error) {
 	answer, err := client.Do(context.Background(), call)
 	if err != nil {
 		return "", err
@@ -99,7 +99,7 @@
 	return string(body), err
 }
 
-func TestWhichConnectionsAreKept(t *testing.T) {
+func TestConnectionReuse(t *testing.T) {
 	tests := map[string]struct {
 		serve       func(int, net.Conn, *bufio.Reader)
 		connections int
@@ -123,7 +123,7 @@
 				}
 				test.serve(number, conn, reader)
 			}
-			p := startPeer(c, second)
+			p := startTestServer(c, second)
 			got, err := p.do(client, p.call("1", "hello"))
 			c.Assert(err, qt.IsNil)
 			c.Assert(got, qt.Equals, "a")
@@ -137,12 +137,12 @@
 	}
 }
 
-func TestAnEarlyAnswerToALargeCall(t *testing.T) {
+func TestEarlyAnswerToLargeCall(t *testing.T) {
 	c := qt.New(t)
 	client := newClient(time.Now)
 	c.Cleanup(client.Close)
 	// The endpoint answers after the head and reads nothing of the body.
-	p := startPeer(c, func(number int, conn net.Conn, reader *bufio.Reader) {
+	p := startTestServer(c, func(number int, conn net.Conn, reader *bufio.Reader) {
 		if number > 1 {
 			answers(answerText("2", "b"))(number, conn, reader)
 			return
@@ -165,7 +165,7 @@
 	c.Check(got, qt.Equals, "b")
 }
 
-func TestFailures(t *testing.T) {
+func TestBrokenAnswers(t *testing.T) {
 	tests := map[string]struct {
 		text string
 		want error
@@ -179,7 +179,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			client := newClient(time.Now)
-			p := startPeer(c, answers(test.text))
+			p := startTestServer(c, answers(test.text))
 			sent := false
 			call := p.call("1", "hello")
 			call.OnSend = func() bool { sent = true; return true }
@@ -191,11 +191,11 @@
 	}
 }
 
-// TestACallThatIsWithheld sends nothing, and keeps the connection for the next call.
-func TestACallThatIsWithheld(t *testing.T) {
+// TestWithheldCallSendsNothing sends nothing, and keeps the connection for the next call.
+func TestWithheldCallSendsNothing(t *testing.T) {
 	c := qt.New(t)
 	client := newClient(time.Now)
-	p := startPeer(c, answers("HTTP/1.1 200 OK\r\nX-Call: 2\r\nContent-Length: 1\r\n\r\nb"))
+	p := startTestServer(c, answers("HTTP/1.1 200 OK\r\nX-Call: 2\r\nContent-Length: 1\r\n\r\nb"))
 	call := p.call("1", "hello")
 	call.OnSend = func() bool { return false }
 	_, err := p.do(client, call)
@@ -207,7 +207,7 @@
 	c.Check(p.connections(), qt.Equals, 1)
 }
 
-func TestNobodyListens(t *testing.T) {
+func TestRefusedConnectionIsNotSent(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -218,13 +218,13 @@
 	c.Check(err, qt.ErrorMatches, "(?s).*refused.*")
 }
 
-func TestAnAnswerWithoutALengthEndsWithItsConnection(t *testing.T) {
+func TestAnswerWithoutLengthEndsWithConnection(t *testing.T) {
 	for name, reset := range map[string]bool{"closed": false, "reset": true} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			client := newClient(time.Now)
 			read := make(chan struct{})
-			p := startPeer(c, func(_ int, conn net.Conn, reader *bufio.Reader) {
+			p := startTestServer(c, func(_ int, conn net.Conn, reader *bufio.Reader) {
 				answers("HTTP/1.1 200 OK\r\nX-Call: 1\r\n\r\nbody")(1, conn, reader)
 				<-read
 				if reset {
@@ -245,11 +245,11 @@
 	}
 }
 
-func TestTheCallerGoesAway(t *testing.T) {
+func TestCancelledCallClosesConnection(t *testing.T) {
 	c := qt.New(t)
 	client := newClient(time.Now)
 	arrived, closed := make(chan struct{}), make(chan struct{})
-	p := startPeer(c, func(_ int, _ net.Conn, reader *bufio.Reader) {
+	p := startTestServer(c, func(_ int, _ net.Conn, reader *bufio.Reader) {
 		if _, err := http.ReadRequest(reader); err != nil {
 			return
 		}
@@ -269,12 +269,12 @@
 	<-closed
 }
 
-// TestTheKernelNoticesASilentPeer checks what finds out that an open connection has fallen silent, which loopback can't
+// TestKernelDetectsDeadPeer checks what finds out that an open connection has fallen silent, which loopback can't
 // show: unacknowledged bytes while something is sent, and probes while nothing is, be it in the pool, before
 // the answer or within a stream.
-func TestTheKernelNoticesASilentPeer(t *testing.T) {
+func TestKernelDetectsDeadPeer(t *testing.T) {
 	c := qt.New(t)
-	p := startPeer(c, func(_ int, _ net.Conn, reader *bufio.Reader) {
+	p := startTestServer(c, func(_ int, _ net.Conn, reader *bufio.Reader) {
 		// It ends when the client closes the connection.
 		_, _ = reader.ReadByte()
 	})
--- a/internal/httprelay/header.go
+++ b/internal/httprelay/header.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// hopHeaders hold for one connection only (RFC 9110, section 7.6.1), as does the length of
+// hopByHopHeaders hold for one connection only (RFC 9110, section 7.6.1), as does the length of
 // a body that is framed anew.
-var hopHeaders = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
@@ -24,7 +24,7 @@
 			to.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		to.Del(name)
 	}
 }
