--- a/internal/front/relay/attempt.go
+++ b/internal/front/relay/attempt.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	// maxDials bounds the endpoints of one request that may turn out to be unreachable without counting as tries. A
-	// request that finds two endpoints dead in a row has used up most of a short target.
+	// maxDials bounds the failed dials of a request that do not count as attempts. After two unreachable endpoints in a
+	// row, a request has used up most of a short latency target.
 	maxDials = 2
-	// maxPlainAnswerBytes bounds a plain answer, which is held in memory until it is whole. Plain answers of the users have
-	// 800 bytes.
+	// maxPlainAnswerBytes bounds a plain answer, which is buffered in memory until it is complete. Typical plain answers
+	// have 800 bytes.
 	maxPlainAnswerBytes = 16 << 20
-	// headerLastEventID carries the ID of the last event that the caller got (Server-Sent Events).
+	// headerLastEventID carries the ID of the last event that the caller has received (Server-Sent Events).
 	headerLastEventID = "Last-Event-Id"
 )
 
@@ -46,7 +46,7 @@
 	}
 }
 
-// admissionRequest returns what placement needs to know of the request.
+// admissionRequest describes the request for placement.
 func (x *exchange) admissionRequest() admission.Request {
 	p := &x.server.parts
 	r := admission.Request{
@@ -67,7 +67,7 @@
 	return r
 }
 
-// attempt makes one try at an endpoint.
+// attempt makes one attempt at an endpoint.
 func (x *exchange) attempt(ctx context.Context, a *owner.Attempt) owner.Result {
 	ctx, watch := httprelay.WithIdleTimeout(ctx, answerTimeout(&x.policy, a), owner.ErrStalled)
 	defer watch.Stop()
@@ -95,9 +95,9 @@
 	return x.relayPlain(ctx, a, answer)
 }
 
-// recordSignal notes what the head of an answer says of its endpoint, as soon as it has come: the store may be away when an
-// endpoint begins to leave, and the rest of an answer may never come. An answer of another endpoint at its address says
-// nothing of this one.
+// recordSignal records the endpoint's state in the head of an answer, as soon as the head has arrived: the store may be
+// unavailable when an endpoint begins to leave, and the rest of the answer may never arrive. It ignores an answer of
+// another endpoint at the address.
 func (x *exchange) recordSignal(a *owner.Attempt, answer *upstream.Answer) {
 	if x.server.parts.Dialect.IsOtherEndpoint(answer.Status) {
 		return
@@ -109,31 +109,30 @@
 	})
 }
 
-// reportFailure reports an endpoint's failure, unless the request itself was ended. Silence is a
-// failure too.
+// reportFailure reports an endpoint's failure, unless the request itself was aborted. A stalled endpoint has failed too.
 func (x *exchange) reportFailure(ctx context.Context, a *owner.Attempt, cause error) {
 	if ctx.Err() == nil || errors.Is(context.Cause(ctx), owner.ErrStalled) {
 		x.server.parts.Health.Failed(a.EndpointID, !errors.Is(cause, request.ErrNotSent), cause)
 	}
 }
 
-// reportBroken reports a call that was sent and broken by its endpoint, which may have ended under it. Begun is set if the
-// endpoint had begun to answer, or would not have said so. A call that was ended from here proves nothing.
+// reportBroken reports a call that was sent and then broken by its endpoint, which may have crashed while running it.
+// Begun is set if the endpoint had begun to answer, or if it would not have shown that. A call that this host aborted is
+// not reported.
 func (x *exchange) reportBroken(ctx context.Context, a *owner.Attempt, begun bool) {
 	if ctx.Err() == nil {
 		x.server.parts.Poison.Broke(&poison.Call{Request: x.key, Endpoint: a.EndpointID, Address: a.Endpoint.Address, Begun: begun})
 	}
 }
 
-// reportAnswered reports that an endpoint answered to the end.
+// reportAnswered reports that an endpoint has sent a complete answer.
 func (x *exchange) reportAnswered(a *owner.Attempt) {
 	x.server.parts.Health.Answered(a.EndpointID)
 	x.server.parts.Poison.Answered(x.key)
 }
 
 func (x *exchange) handleNotStarted(a *owner.Attempt, answer *upstream.Answer) owner.Result {
-	// The rest of the answer is read so that the connection can be kept; if that fails, it is
-	// closed.
+	// The rest of the answer is read so that the connection can be reused; if that fails, it is closed.
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxPlainAnswerBytes))
 	if x.server.parts.Dialect.IsOtherEndpoint(answer.Status) {
 		x.server.parts.Health.Failed(a.EndpointID, false, errors.New("another endpoint has its address"))
@@ -155,10 +154,10 @@
 	}
 }
 
-// onSend returns what decides, once a connection is there, whether an attempt is sent.
+// onSend returns the function that decides, once the connection is open, whether an attempt is sent.
 func (x *exchange) onSend(a *owner.Attempt) func() bool {
 	return func() bool {
-		// Connecting may take a second, in which the endpoint may have said that it leaves.
+		// Connecting may take a second, during which the endpoint may have reported that it is leaving.
 		if !a.MaySend() {
 			return false
 		}
@@ -168,8 +167,7 @@
 	}
 }
 
-// relayPlain reads a plain answer whole before any of it is passed on, so that a broken one can
-// be told from a whole one.
+// relayPlain reads a complete plain answer before any of it is forwarded, so that a broken answer is not delivered.
 func (x *exchange) relayPlain(ctx context.Context, a *owner.Attempt, answer *upstream.Answer) owner.Result {
 	x.countRun()
 	body, err := io.ReadAll(io.LimitReader(answer, maxPlainAnswerBytes+1))
@@ -193,9 +191,8 @@
 	return owner.Result{Event: request.EventWhole}
 }
 
-// keepServerError keeps an endpoint's failure, to be passed on if nothing better comes. A status
-// that promises that the request did not run is not passed on: the endpoint did not say so in
-// the way that counts.
+// keepServerError keeps an endpoint's server error, to be forwarded if no attempt gives a better answer. Statuses 429 and
+// 503 are not forwarded: to the caller they promise that the request did not run, which the endpoint has not confirmed.
 func (x *exchange) keepServerError(held *httprelay.HeldAnswer) owner.Result {
 	if held.Status != http.StatusServiceUnavailable && held.Status != http.StatusTooManyRequests {
 		x.serverError = held
--- a/internal/front/relay/exchange.go
+++ b/internal/front/relay/exchange.go
@@ -14,7 +14,7 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// exchange is one request from its arrival to its answer.
+// exchange is the state of a request from its arrival to its answer.
 type exchange struct {
 	server  *Server
 	w       http.ResponseWriter
@@ -23,34 +23,34 @@
 
 	call     Call
 	revision uint64
-	// age is how old the settings were at most when they decided, or freshness.Unknown.
+	// age is the maximum age of the settings when they were applied, or freshness.Unknown.
 	age       time.Duration
 	route     settings.HostRoute
 	workspace string
 	policy    settings.Policy
-	// service is the one of the route's targets that gets the request.
+	// service is the target of the route that was picked for the request.
 	service string
 	body    []byte
-	// key is the same for each request that asks for the same.
+	// key identifies the content of the request; identical requests share it.
 	key keys.Request
-	// deadline is when the request's time is over.
+	// deadline is when the request's time limit expires.
 	deadline time.Time
 
 	stream streamState
-	// isCounted is set once the meter has counted the request.
+	// isCounted is set once Meter has counted the request.
 	isCounted bool
 	// sentAt is when the last attempt was sent.
 	sentAt time.Time
-	// signal is what the last answer said of its endpoint.
+	// signal is the state that the endpoint of the last answer reported.
 	signal pushback.Signal
-	// answer is the whole answer for the caller, failure an endpoint's own failure that is
-	// passed on if nothing better comes.
+	// answer is the complete answer for the caller, serverError an endpoint's server error that is forwarded if no attempt
+	// gives a better answer.
 	answer      *httprelay.HeldAnswer
 	serverError *httprelay.HeldAnswer
 }
 
-// prepare finds out what the request is and whether it may run, and reads its body. It returns
-// the refusal if it may not; nothing was sent then.
+// prepare classifies the request, checks that it may run, and reads its body. It returns a refusal if the request may not
+// run; nothing has been sent then.
 func (x *exchange) prepare() *request.Refusal {
 	call, err := x.server.parts.Dialect.ParseCall(x.r)
 	x.call = call
@@ -77,8 +77,8 @@
 	return refusal
 }
 
-// timeLimit returns how long a request may take: the class's limit, or the time that the caller
-// waits if that is shorter or the class has none.
+// timeLimit returns how long a request may take: the limit of its class, or the caller's own limit if that is shorter or
+// the class has none.
 func timeLimit(class, patience time.Duration) time.Duration {
 	if patience > 0 && (patience < class || class == 0) {
 		return patience
@@ -86,7 +86,7 @@
 	return class
 }
 
-// resolveRoute finds the route, the workspace and the settings that apply to them.
+// resolveRoute finds the route, the workspace and the policy of the request, and picks a service.
 func (x *exchange) resolveRoute(tree *settings.Tree) *request.Refusal {
 	host, _, _ := strings.Cut(x.r.Host, ":")
 	route, ok := tree.RouteFor(host, x.r.URL.Path)
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// run leads the request through its attempts and answers the caller.
+// run takes the request through its attempts and answers the caller.
 func (x *exchange) run() {
 	p := &x.server.parts
 	ctx, cancel := p.Clock.WithDeadline(x.r.Context(), x.deadline, owner.ErrTimeLimit)
@@ -127,8 +127,7 @@
 		whole := p.Clock.Now().Sub(x.arrived)
 		p.Counters.Answered(x.route.Class, whole, x.metTargets(&end, whole), 0)
 	case request.OutcomeBroken:
-		// net/http closes the connection without the end of the answer, so that the caller
-		// sees that it is cut.
+		// net/http closes the connection without the end of the answer, so that the caller detects that it is truncated.
 		panic(http.ErrAbortHandler)
 	case request.OutcomeRefused:
 		if x.serverError != nil {
@@ -139,7 +138,7 @@
 	}
 }
 
-// countRun has the meter count the request, once.
+// countRun counts the request with Meter, once.
 func (x *exchange) countRun() {
 	if !x.isCounted {
 		x.isCounted = true
@@ -147,7 +146,7 @@
 	}
 }
 
-// metTargets reports whether an answer met the targets of its class.
+// metTargets reports whether an answer met the latency targets of its class.
 func (x *exchange) metTargets(end *owner.End, whole time.Duration) bool {
 	if !x.policy.Stream {
 		return x.policy.WholeAnswer == 0 || whole <= x.policy.WholeAnswer
--- a/internal/front/relay/log.go
+++ b/internal/front/relay/log.go
@@ -7,7 +7,7 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// logRefused logs a request that was refused before an endpoint was asked for.
+// logRefused logs a request that was refused before placement.
 func (x *exchange) logRefused(refusal *request.Refusal) {
 	x.server.parts.Log.WithFields(logrus.Fields{
 		"id": x.call.ID, "reason": refusal.Reason, "detail": refusal.Detail, "revision": x.revision, "age_ms": x.age.Milliseconds(),
@@ -15,8 +15,8 @@
 	}).Warn("refused before a decision")
 }
 
-// logResult logs the end of a request with the figures that decided it. `oxbowslip logs` reads
-// these lines by their fields.
+// logResult logs the outcome of a request with the values that decided it. `oxbowslip logs` parses the fields of these
+// lines.
 func (x *exchange) logResult(end *owner.End) {
 	leftOut := int64(0)
 	if end.Outcome == request.OutcomeAnswered && end.Tries <= 1 {
@@ -57,7 +57,7 @@
 	}
 }
 
-// lastSharedPart returns the ID of the last part of the prompt that other requests share.
+// lastSharedPart returns the ID of the last part of the prompt that other requests may share, or "" if there is none.
 func (x *exchange) lastSharedPart() string {
 	if n := len(x.call.Parts); n > 1 {
 		return x.call.Parts[n-2].ID
--- a/internal/front/relay/panic_test.go
+++ b/internal/front/relay/panic_test.go
@@ -16,10 +16,10 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// panickingDialect is a dialect in which the program fails for one request.
+// panickingDialect is a Dialect that panics for one request.
 type panickingDialect struct{ Dialect }
 
-// ParseCall panics for the request with a bad ID.
+// ParseCall panics for the request with the ID "bad", and fails for others.
 func (panickingDialect) ParseCall(r *http.Request) (Call, error) {
 	if r.Header.Get(headerRequestID) == "bad" {
 		panic("an index out of range")
@@ -27,8 +27,8 @@
 	return Call{ID: r.Header.Get(headerRequestID)}, http.ErrNotSupported
 }
 
-// TestPanicAbortsOnlyItsRequest has the program fail in one request: its caller sees a cut, it is counted and logged, and the
-// next request on the same host is answered.
+// TestPanicAbortsOnlyItsRequest checks that a panic in a request aborts its connection, is counted and logged, and that
+// the host answers the next request.
 func TestPanicAbortsOnlyItsRequest(t *testing.T) {
 	c := qt.New(t)
 	var lines bytes.Buffer
@@ -58,7 +58,7 @@
 	status, err := ask("good")
 	c.Assert(err, qt.IsNil)
 	c.Check(status, qt.Equals, http.StatusBadRequest)
-	// Nothing is logged any more after that.
+	// Close waits for the requests, so that all lines have been logged.
 	server.Close()
 	c.Check(lines.String(), qt.Contains, "an index out of range")
 }
--- a/internal/front/relay/refuse.go
+++ b/internal/front/relay/refuse.go
@@ -10,15 +10,14 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// headerRequestID is the header with the caller's ID of a request.
+// headerRequestID is the header with the caller's ID of the request.
 const headerRequestID = "X-Request-Id"
 
-// When a refused caller should come back, where nobody knows better.
+// The Retry-After times of refusals without a better estimate.
 const (
-	// minRetryAfter is the least time that a refusal carries.
+	// minRetryAfter is the minimum time that a refusal carries.
 	minRetryAfter = 250 * time.Millisecond
-	// notReadyRetry is for a host that knows no settings yet: it reads them within some
-	// milliseconds of its start if the store answers.
+	// notReadyRetry is for a host without settings: it reads them within milliseconds of its start if the store answers.
 	notReadyRetry = 500 * time.Millisecond
 )
 
@@ -29,8 +28,8 @@
 	Detail string         `json:"detail"`
 }
 
-// statusOf returns the HTTP status of a refusal. 429 and 503 promise that the request has not
-// run and never will, so they are used only with RanNo.
+// statusOf returns the HTTP status of a refusal. 429 and 503 promise that the request has not run and never will, so they
+// are used only with RanNo.
 func statusOf(refusal *request.Refusal) int {
 	switch refusal.Reason {
 	case request.ReasonBadRequest:
@@ -44,7 +43,7 @@
 	case request.ReasonHeadTooLarge:
 		return http.StatusRequestHeaderFieldsTooLarge
 	case request.ReasonPoison:
-		// Not one that invites the caller to come back.
+		// Not a status that invites a retry.
 		return http.StatusBadGateway
 	}
 	if refusal.Ran == request.RanNo {
@@ -68,7 +67,7 @@
 	}
 }
 
-// writeRefusal answers a request of which nothing was sent to the caller yet.
+// writeRefusal answers a request with a refusal. Nothing may have been sent to the caller before.
 func writeRefusal(w http.ResponseWriter, id string, refusal *request.Refusal) {
 	status := statusOf(refusal)
 	header := w.Header()
@@ -82,11 +81,11 @@
 	header.Set("Content-Type", "application/json")
 	data, err := json.Marshal(refusalBody{Reason: refusal.Reason, Ran: refusal.Ran, Detail: refusal.Detail})
 	if err != nil {
-		// The status and the headers say enough; plain structs always marshal.
+		// A plain struct always marshals; without a body, the status and the headers are sufficient.
 		data = nil
 	}
 	header.Set("Content-Length", strconv.Itoa(len(data)))
 	w.WriteHeader(status)
-	// A failed write means that the caller is gone; nobody is left to be told.
+	// A failed write means that the caller has closed the connection.
 	_, _ = w.Write(data)
 }
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -1,11 +1,10 @@
-// Package relay answers the callers of oxbowslip-front: it accepts calls by host name and path,
-// looks up the route of each, and relays it to an endpoint of the route's service,
-// plain calls whole and event streams event by event. The callers' interface of oxbowslipd is
-// package daemon/api, which speaks the chat protocol of language models instead.
+// Package relay serves the callers of oxbowslip-front: it accepts calls by host name and path, looks up the route of each,
+// and relays it to an endpoint of the route's service. It forwards plain answers when they are complete, and event
+// streams event by event. The counterpart in oxbowslipd is package daemon/api, which serves the chat protocol of language
+// models instead.
 //
-// It owns one exchange for each open request. Package owner takes the request through its
-// attempts, package upstream sends it, and Health is notified of what the attempts show of endpoints.
-// How a deployment spells in headers what callers, hosts and endpoints say is up to a Dialect.
+// It owns an exchange for each open request. Package owner takes the request through its attempts, package upstream sends
+// it, and Health receives the observations of endpoints. A Dialect translates the headers of the deployment.
 package relay
 
 import (
@@ -31,55 +30,54 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// Health is notified of what requests show of endpoints. Its methods must not block.
+// Health receives the observations of endpoints that requests yield. Its methods must not block.
 type Health interface {
-	// Failed is called when an endpoint could not be reached, or was reached and broke the call
-	// or stayed silent.
+	// Failed is called when an endpoint could not be reached, or was reached and broke the call or stalled.
 	Failed(endpoint string, reached bool, cause error)
-	// Answered is called when an endpoint gave a whole answer.
+	// Answered is called when an endpoint has sent a complete answer.
 	Answered(endpoint string)
-	// Streamed is called with what was seen of a whole stream.
+	// Streamed is called with the observations of a complete stream.
 	Streamed(service string, stream engine.Stream)
-	// Unread returns the prompt tokens that an endpoint has still to read, as far as is known.
+	// Unread returns the number of prompt tokens that an endpoint has yet to process, as far as this host knows.
 	Unread(endpoint string) int
 }
 
 // Meter counts the requests that endpoints began to run.
 type Meter interface {
-	// Began is called once for each request, when its first event or its answer has come.
+	// Began is called once for each request, when its first event or its answer arrives.
 	Began(workspace string, at time.Time)
 }
 
-// Poison knows the requests that end the endpoints that run them. Its methods must not block.
+// Poison detects the requests that crash the endpoints that run them. Its methods must not block.
 type Poison interface {
 	// IsPoison reports whether a request must not be sent.
 	IsPoison(request keys.Request) bool
-	// Broke is called when an endpoint broke a call.
+	// Broke is called when an endpoint has broken a call.
 	Broke(call *poison.Call)
-	// Answered is called when an endpoint gave a whole answer.
+	// Answered is called when an endpoint has sent a complete answer.
 	Answered(request keys.Request)
 }
 
-// Signals takes what endpoints say of themselves. Its methods must not block.
+// Signals receives the states that endpoints report. Its methods must not block.
 type Signals interface {
-	// Received is called with what the head of an answer says.
+	// Received is called with the state in the head of an answer.
 	Received(answer *pushback.Answer)
 }
 
 // Clock is the host's clock.
 type Clock interface {
 	Now() time.Time
-	// WithDeadline returns a context that ends at a time of the clock with a cause.
+	// WithDeadline returns a context that is cancelled with a cause at a time of the clock.
 	WithDeadline(ctx context.Context, at time.Time, cause error) (context.Context, context.CancelFunc)
 }
 
-// Parts are what a server works with.
+// Parts are the dependencies of a Server.
 type Parts struct {
 	// Host and Zone are this host's name and availability zone.
 	Host     string
 	Zone     string
 	Settings *settings.Holder
-	// Freshness says how old the settings may be.
+	// Freshness returns the age of the settings.
 	Freshness *freshness.State
 	Owner     *owner.Owner
 	Client    *upstream.Client
@@ -91,16 +89,16 @@
 	Counters  *counters.Counters
 	Log       *logrus.Entry
 	Clock     Clock
-	// Random returns numbers from 0 up to 1.
+	// Random returns a random number in [0, 1).
 	Random   func() float64
 	Timeouts httprelay.Timeouts
 }
 
-// maxAnsweredLines bounds the log lines a second for requests that were answered at the first
-// try; all others have a line each. Logs took 5.5 % of the hosts' processor time on a quiet day with it.
+// maxAnsweredLines bounds the log lines per second for requests that were answered at the first attempt; each other
+// request has a line. With it, logs take 5.5 % of a host's CPU time under light load.
 const maxAnsweredLines = 50
 
-// Server answers the callers of routes. It is an http.Handler.
+// Server serves the callers of routes. It is an http.Handler.
 type Server struct {
 	parts           Parts
 	answeredSampler *logging.Sampler
@@ -111,8 +109,8 @@
 	return &Server{parts: parts, answeredSampler: logging.NewSampler(maxAnsweredLines)}
 }
 
-// recover ends a request in which the program has panicked, so that all others go on: its connection is cut, which
-// promises nothing about whether it ran.
+// recover aborts the connection of a request whose handling has panicked, so that other requests continue. An aborted
+// connection does not state whether the request ran.
 func (x *exchange) recover() {
 	cause := recover()
 	if cause == nil {
@@ -122,12 +120,12 @@
 		x.server.parts.Counters.Refused(request.ReasonInternal)
 		x.server.parts.Log.WithFields(logrus.Fields{
 			"id": x.call.ID, "request_key": x.key.String(), "cause": fmt.Sprint(cause), "stack": string(debug.Stack()),
-		}).Error("the program has failed in this request")
+		}).Error("panic while handling the request, its connection is aborted")
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP handles a request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	x := &exchange{server: s, w: w, r: r, arrived: s.parts.Clock.Now(), age: freshness.Unknown}
 	defer x.recover()
--- a/internal/front/relay/silence.go
+++ b/internal/front/relay/silence.go
@@ -7,26 +7,24 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// When to give up an endpoint that sends nothing. A silent endpoint can't be told from a slow
-// one, so the rule only applies to requests that can be sent elsewhere: by then the target is
-// missed anyway, and an answer from elsewhere is worth more than none.
+// The timeouts after which an attempt at an endpoint that sends nothing is abandoned. An unresponsive endpoint can't be
+// distinguished from a slow one, so they apply only to requests that can be sent to another endpoint: at that point the
+// latency target is missed anyway, and an answer from another endpoint is better than none.
 const (
-	// plainTimeoutTargets is how many latency targets a plain call may stay unanswered.
+	// plainTimeoutTargets is the timeout of a plain call in multiples of its latency target.
 	plainTimeoutTargets = 2
-	// eventTimeoutPauses is how many targets for pauses a stream may stay silent between events.
+	// eventTimeoutPauses is the timeout between events of a stream in multiples of its target for pauses.
 	eventTimeoutPauses = 4
-	// firstEventTimeoutTargets is how many targets for the first event a stream may take to begin, beside the time to process the
-	// prompts before it.
+	// firstEventTimeoutTargets is the timeout for the first event of a stream in multiples of its latency target. The time
+	// to process the prompts ahead of it is added.
 	firstEventTimeoutTargets = 2
-	// minPromptTokensPerMS is the number of prompt tokens a ms that an engine processes at the
-	// least. A quarter of what the slowest engines of the two sites do (37 tokens a ms); where
-	// engines are slower still, streams that wait behind long prompts are begun elsewhere too
-	// soon.
+	// minPromptTokensPerMS is the assumed minimum rate at which an engine processes prompts, a quarter of the rate of the
+	// slowest engines in use (37 tokens per ms). With slower engines, streams that wait behind long prompts are sent to
+	// another endpoint too early.
 	minPromptTokensPerMS = 9
 )
 
-// answerTimeout returns how long an endpoint may stay silent before its answer begins; 0 means
-// that it is never given up for silence.
+// answerTimeout returns how long an endpoint may take to begin its answer, or 0 if there is no limit.
 func answerTimeout(policy *settings.Policy, a *owner.Attempt) time.Duration {
 	if !policy.Repeatable || a.Number >= policy.MaxTries {
 		return 0
@@ -37,8 +35,7 @@
 	return plainTimeoutTargets * policy.WholeAnswer
 }
 
-// eventTimeout returns how long an endpoint may stay silent between the events of a stream; 0
-// means that it is never given up for silence.
+// eventTimeout returns how long an endpoint may take between two events of a stream, or 0 if there is no limit.
 func eventTimeout(policy *settings.Policy, a *owner.Attempt) time.Duration {
 	if !policy.Resumable || a.Number >= policy.MaxTries {
 		return 0
@@ -46,15 +43,15 @@
 	return eventTimeoutPauses * policy.MaxPause
 }
 
-// The bounds of the time to make a connection. A quarter of the target leaves time for another endpoint, the users'
-// endpoints take 1 ms and a network delay of 1 ms to connect, and a second is what they allow a caller.
+// The bounds of the connect timeout. A quarter of the latency target leaves time for another endpoint. Endpoints usually
+// accept a connection within 1 ms plus a network delay of 1 ms, and allow a caller one second.
 const (
 	connectTargetDivisor = 4
 	minConnect           = 60 * time.Millisecond
 	maxConnect           = time.Second
 )
 
-// connectTimeout returns how long connecting to an endpoint may take.
+// connectTimeout returns the timeout for connecting to an endpoint.
 func connectTimeout(policy *settings.Policy) time.Duration {
 	target := max(policy.FirstToken, policy.WholeAnswer)
 	return min(max(target/connectTargetDivisor, minConnect), maxConnect)
--- a/internal/front/relay/stream.go
+++ b/internal/front/relay/stream.go
@@ -17,37 +17,35 @@
 )
 
 const (
-	// maxEventBytes bounds one event; a stream with a larger one counts as broken. Events of the users have up to 400
-	// bytes.
+	// maxEventBytes bounds an event; a stream with a larger one counts as broken. Typical events have up to 400 bytes.
 	maxEventBytes = 256 << 10
-	// eventBufferBytes is the buffer that is allocated for each stream.
+	// eventBufferBytes is the initial buffer of each stream.
 	eventBufferBytes = 4 << 10
 )
 
-// streamState is what is known of a stream over all its attempts.
+// streamState is the state of a stream across all its attempts.
 type streamState struct {
-	// isHeadSent is set once the head went to the caller.
+	// isHeadSent is set once the head of the answer has been sent to the caller.
 	isHeadSent bool
-	// events is the number of events that were passed on, lastID the ID of the last.
+	// events is the number of events forwarded, lastID the ID of the last one.
 	events  int
 	lastID  string
 	lastAt  time.Time
 	firstAt time.Time
-	// longestPause is the longest time between two events, and beside the prompt tokens that the
-	// endpoint had to read when it ended.
-	longestPause time.Duration
-	unreadTokens int
+	// longestPause is the longest time between two events, unprocessedTokens the number of prompt tokens that the endpoint
+	// had yet to process at its end.
+	longestPause      time.Duration
+	unprocessedTokens int
 }
 
-// summary returns what was seen of the stream.
+// summary returns the observations of the stream.
 func (s *streamState) summary() engine.Stream {
 	return engine.Stream{
-		Events: s.events, Lasted: s.lastAt.Sub(s.firstAt), Longest: s.longestPause, Beside: s.unreadTokens,
+		Events: s.events, Lasted: s.lastAt.Sub(s.firstAt), Longest: s.longestPause, Beside: s.unprocessedTokens,
 	}
 }
 
-// relayStream passes whole events on until the stream ends or breaks. It blocks while the
-// caller does not read.
+// relayStream forwards complete events until the stream ends or breaks. It blocks while the caller does not read.
 func (x *exchange) relayStream(ctx context.Context, a *owner.Attempt, answer *upstream.Answer, watch *httprelay.IdleTimer) owner.Result {
 	scanner := bufio.NewScanner(answer)
 	scanner.Buffer(make([]byte, 0, eventBufferBytes), maxEventBytes)
@@ -76,14 +74,14 @@
 	return owner.Result{Event: request.EventWhole}
 }
 
-// forwardEvent sends one event to the caller. It returns a result if the attempt is over.
+// forwardEvent sends an event to the caller. It returns a result if the attempt has ended.
 func (x *exchange) forwardEvent(a *owner.Attempt, answer *upstream.Answer, event []byte) *owner.Result {
 	if !a.Deliver() {
 		return &owner.Result{Event: request.EventBroken}
 	}
 	x.sendHead(answer)
 	control := http.NewResponseController(x.w)
-	// The writers of tests have no deadlines; those of net/http do.
+	// Writers of net/http support deadlines; those of tests do not.
 	_ = control.SetWriteDeadline(time.Now().Add(x.server.parts.Timeouts.Write))
 	if _, err := x.w.Write(event); err != nil {
 		return &owner.Result{Event: request.EventCallerGone, Err: err}
@@ -92,14 +90,14 @@
 		return &owner.Result{Event: request.EventCallerGone, Err: err}
 	}
 	if x.stream.recordEvent(x.server.parts.Clock.Now(), eventID(event)) {
-		x.stream.unreadTokens = x.server.parts.Health.Unread(a.EndpointID)
+		x.stream.unprocessedTokens = x.server.parts.Health.Unread(a.EndpointID)
 	}
 	a.Tokens(x.stream.events)
 	return nil
 }
 
-// sendHead sends the head of the answer, once: an answer that is resumed elsewhere keeps the head
-// of the endpoint that began it.
+// sendHead sends the head of the answer, once. An answer that another endpoint resumes keeps the head of the first
+// endpoint.
 func (x *exchange) sendHead(answer *upstream.Answer) {
 	if x.stream.isHeadSent {
 		return
@@ -109,8 +107,7 @@
 	x.w.WriteHeader(answer.Status)
 }
 
-// recordEvent counts an event that went to the caller, and reports whether the pause before it was the
-// longest.
+// recordEvent records an event that was sent to the caller. It reports whether the pause before it is the longest so far.
 func (s *streamState) recordEvent(now time.Time, id string) bool {
 	longest := false
 	if s.events == 0 {
@@ -127,8 +124,8 @@
 	return longest
 }
 
-// isNext reports whether an event follows the last one that was passed on. Endpoints number
-// events upwards; an event without a number always does.
+// isNext reports whether an event follows the last one that was forwarded. Endpoints number their events in ascending
+// order; an event without a number always follows.
 func (s *streamState) isNext(id string) bool {
 	last, lastErr := strconv.ParseUint(s.lastID, 10, 64)
 	this, thisErr := strconv.ParseUint(id, 10, 64)
@@ -148,11 +145,10 @@
 	return ""
 }
 
-// errTruncatedEvent is the error of a stream that ended inside an event.
-var errTruncatedEvent = errors.New("the stream ended inside an event")
+// errTruncatedEvent is the error of a stream that ended within an event.
+var errTruncatedEvent = errors.New("the stream ended within an event")
 
-// splitEvents is a bufio.SplitFunc that returns whole events with their blank line, as they are
-// on the wire.
+// splitEvents is a bufio.SplitFunc that returns complete events as on the wire, including the blank line.
 func splitEvents(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	for _, end := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
 		if i := bytes.Index(data, end); i >= 0 {
--- a/internal/front/upstream/connection.go
+++ b/internal/front/upstream/connection.go
@@ -12,28 +12,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// How the kernel probes a connection on which nothing is sent, so that one to a dead machine breaks within three
-// seconds.
+// The kernel's probes of an idle connection, by which a connection to a dead machine breaks within three seconds.
 const (
 	keepAlivePeriod = time.Second
 	keepAliveProbes = 2
 )
 
-// idleTimeShare is the part of the time that an endpoint keeps an idle connection for which it is used here. The endpoint
-// may close a little early, and a call that crosses the close fails.
+// idleTimeShare is the fraction of an endpoint's keep-alive timeout during which an idle connection is reused. The
+// endpoint may close it slightly early, and a call that is sent at the same time fails.
 const idleTimeShare = 0.6
 
-// connection is a connection to an endpoint, with a buffer for what was read ahead.
+// connection is a connection to an endpoint with its read buffer.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
-	// isLast is set if the endpoint closes the connection after its answer.
+	// isLast is set if the endpoint closes the connection after its current answer.
 	isLast bool
-	// expires is when a kept connection is not used any more.
+	// expires is when an idle connection must no longer be used.
 	expires time.Time
 }
 
-// recordAnswer records what an answer says about its connection.
+// recordAnswer records from an answer whether and how long its connection can be reused.
 func (c *connection) recordAnswer(response *http.Response, now time.Time, keepIdle time.Duration) {
 	c.isLast = response.Close
 	if stated, ok := keepAliveTimeout(response.Header.Get("Keep-Alive")); ok {
@@ -42,7 +41,7 @@
 	c.expires = now.Add(keepIdle)
 }
 
-// keepAliveTimeout reads the timeout of a Keep-Alive header (RFC 2068, 19.7.1.1).
+// keepAliveTimeout parses the timeout of a Keep-Alive header (RFC 2068, 19.7.1.1).
 func keepAliveTimeout(value string) (time.Duration, bool) {
 	for parameter := range strings.SplitSeq(value, ",") {
 		name, seconds, _ := strings.Cut(strings.TrimSpace(parameter), "=")
@@ -55,8 +54,7 @@
 	return 0, false
 }
 
-// isQuiet reports whether a kept connection is open with nothing to read. Bytes that are there
-// belong to no call.
+// isQuiet reports whether an idle connection is open and has no unread bytes. Such bytes belong to no call.
 func (c *connection) isQuiet() bool {
 	holder, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/front/upstream/pool.go
+++ b/internal/front/upstream/pool.go
@@ -12,7 +12,7 @@
 	"oxbowslip.dev/oxbowslip/internal/deadpeer"
 )
 
-// connect returns a kept connection that still works, or makes one.
+// connect returns an idle connection that is still usable, or opens one.
 func (c *Client) connect(ctx context.Context, call *Call) (*connection, error) {
 	for {
 		conn := c.takeIdle(call.Address)
@@ -48,8 +48,9 @@
 	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, readBufBytes)}, nil
 }
 
-// HasExited reports whether the process at an address has ended: the machine is there, and nothing listens. A connection
-// that is made is kept for a later call. It blocks until ctx ends at the latest; the error says that it can't be known.
+// HasExited reports whether the process at an address has exited: the machine refuses connections. If it connects, the
+// connection is kept for a later call. It returns when ctx ends at the latest. An error means that the state of the
+// process is unknown.
 func (c *Client) HasExited(ctx context.Context, address string) (bool, error) {
 	conn, err := c.dial(ctx, &Call{Address: address})
 	switch {
@@ -62,7 +63,7 @@
 	return false, nil
 }
 
-// putUnused keeps a connection on which nothing was sent for a later call.
+// putUnused keeps a connection on which no call was sent for a later call.
 func (c *Client) putUnused(address string, conn *connection) {
 	if conn.expires.IsZero() {
 		conn.expires = c.clock().Add(c.config.KeepIdle)
@@ -92,7 +93,7 @@
 	c.idle[address] = append(c.idle[address], conn)
 }
 
-// CloseExpired closes the kept connections that were idle for too long.
+// CloseExpired closes the idle connections that have expired.
 func (c *Client) CloseExpired() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/front/upstream/upstream.go
+++ b/internal/front/upstream/upstream.go
@@ -1,13 +1,10 @@
-// Package upstream is the HTTP client of oxbowslip-front towards endpoints. It sends one call
-// at a time on each kept connection, never sends a call twice by itself, and reports whether a
-// call that failed may have reached the endpoint. It binds answers to calls by their ID,
-// because a faulty endpoint may send a surplus answer where the next one is due; net/http's own
-// client would take that for the next answer, and resends some calls by itself. oxbowslipd uses
-// that client (package daemon/httpclient), because its endpoints answer by the book and its
-// bodies are streamed.
+// Package upstream is the HTTP client of oxbowslip-front for endpoints. It sends one call at a time on each connection,
+// never resends a call, and reports whether a failed call may have reached the endpoint. It matches answers to calls by
+// their ID, because a faulty endpoint may send a surplus answer before the answer to the next call. The client of
+// net/http would take the surplus answer for that of the next call, and it resends some calls by itself. oxbowslipd uses
+// the client of net/http (package daemon/httpclient), because its endpoints conform to HTTP and its bodies are streamed.
 //
-// It owns the connections, and no rule: how long to wait and whether to retry is up to package
-// relay and package owner.
+// It owns the connections. Timeouts and retries are decided by package relay and package owner.
 package upstream
 
 import (
@@ -26,47 +23,45 @@
 )
 
 const (
-	// maxInlineBytes is the size up to which a call is written before its answer is read. Larger ones are written while
-	// the answer is read, because an endpoint may answer before it has read them. It fits the send buffer of a
-	// connection.
+	// maxInlineBytes is the size up to which a call is written before its answer is read; it fits the send buffer of a
+	// connection. Larger calls are written while the answer is read, because an endpoint may answer before it has read
+	// the whole call.
 	maxInlineBytes = 4 << 10
-	// maxSurplusAnswers bounds the answers to other calls that are dropped in search of the right one. One at a time has been
-	// seen.
+	// maxSurplusAnswers bounds the answers to other calls that are dropped before the right one. Faulty endpoints send one
+	// at a time.
 	maxSurplusAnswers = 4
-	// readBufBytes is the read buffer of a connection.
+	// readBufBytes is the size of a connection's read buffer.
 	readBufBytes = 8 << 10
-	// maxIdlePerAddress bounds the kept connections to an endpoint. The users' endpoints take 100 to 370 connections from
-	// all hosts together.
+	// maxIdlePerAddress bounds the idle connections to an endpoint. Endpoints accept 100 to 370 connections from all hosts
+	// together.
 	maxIdlePerAddress = 16
-	// defaultConnectTimeout bounds connecting if a call does not say.
+	// defaultConnectTimeout is the connect timeout of calls that set none.
 	defaultConnectTimeout = time.Second
 )
 
-// Call is one HTTP call to an endpoint.
+// Call is an HTTP call to an endpoint.
 type Call struct {
 	Address string
-	// ID is what the answer must carry.
+	// ID is the ID that the answer must carry.
 	ID     string
 	Method string
-	// Target is the request target as it goes on the wire: an escaped path with
-	// the query. Host is the value of the Host header.
+	// Target is the request target on the wire: the escaped path with the query. Host is the value of the Host header.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ConnectTimeout bounds the making of a connection; 0 means a second.
+	// ConnectTimeout bounds the time to open a connection; 0 means one second.
 	ConnectTimeout time.Duration
-	// OnSend is called once a connection is there, before the first byte is written. If it returns false, nothing is
-	// sent.
+	// OnSend is called when the connection is open, before the first byte is written. If it returns false, the call is
+	// not sent.
 	OnSend func() bool
 }
 
-// Answer is an endpoint's answer whose head has arrived. Close must be called.
+// Answer is an endpoint's answer, of which the head has arrived. Close must be called.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Framed is set if the answer states its end by a length or by chunks. One that does not
-	// ends with its connection.
+	// Framed is set if the answer has a length or is chunked. Otherwise it ends with its connection.
 	Framed bool
 
 	body       io.ReadCloser
@@ -74,18 +69,17 @@
 	isComplete bool
 }
 
-// Config is how a client recognises answers and keeps connections.
+// Config configures a Client.
 type Config struct {
-	// AnswerID returns the ID of the call that an answer belongs to.
+	// AnswerID returns the ID of the call to which an answer belongs.
 	AnswerID func(http.Header) string
-	// KeepIdle is how long a connection may stay idle if its endpoint does not say.
+	// KeepIdle is how long a connection may stay idle if its endpoint states no keep-alive timeout.
 	KeepIdle time.Duration
-	// DeadPeer is how long sent bytes may stay unacknowledged before the connection counts as
-	// broken.
+	// DeadPeer is how long sent bytes may stay unacknowledged before the connection breaks.
 	DeadPeer time.Duration
 }
 
-// Client holds the connections to endpoints. It is safe for concurrent use.
+// Client sends calls to endpoints and owns the connections to them. It is safe for concurrent use.
 type Client struct {
 	config Config
 	clock  func() time.Time
@@ -96,7 +90,7 @@
 	dials  uint64
 }
 
-// New returns a client without connections.
+// New returns a Client without connections.
 func New(config Config, clock func() time.Time) *Client {
 	return &Client{config: config, clock: clock, idle: make(map[string][]*connection)}
 }
@@ -114,18 +108,18 @@
 	clear(c.idle)
 }
 
-// Dials returns the number of connections that were made.
+// Dials returns the number of connections opened so far.
 func (c *Client) Dials() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.dials
 }
 
-// ErrWithheld is the error of a call that OnSend has withheld.
-var ErrWithheld = merry.Sentinel("withheld: not to be sent any more")
+// ErrWithheld is the error of a call that was not sent because OnSend returned false.
+var ErrWithheld = merry.Sentinel("call not sent: withheld by its sender")
 
-// Do sends a call once and waits for the head of its answer. The error is request.ErrNotSent
-// or request.ErrBroken with its cause, or ErrWithheld. When ctx ends, the connection is closed.
+// Do sends a call once and waits for the head of its answer. The error is request.ErrNotSent or request.ErrBroken with
+// its cause, or ErrWithheld. The connection is closed when ctx ends.
 func (c *Client) Do(ctx context.Context, call *Call) (*Answer, error) {
 	wire, err := encode(call)
 	if err != nil {
@@ -150,7 +144,7 @@
 	return answer, nil
 }
 
-// encode returns the bytes of a call.
+// encode returns the call as on the wire.
 func encode(call *Call) ([]byte, error) {
 	header := call.Header
 	if header == nil {
@@ -177,7 +171,7 @@
 	return wire.Bytes(), nil
 }
 
-// exchange is one call on one connection.
+// exchange is a call on a connection.
 type exchange struct {
 	client      *Client
 	conn        *connection
@@ -186,7 +180,7 @@
 	writeResult chan error
 }
 
-// write sends the call, in the background if it is large.
+// write writes the call, in the background if it is large.
 func (x *exchange) write(wire []byte) {
 	if len(wire) <= maxInlineBytes {
 		_, err := x.conn.Write(wire)
@@ -199,7 +193,7 @@
 	}()
 }
 
-// readAnswer finds the answer to the call. Answers to other calls are dropped.
+// readAnswer reads the head of the answer to the call. It drops answers to other calls.
 func (x *exchange) readAnswer(call *Call) (*Answer, error) {
 	request := &http.Request{Method: call.Method}
 	for surplus := 0; surplus <= maxSurplusAnswers; {
@@ -236,13 +230,13 @@
 	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 }
 
-// abandon closes the connection, which makes the endpoint stop working on the call.
+// abandon closes the connection, upon which the endpoint aborts the call.
 func (x *exchange) abandon() {
 	x.stopAbort()
 	x.conn.Close()
 }
 
-// Read reads the answer's body. It ends with io.EOF only if the whole answer arrived.
+// Read reads the answer's body. It returns io.EOF only if the complete answer has arrived.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if err == io.EOF {
@@ -251,8 +245,7 @@
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept if the whole answer was read and nothing is
-// left on it.
+// Close ends the exchange. The connection is kept if the complete answer was read and no further bytes are buffered.
 func (a *Answer) Close() {
 	x := a.exchange
 	if !x.stopAbort() || !a.isComplete || !a.Framed || x.conn.isLast || x.conn.reader.Buffered() > 0 {
@@ -266,7 +259,7 @@
 			return
 		}
 	default:
-		// The endpoint answered before it had read the call, and the rest is still on its way.
+		// The endpoint answered before it had read the whole call, which is still being written.
 		x.conn.Close()
 		return
 	}
--- a/internal/front/upstream/upstream_test.go
+++ b/internal/front/upstream/upstream_test.go
@@ -24,8 +24,7 @@
 	return New(Config{AnswerID: func(h http.Header) string { return h.Get(headerID) }, KeepIdle: 10 * time.Second, DeadPeer: time.Second}, clock)
 }
 
-// testServer is a server on bare connections. Each connection is served by the handler,
-// which gets the number of the connection.
+// testServer is a TCP server. A handler serves each connection and receives the number of the connection.
 type testServer struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -66,8 +65,7 @@
 	return p.accepted
 }
 
-// answers gives a handler that answers each request with texts that are made from
-// its number on the connection.
+// answers returns a handler that answers the requests on a connection with the given texts, in order.
 func answers(texts ...string) func(int, net.Conn, *bufio.Reader) {
 	return func(_ int, conn net.Conn, reader *bufio.Reader) {
 		for _, text := range texts {
@@ -104,11 +102,11 @@
 		serve       func(int, net.Conn, *bufio.Reader)
 		connections int
 	}{
-		"a whole answer":                         {answers(answerText("1", "a"), answerText("2", "b")), 1},
-		"the endpoint closes it":                 {answers(answerText("1", "a", "Connection: close\r\n"), answerText("2", "b")), 2},
-		"the endpoint keeps it for no time":      {answers(answerText("1", "a", "Keep-Alive: timeout=1\r\n"), answerText("2", "b")), 2},
-		"bytes are left on it":                   {answers(answerText("1", "a")+answerText("1", "surplus"), answerText("2", "b")), 2},
-		"a surplus answer comes before the next": {answers(answerText("1", "a"), answerText("1", "x")+answerText("2", "b")), 1},
+		"a complete answer":                              {answers(answerText("1", "a"), answerText("2", "b")), 1},
+		"the endpoint closes the connection":             {answers(answerText("1", "a", "Connection: close\r\n"), answerText("2", "b")), 2},
+		"the endpoint's keep-alive timeout is too short": {answers(answerText("1", "a", "Keep-Alive: timeout=1\r\n"), answerText("2", "b")), 2},
+		"unread bytes are left on the connection":        {answers(answerText("1", "a")+answerText("1", "surplus"), answerText("2", "b")), 2},
+		"a surplus answer comes before the next answer":  {answers(answerText("1", "a"), answerText("1", "x")+answerText("2", "b")), 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -141,7 +139,7 @@
 	c := qt.New(t)
 	client := newClient(time.Now)
 	c.Cleanup(client.Close)
-	// The endpoint answers after the head and reads nothing of the body.
+	// The endpoint answers after the head and does not read the body.
 	p := startTestServer(c, func(number int, conn net.Conn, reader *bufio.Reader) {
 		if number > 1 {
 			answers(answerText("2", "b"))(number, conn, reader)
@@ -170,10 +168,10 @@
 		text string
 		want error
 	}{
-		"closed without a word":           {"", request.ErrBroken},
-		"closed inside the head":          {"HTTP/1.1 200 O", request.ErrBroken},
-		"an answer to nobody":             {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", request.ErrBroken},
-		"another's answer without an end": {"HTTP/1.1 200 OK\r\nX-Call: 9\r\n\r\nx", request.ErrBroken},
+		"closed without an answer":                   {"", request.ErrBroken},
+		"closed within the head":                     {"HTTP/1.1 200 O", request.ErrBroken},
+		"an answer without an ID":                    {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", request.ErrBroken},
+		"an answer to another call without a length": {"HTTP/1.1 200 OK\r\nX-Call: 9\r\n\r\nx", request.ErrBroken},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -186,12 +184,12 @@
 			_, err := p.do(client, call)
 			c.Check(errors.Is(err, test.want), qt.IsTrue, qt.Commentf("%v", err))
 			c.Check(sent, qt.IsTrue)
-			c.Check(p.connections(), qt.Equals, 1, qt.Commentf("nothing is sent twice"))
+			c.Check(p.connections(), qt.Equals, 1, qt.Commentf("the call is not sent again"))
 		})
 	}
 }
 
-// TestWithheldCallSendsNothing sends nothing, and keeps the connection for the next call.
+// TestWithheldCallSendsNothing checks that a withheld call writes nothing and keeps the connection for the next call.
 func TestWithheldCallSendsNothing(t *testing.T) {
 	c := qt.New(t)
 	client := newClient(time.Now)
@@ -200,7 +198,7 @@
 	call.OnSend = func() bool { return false }
 	_, err := p.do(client, call)
 	c.Check(errors.Is(err, ErrWithheld), qt.IsTrue, qt.Commentf("%v", err))
-	// The peer answers the first call that it reads.
+	// The server answers the first call that it reads.
 	got, err := p.do(client, p.call("2", "hello"))
 	c.Assert(err, qt.IsNil)
 	c.Check(got, qt.Equals, "b")
@@ -269,13 +267,13 @@
 	<-closed
 }
 
-// TestKernelDetectsDeadPeer checks what finds out that an open connection has fallen silent, which loopback can't
-// show: unacknowledged bytes while something is sent, and probes while nothing is, be it in the pool, before
-// the answer or within a stream.
+// TestKernelDetectsDeadPeer checks the socket options by which the kernel detects a dead peer, which can't be simulated
+// on loopback: the timeout for unacknowledged bytes while data are sent, and keep-alive probes otherwise (idle in the
+// pool, before the answer, or within a stream).
 func TestKernelDetectsDeadPeer(t *testing.T) {
 	c := qt.New(t)
 	p := startTestServer(c, func(_ int, _ net.Conn, reader *bufio.Reader) {
-		// It ends when the client closes the connection.
+		// The read returns when the client closes the connection.
 		_, _ = reader.ReadByte()
 	})
 	conn, err := newClient(time.Now).dial(context.Background(), p.call("1", ""))
--- a/internal/httprelay/header.go
+++ b/internal/httprelay/header.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// hopByHopHeaders hold for one connection only (RFC 9110, section 7.6.1), as does the length of
-// a body that is framed anew.
+// hopByHopHeaders apply to a single connection (RFC 9110, section 7.6.1). Content-Length is included because forwarded
+// bodies are framed anew.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// CopyHeader copies the headers of a message that is passed on, without those that hold
-// for one connection only and those that its Connection header lists.
+// CopyHeader copies the headers of a forwarded message, except hop-by-hop headers and those that its Connection header
+// lists.
 func CopyHeader(to, from http.Header) {
 	for name, values := range from {
 		to[name] = append([]string(nil), values...)
--- a/internal/httprelay/httprelay.go
+++ b/internal/httprelay/httprelay.go
@@ -1,7 +1,6 @@
-// Package httprelay is what the callers' interfaces of both programs do alike when they
-// relay HTTP: read a body within its limits, copy headers, hold an answer until it is
-// whole, and end an attempt whose endpoint stays silent. It decides nothing about
-// requests; limits and deadlines come from its callers.
+// Package httprelay holds the code for relaying HTTP that both programs share: it reads a body within limits, copies
+// headers, buffers an answer until it is complete, and aborts an attempt whose endpoint stalls. Limits and deadlines come
+// from its callers.
 package httprelay
 
 import (
@@ -11,15 +10,15 @@
 	"time"
 )
 
-// Timeouts bound how long a caller may hold up a request.
+// Timeouts bound how long a slow caller may delay a request.
 type Timeouts struct {
-	// Read bounds the time for sending a body, Write the time for reading what is ready.
+	// Read bounds the time in which a caller sends its body, Write the time in which it reads the data sent to it.
 	Read  time.Duration
 	Write time.Duration
 }
 
-// HeldAnswer is an endpoint's answer that is passed on only once all of it has arrived, so
-// that a broken one can be told from a whole one.
+// HeldAnswer is a complete answer of an endpoint. Answers are buffered until they are complete so that a broken one is not
+// forwarded.
 type HeldAnswer struct {
 	Status int
 	Header http.Header
@@ -31,11 +30,11 @@
 	CopyHeader(w.Header(), a.Header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(a.Body)))
 	w.WriteHeader(a.Status)
-	// A failed write means that the caller is gone; nobody is left to be told.
+	// A failed write means that the caller has closed the connection.
 	_, _ = w.Write(a.Body)
 }
 
-// IsTimeout reports whether a read or write failed because its deadline passed.
+// IsTimeout reports whether an error of a read or write is a timeout.
 func IsTimeout(err error) bool {
 	var timeout interface{ Timeout() bool }
 	return errors.As(err, &timeout) && timeout.Timeout()
--- a/internal/httprelay/json.go
+++ b/internal/httprelay/json.go
@@ -8,8 +8,8 @@
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
 
-// WriteJSON answers with a value as JSON and a newline. Durations are written as text such
-// as "1.5s", and the same value always has the same encoding.
+// WriteJSON writes a value as JSON with a newline as the response. Durations are encoded as text such as "1.5s". The
+// encoding is deterministic.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
 	data, err := json.Marshal(value, strictjson.DurationTexts, json.Deterministic(true))
 	if err != nil {
@@ -18,6 +18,6 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A failed write means that the client is gone; nobody is left to be told.
+	// A failed write means that the client has closed the connection.
 	_, _ = w.Write(append(data, '\n'))
 }
--- a/internal/httprelay/silence.go
+++ b/internal/httprelay/silence.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// IdleTimer ends an attempt when its endpoint sends nothing for too long. Its methods
-// are called from the goroutine of the attempt.
+// IdleTimer cancels an attempt whose endpoint sends nothing for too long. Its methods must be called from the goroutine of
+// the attempt.
 type IdleTimer struct {
 	cancel context.CancelCauseFunc
 	cause  error
@@ -14,9 +14,8 @@
 	limit  time.Duration
 }
 
-// WithIdleTimeout returns a context for an attempt, which ends with the cause once the
-// endpoint has been silent for the limit, and the watch. A limit of 0 means that silence
-// is no reason to end the attempt. Stop must be called.
+// WithIdleTimeout returns a context for an attempt and its timer. The context is cancelled with a cause when Reset has not
+// been called for the limit. A limit of 0 sets no timeout. Stop must be called.
 func WithIdleTimeout(ctx context.Context, limit time.Duration, cause error) (context.Context, *IdleTimer) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	w := &IdleTimer{cancel: cancel, cause: cause}
@@ -24,15 +23,15 @@
 	return ctx, w
 }
 
-// Reset starts the time again: the endpoint has sent something.
+// Reset restarts the timeout after the endpoint has sent data.
 func (w *IdleTimer) Reset() {
 	if w.timer != nil {
 		w.timer.Reset(w.limit)
 	}
 }
 
-// SetLimit replaces the limit from now on; 0 means none. It does nothing once the context
-// of the attempt has ended.
+// SetLimit replaces the limit and restarts the timeout; 0 sets no timeout. It starts no timer once the context of the
+// attempt has ended.
 func (w *IdleTimer) SetLimit(ctx context.Context, limit time.Duration) {
 	w.stopTimer()
 	w.limit = limit
@@ -41,7 +40,7 @@
 	}
 }
 
-// Stop ends the watch and the context.
+// Stop stops the timer and cancels the context.
 func (w *IdleTimer) Stop() {
 	w.stopTimer()
 	w.cancel(nil)
