--- a/internal/front/relay/stream.go
+++ b/internal/front/relay/stream.go
@@ -146,7 +146,7 @@
 }
 
 // errTruncatedEvent is the error of a stream that ended within an event.
-var errTruncatedEvent = errors.New("the stream ended within an event")
+var errTruncatedEvent = errors.New("the stream ended inside an event")
 
 // splitEvents is a bufio.SplitFunc that returns complete events as on the wire, including the blank line.
 func splitEvents(data []byte, atEOF bool) (advance int, token []byte, err error) {
--- a/internal/front/upstream/upstream.go
+++ b/internal/front/upstream/upstream.go
@@ -116,7 +116,7 @@
 }
 
 // ErrWithheld is the error of a call that was not sent because OnSend returned false.
-var ErrWithheld = merry.Sentinel("call not sent: withheld by its sender")
+var ErrWithheld = merry.Sentinel("withheld: not to be sent any more")
 
 // Do sends a call once and waits for the head of its answer. The error is request.ErrNotSent or request.ErrBroken with
 // its cause, or ErrWithheld. The connection is closed when ctx ends.
