--- a/internal/front/envelope/envelope.go
+++ b/internal/front/envelope/envelope.go
@@ -27,8 +27,8 @@
 	KindFailures Kind = 9
 	// KindConfirmation is a confirmation in an era of the store after the first.
 	KindConfirmation Kind = 10
-	// KindFixedReports carries usage reports that must not change any more, KindFixedReportsRequest asks a host for those that it
-	// has.
+	// KindFixedReports carries usage reports that must no longer change, KindFixedReportsRequest asks a host for those
+	// that it has.
 	KindFixedReports        Kind = 11
 	KindFixedReportsRequest Kind = 12
 )
--- a/internal/front/gossip/golden_test.go
+++ b/internal/front/gossip/golden_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// TestGoldenMessages compares the encoded form of each message with that of released versions, and decodes theirs.
+// TestGoldenMessages compares the encoded form of each message with that of older versions, and decodes theirs.
 func TestGoldenMessages(t *testing.T) {
 	for name, message := range messages() {
 		t.Run(name, func(t *testing.T) { golden.Message(t, name, message) })
--- a/internal/front/gossip/gossip.go
+++ b/internal/front/gossip/gossip.go
@@ -38,8 +38,8 @@
 	Patch      *SettingsPatch
 }
 
-// Host is the host that gossip exchanges messages for. Its methods may be called concurrently
-// and must not block.
+// Host provides the state that Gossip sends, and handles the messages that Gossip receives. Its methods may be called
+// concurrently and must not block.
 type Host interface {
 	// State returns the content of the next heartbeat. It includes loads and holders if direct is set, as in a fleet
 	// without aggregators.
@@ -246,11 +246,11 @@
 
 // Run sends heartbeats, confirmations and shared work, and polls members for stale topics, until done is closed.
 func (g *Gossip) Run(done <-chan struct{}) {
-	var others sync.WaitGroup
-	defer others.Wait()
-	others.Go(func() { g.sendConfirmations(done) })
-	others.Go(func() { g.pollWhenStale(done) })
-	others.Go(func() { g.shareWork(done) })
+	var loops sync.WaitGroup
+	defer loops.Wait()
+	loops.Go(func() { g.sendConfirmations(done) })
+	loops.Go(func() { g.pollWhenStale(done) })
+	loops.Go(func() { g.shareWork(done) })
 	for {
 		g.broadcastHeartbeat()
 		if !g.waitForNext(done) {
--- a/internal/front/gossip/gossip_test.go
+++ b/internal/front/gossip/gossip_test.go
@@ -97,13 +97,13 @@
 	c := qt.New(t)
 	m := NewMembers("self", "")
 	m.ApplyHeartbeat(start, &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)})
-	name, counts := m.ApplyReport(&Report{Incarnation: 1, Sequence: 2})
+	name, accepted := m.ApplyReport(&Report{Incarnation: 1, Sequence: 2})
 	c.Check(name, qt.Equals, "a")
-	c.Check(counts, qt.IsTrue)
-	_, counts = m.ApplyReport(&Report{Incarnation: 1, Sequence: 1})
-	c.Check(counts, qt.IsFalse, qt.Commentf("an outdated report"))
-	_, counts = m.ApplyReport(&Report{Incarnation: 2, Sequence: 3})
-	c.Check(counts, qt.IsFalse, qt.Commentf("a report of an unknown host"))
+	c.Check(accepted, qt.IsTrue)
+	_, accepted = m.ApplyReport(&Report{Incarnation: 1, Sequence: 1})
+	c.Check(accepted, qt.IsFalse, qt.Commentf("an outdated report"))
+	_, accepted = m.ApplyReport(&Report{Incarnation: 2, Sequence: 3})
+	c.Check(accepted, qt.IsFalse, qt.Commentf("a report of an unknown host"))
 }
 
 func TestEngineReportsReachPeers(t *testing.T) {
--- a/internal/front/gossip/heartbeat.go
+++ b/internal/front/gossip/heartbeat.go
@@ -82,14 +82,14 @@
 }
 
 // randomAddresses returns the addresses of at most a number of members, picked at random. The lock is held.
-func (g *Gossip) randomAddresses(most int) []string {
-	if most == 0 {
+func (g *Gossip) randomAddresses(limit int) []string {
+	if limit == 0 {
 		return nil
 	}
 	live := g.memberAddresses()
 	first := int(g.parts.Random() * float64(len(live)))
 	rotated := slices.Concat(live[first:], live[:first])
-	return rotated[:min(most, len(rotated))]
+	return rotated[:min(limit, len(rotated))]
 }
 
 // memberAddresses returns the addresses of all members. The lock is held.
@@ -102,11 +102,11 @@
 }
 
 // replyToAnnouncement announces this host to a host that asked for a reply.
-func (g *Gossip) replyToAnnouncement(asker *Announcement) {
+func (g *Gossip) replyToAnnouncement(sender *Announcement) {
 	g.mu.Lock()
-	announcement := g.newAnnouncement(false, addressCountFor(asker.Hosts, g.members.Count()+1))
+	announcement := g.newAnnouncement(false, addressCountFor(sender.Hosts, g.members.Count()+1))
 	g.mu.Unlock()
-	g.sendHeartbeat(announcement, []string{asker.Address})
+	g.sendHeartbeat(announcement, []string{sender.Address})
 }
 
 func (g *Gossip) sendHeartbeat(h *Heartbeat, targets []string) {
@@ -183,9 +183,9 @@
 
 func (g *Gossip) handleReport(r *Report) {
 	g.mu.Lock()
-	member, counts := g.members.ApplyReport(r)
+	member, accepted := g.members.ApplyReport(r)
 	g.mu.Unlock()
-	if counts {
+	if accepted {
 		g.parts.Host.HandleReport(member, r.Engines)
 	}
 }
@@ -193,17 +193,17 @@
 // handleHeartbeat handles a heartbeat that was received from an address.
 func (g *Gossip) handleHeartbeat(h *Heartbeat, from string) {
 	g.mu.Lock()
-	member, isNew, counts := g.members.ApplyHeartbeat(g.parts.Clock(), h)
-	if !counts && h.Announcement == nil && !g.members.HasIncarnation(h.Incarnation) {
+	member, isNew, accepted := g.members.ApplyHeartbeat(g.parts.Clock(), h)
+	if !accepted && h.Announcement == nil && !g.members.HasIncarnation(h.Incarnation) {
 		g.members.AddUnknownSender(g.parts.Clock(), from)
 	}
-	if isNew && counts {
+	if isNew && accepted {
 		g.joinedAt = g.parts.Clock()
 	}
 	hosts := g.members.Count() + 1
 	leaving := g.leaving
 	g.mu.Unlock()
-	if !counts {
+	if !accepted {
 		return
 	}
 	if h.Leaving {
--- a/internal/front/gossip/members.go
+++ b/internal/front/gossip/members.go
@@ -74,9 +74,10 @@
 	entry.lastNamedAt = now
 }
 
-// ApplyHeartbeat applies a heartbeat and returns its sender. Counts is false if the heartbeat is this host's own, is not
-// newer than the sender's last one, or has an unknown sender. IsNew is set if the sender was not a member before.
-func (m *Members) ApplyHeartbeat(now time.Time, h *Heartbeat) (member Member, isNew, counts bool) {
+// ApplyHeartbeat applies a heartbeat and returns its sender. Accepted is false if the heartbeat is this host's own, is
+// not newer than the sender's last one, or has an unknown sender. IsNew is set if the sender's incarnation was not a
+// member before.
+func (m *Members) ApplyHeartbeat(now time.Time, h *Heartbeat) (member Member, isNew, accepted bool) {
 	if h.Announcement != nil {
 		isNew = m.applyAnnouncement(now, h)
 	}
@@ -93,7 +94,7 @@
 	return *sender, isNew, true
 }
 
-// byIncarnation returns the member with a current incarnation.
+// byIncarnation returns the member of which an incarnation is the current one.
 func (m *Members) byIncarnation(incarnation uint32) (*Member, bool) {
 	member, ok := m.live[m.nameByIncarnation[incarnation]]
 	return member, ok && member.incarnation == incarnation
@@ -123,7 +124,7 @@
 }
 
 // ApplyReport records a report. It returns its sender, and whether the report is newer than the sender's last one.
-func (m *Members) ApplyReport(r *Report) (name string, counts bool) {
+func (m *Members) ApplyReport(r *Report) (name string, accepted bool) {
 	sender, ok := m.byIncarnation(r.Incarnation)
 	if !ok || r.Sequence <= sender.lastReport {
 		return "", false
@@ -134,7 +135,7 @@
 
 // ApplyContribution records a contribution. It returns its sender, and whether the sender is a member of this host's
 // zone.
-func (m *Members) ApplyContribution(now time.Time, c *Contribution) (name string, counts bool) {
+func (m *Members) ApplyContribution(now time.Time, c *Contribution) (name string, accepted bool) {
 	sender, ok := m.byIncarnation(c.Incarnation)
 	if !ok || sender.Zone != m.zone {
 		return "", false
@@ -157,7 +158,7 @@
 
 // ApplyFleetSum records a sum over all hosts. It returns its sender, and whether the sum is at least as new as the
 // sender's last one; the parts of a sum share a sequence number.
-func (m *Members) ApplyFleetSum(s *FleetSum) (name string, counts bool) {
+func (m *Members) ApplyFleetSum(s *FleetSum) (name string, accepted bool) {
 	sender, ok := m.byIncarnation(s.Incarnation)
 	if !ok || s.Sequence < sender.lastFleetSum {
 		return "", false
--- a/internal/front/gossip/share.go
+++ b/internal/front/gossip/share.go
@@ -88,15 +88,15 @@
 		return false
 	}
 	s := &g.sharing
-	before := s.choice.Primary()
+	previous := s.choice.Primary()
 	primary, backup := s.choice.Pick(g.parts.Clock(), self, g.members.Ranked(g.parts.Config.Zone))
 	s.contributions++
 	s.sent[s.contributions%keptContributions] = sentContribution{sequence: s.contributions, work: work}
 	contribution := Contribution{Incarnation: g.incarnation, Sequence: s.contributions, Work: work}
 	primaryAddress, backupAddress := g.members.Address(primary), g.members.Address(backup)
 	g.mu.Unlock()
-	if primary != before {
-		g.parts.Log.WithFields(logrus.Fields{"peer": primary, "backup": backup, "before": before}).Info("aggregator chosen")
+	if primary != previous {
+		g.parts.Log.WithFields(logrus.Fields{"peer": primary, "backup": backup, "before": previous}).Info("aggregator chosen")
 	}
 	if primary == self || backup == self {
 		g.parts.Host.HandleContribution(self, &contribution)
@@ -113,8 +113,8 @@
 
 // sendSums sends an aggregator's sums in batches, or until ctx ends. A host that is no aggregator sends nothing.
 func (g *Gossip) sendSums(ctx context.Context, isPrimary bool) {
-	wanting, aggregators := g.sumTargets()
-	if len(wanting) == 0 && !isPrimary {
+	receivers, aggregators := g.sumTargets()
+	if len(receivers) == 0 && !isPrimary {
 		return
 	}
 	zone, fleet := g.parts.Host.Sums()
@@ -126,13 +126,13 @@
 		zone[i].Incarnation, zone[i].Sequence = g.incarnation, sequence
 		g.sendDatagram(counters.PeerHeartbeats, &zone[i], aggregators)
 	}
-	batches := (len(wanting) + sumBatchHosts - 1) / sumBatchHosts
+	batches := (len(receivers) + sumBatchHosts - 1) / sumBatchHosts
 	for i := range fleet {
 		fleet[i].Incarnation, fleet[i].Sequence = g.incarnation, sequence
 		if isPrimary {
 			g.applyFleetSum(&fleet[i])
 		}
-		for batch := range slices.Chunk(wanting, sumBatchHosts) {
+		for batch := range slices.Chunk(receivers, sumBatchHosts) {
 			g.sendDatagram(counters.PeerHeartbeats, &fleet[i], batch)
 			if !lifetime.Sleep(ctx, time.Duration(sumBatchSpread*float64(aggregate.Interval)/float64(batches*len(fleet)))) {
 				return
@@ -143,34 +143,34 @@
 
 // sumTargets returns the addresses of the hosts that use this host's sums, and the addresses of the aggregators that
 // receive the sum over its zone: the first hosts of each zone, and those that send sums over their zones.
-func (g *Gossip) sumTargets() (wanting, aggregators []string) {
+func (g *Gossip) sumTargets() (receivers, aggregators []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.parts.Clock()
-	taken := make(map[string]bool)
+	selected := make(map[string]bool)
 	for _, zone := range g.members.Zones() {
 		ranked := g.members.Ranked(zone)
 		for _, name := range ranked[:min(aggregatorsPerZone, len(ranked))] {
-			taken[name] = true
+			selected[name] = true
 		}
 	}
 	for _, member := range g.members.Live() {
 		if now.Before(member.wantsSumsUntil) {
-			wanting = append(wanting, member.Address)
+			receivers = append(receivers, member.Address)
 		}
-		if taken[member.Name] || now.Before(member.sendsZoneSumsUntil) {
+		if selected[member.Name] || now.Before(member.sendsZoneSumsUntil) {
 			aggregators = append(aggregators, member.Address)
 		}
 	}
-	return wanting, aggregators
+	return receivers, aggregators
 }
 
 // handleContribution passes the work of a member of this zone to Host.
 func (g *Gossip) handleContribution(c *Contribution) {
 	g.mu.Lock()
-	host, counts := g.members.ApplyContribution(g.parts.Clock(), c)
+	host, accepted := g.members.ApplyContribution(g.parts.Clock(), c)
 	g.mu.Unlock()
-	if counts {
+	if accepted {
 		g.parts.Host.HandleContribution(host, c)
 	}
 }
@@ -188,12 +188,12 @@
 // handleFleetSum handles an aggregator's sum over all hosts.
 func (g *Gossip) handleFleetSum(s *FleetSum) {
 	g.mu.Lock()
-	aggregator, counts := g.members.ApplyFleetSum(s)
-	if counts {
+	aggregator, accepted := g.members.ApplyFleetSum(s)
+	if accepted {
 		g.sharing.choice.Received(g.parts.Clock(), aggregator)
 	}
 	g.mu.Unlock()
-	if counts {
+	if accepted {
 		g.applyFleetSum(s)
 	}
 }
--- a/internal/front/gossip/share_test.go
+++ b/internal/front/gossip/share_test.go
@@ -64,9 +64,9 @@
 			continue
 		}
 		eventually(c, "another aggregator is picked", func() bool { return primary(n) != first })
-		before := 0
-		n.with(func() bool { before = n.fleetSums; return true })
-		eventually(c, "the new aggregator's sums arrive", func() bool { return n.with(func() bool { return n.fleetSums > before+1 }) })
+		previous := 0
+		n.with(func() bool { previous = n.fleetSums; return true })
+		eventually(c, "the new aggregator's sums arrive", func() bool { return n.with(func() bool { return n.fleetSums > previous+1 }) })
 	}
 }
 
@@ -74,8 +74,8 @@
 // hosts are dropped.
 func TestMessagesOfOtherZonesAndUnknownHostsAreIgnored(t *testing.T) {
 	tests := map[string]struct {
-		message any
-		counts  bool
+		message  any
+		accepted bool
 	}{
 		"contribution of an unknown host": {&Contribution{Incarnation: 99, WantsSums: true}, false},
 		"contribution of another zone":    {&Contribution{Incarnation: 2, WantsSums: true}, false},
@@ -95,14 +95,14 @@
 				Config: Config{Name: "self", Zone: "z"}, Host: host, Log: logrus.NewEntry(log), Clock: time.Now,
 				Random: rand.Float64, CountSent: func(counters.PeerTraffic, int) {},
 			})
-			far := announcement("b", 1)
-			far.Zone = "far"
+			remote := announcement("b", 1)
+			remote.Zone = "far"
 			g.members.ApplyHeartbeat(start, &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)})
-			g.members.ApplyHeartbeat(start, &Heartbeat{Incarnation: 2, Sequence: 1, Announcement: far})
+			g.members.ApplyHeartbeat(start, &Heartbeat{Incarnation: 2, Sequence: 1, Announcement: remote})
 			data, err := cbor.Marshal(test.message)
 			c.Assert(err, qt.IsNil)
 			g.HandleDatagram(data, "127.0.0.1:9")
-			c.Check(len(host.contributed)+len(host.zoneSums)+host.fleetSums > 0, qt.Equals, test.counts)
+			c.Check(len(host.contributed)+len(host.zoneSums)+host.fleetSums > 0, qt.Equals, test.accepted)
 		})
 	}
 }
--- a/internal/front/relay/attempt.go
+++ b/internal/front/relay/attempt.go
@@ -69,8 +69,8 @@
 
 // attempt makes one attempt at an endpoint.
 func (x *exchange) attempt(ctx context.Context, a *owner.Attempt) owner.Result {
-	ctx, watch := httprelay.WithIdleTimeout(ctx, answerTimeout(&x.policy, a), owner.ErrStalled)
-	defer watch.Stop()
+	ctx, idle := httprelay.WithIdleTimeout(ctx, answerTimeout(&x.policy, a), owner.ErrStalled)
+	defer idle.Stop()
 	answer, err := x.server.parts.Client.Do(ctx, x.upstreamCall(a))
 	if errors.Is(err, upstream.ErrWithheld) {
 		return owner.Result{Event: request.EventWithheld, Err: err}
@@ -89,8 +89,8 @@
 		return x.handleNotStarted(a, answer)
 	}
 	if x.policy.Stream && answer.Status == http.StatusOK {
-		watch.SetLimit(ctx, eventTimeout(&x.policy, a))
-		return x.relayStream(ctx, a, answer, watch)
+		idle.SetLimit(ctx, eventTimeout(&x.policy, a))
+		return x.relayStream(ctx, a, answer, idle)
 	}
 	return x.relayPlain(ctx, a, answer)
 }
--- a/internal/front/relay/exchange.go
+++ b/internal/front/relay/exchange.go
@@ -124,8 +124,8 @@
 		if x.answer != nil {
 			x.answer.Send(x.w)
 		}
-		whole := p.Clock.Now().Sub(x.arrived)
-		p.Counters.Answered(x.route.Class, whole, x.metTargets(&end, whole), 0)
+		took := p.Clock.Now().Sub(x.arrived)
+		p.Counters.Answered(x.route.Class, took, x.metTargets(&end, took), 0)
 	case request.OutcomeBroken:
 		// net/http closes the connection without the end of the answer, so that the caller detects that it is truncated.
 		panic(http.ErrAbortHandler)
@@ -147,9 +147,9 @@
 }
 
 // metTargets reports whether an answer met the latency targets of its class.
-func (x *exchange) metTargets(end *owner.End, whole time.Duration) bool {
+func (x *exchange) metTargets(end *owner.End, took time.Duration) bool {
 	if !x.policy.Stream {
-		return x.policy.WholeAnswer == 0 || whole <= x.policy.WholeAnswer
+		return x.policy.WholeAnswer == 0 || took <= x.policy.WholeAnswer
 	}
 	if x.policy.FirstToken == 0 {
 		return true
--- a/internal/front/relay/stream.go
+++ b/internal/front/relay/stream.go
@@ -46,12 +46,12 @@
 }
 
 // relayStream forwards complete events until the stream ends or breaks. It blocks while the caller does not read.
-func (x *exchange) relayStream(ctx context.Context, a *owner.Attempt, answer *upstream.Answer, watch *httprelay.IdleTimer) owner.Result {
+func (x *exchange) relayStream(ctx context.Context, a *owner.Attempt, answer *upstream.Answer, idle *httprelay.IdleTimer) owner.Result {
 	scanner := bufio.NewScanner(answer)
 	scanner.Buffer(make([]byte, 0, eventBufferBytes), maxEventBytes)
 	scanner.Split(splitEvents)
 	for scanner.Scan() {
-		watch.Reset()
+		idle.Reset()
 		x.countRun()
 		event := scanner.Bytes()
 		if !x.stream.isNext(eventID(event)) {
--- a/internal/httprelay/body.go
+++ b/internal/httprelay/body.go
@@ -16,9 +16,9 @@
 	return body, refusal
 }
 
-// ReadHead reads at most the first most bytes of a body, and reports whether they are the complete body. The rest can be
-// read from r.Body, under the same limit and deadline.
-func ReadHead(w http.ResponseWriter, r *http.Request, limit, most int64, timeout time.Duration) (head []byte, whole bool, refusal *request.Refusal) {
+// ReadHead reads at most maxHead bytes of a body, and reports whether they are the complete body. The rest can be read
+// from r.Body, under the same limit and deadline.
+func ReadHead(w http.ResponseWriter, r *http.Request, limit, maxHead int64, timeout time.Duration) (head []byte, complete bool, refusal *request.Refusal) {
 	if r.ContentLength > limit {
 		return nil, false, request.Refuse(request.ReasonBodyTooLarge, "the body is larger than this class allows")
 	}
@@ -26,18 +26,18 @@
 	// Writers of net/http support deadlines; those of tests do not.
 	_ = control.SetReadDeadline(time.Now().Add(timeout))
 	r.Body = http.MaxBytesReader(w, r.Body, limit)
-	head, err := io.ReadAll(io.LimitReader(r.Body, most))
+	head, err := io.ReadAll(io.LimitReader(r.Body, maxHead))
 	if err != nil {
 		// The deadline remains set: net/http reads the rest of a body before it answers, and without a deadline a caller
 		// that has stopped sending would block that.
 		return nil, false, bodyRefusal(err)
 	}
-	whole = int64(len(head)) < most
-	if whole {
+	complete = int64(len(head)) < maxHead
+	if complete {
 		// An error means that the writer supports no deadlines, as above.
 		_ = control.SetReadDeadline(time.Time{})
 	}
-	return head, whole, nil
+	return head, complete, nil
 }
 
 func bodyRefusal(err error) *request.Refusal {
