--- a/internal/front/envelope/envelope.go
+++ b/internal/front/envelope/envelope.go
@@ -18,8 +18,8 @@
 	KindLeaving Kind = 4
 	// KindRejections reports the rejections of requests by endpoints.
 	KindRejections Kind = 5
-	// KindLimits lists the limits that endpoints name. KindPermitRequest asks for a permit to send a request to an endpoint
-	// with a limit, KindPermitReply answers.
+	// KindLimits lists the limits that endpoints name. KindPermitRequest asks for a permit to send a request to an
+	// endpoint with a limit, KindPermitReply answers.
 	KindLimits        Kind = 6
 	KindPermitRequest Kind = 7
 	KindPermitReply   Kind = 8
--- a/internal/front/gossip/bounds_test.go
+++ b/internal/front/gossip/bounds_test.go
@@ -19,8 +19,8 @@
 	usualNetworkLatency = 20 * time.Millisecond
 )
 
-// ageBound is a row of the table in docs/design/0008-freshness.md: the maximum staleness of a host's state in a fleet of
-// a number of hosts, after a certain fault.
+// ageBound is a row of the table in docs/design/0008-freshness.md: the maximum staleness of a host's state in a fleet
+// of a number of hosts, after a certain fault.
 type ageBound func(hosts int) time.Duration
 
 // normalAge is the bound without a fault, for a change that follows another.
@@ -31,7 +31,8 @@
 	return 2*freshness.Phase + usualStoreLatency + confirmDelay + usualNetworkLatency
 }
 
-// noReadersAge is the bound with all readers unresponsive, if the store answers only the last of the other hosts to ask.
+// noReadersAge is the bound with all readers unresponsive, if the store answers only the last of the other hosts to
+// ask.
 func noReadersAge(hosts int) time.Duration {
 	return freshness.AskAfter + freshness.AskDelay(hosts-1) + follow.DutyCheck + usualStoreLatency + usualNetworkLatency
 }
@@ -71,8 +72,8 @@
 	return maxLargeFleetAge
 }
 
-// TestWorstAges adds up the constants behind each row of the table and compares the sum with the bound, so that a change
-// of a constant that breaks a bound fails.
+// TestWorstAges adds up the constants behind each row of the table and compares the sum with the bound, so that a
+// change of a constant that breaks a bound fails.
 func TestWorstAges(t *testing.T) {
 	tests := map[string]struct {
 		age ageBound
--- a/internal/front/gossip/capacity_test.go
+++ b/internal/front/gossip/capacity_test.go
@@ -11,8 +11,8 @@
 	"oxbowslip.dev/oxbowslip/internal/front/keys"
 )
 
-// TestHeartbeatBytes measures the size of heartbeats by content, for docs/CAPACITY.md, and checks that a heartbeat fits a
-// datagram.
+// TestHeartbeatBytes measures the size of heartbeats by content, for docs/CAPACITY.md, and checks that a heartbeat fits
+// a datagram.
 func TestHeartbeatBytes(t *testing.T) {
 	c := qt.New(t)
 	size := func(endpoints, reads, known int) int {
--- a/internal/front/gossip/confirm.go
+++ b/internal/front/gossip/confirm.go
@@ -12,11 +12,12 @@
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
 
-// confirmDelay is how long a confirmation is delayed to share a datagram with another: a reader's calls for settings and
-// for endpoints end at about the same time.
+// confirmDelay is how long a confirmation is delayed to share a datagram with another: a reader's calls for settings
+// and for endpoints end at about the same time.
 const confirmDelay = 10 * time.Millisecond
 
-// RequestConfirmation requests a confirmation to all members, after the store has answered this host. It does not block.
+// RequestConfirmation requests a confirmation to all members, after the store has answered this host. It does not
+// block.
 func (g *Gossip) RequestConfirmation() {
 	lifetime.Wake(g.confirmationWanted)
 }
@@ -57,8 +58,8 @@
 }
 
 // isOfLaterEra reports whether a confirmation belongs to an era of the store after the first. Hosts of versions without
-// eras accept revisions of a later era from peers and then confirm state that they have not read. Confirmations of later
-// eras are therefore sent as an envelope, which those versions never send.
+// eras accept revisions of a later era from peers and then confirm state that they have not read. Confirmations of
+// later eras are therefore sent as an envelope, which those versions never send.
 func isOfLaterEra(topics []TopicConfirmation) bool {
 	return slices.ContainsFunc(topics, func(t TopicConfirmation) bool { return era.Of(t.Revision) > 0 })
 }
--- a/internal/front/gossip/envelope.go
+++ b/internal/front/gossip/envelope.go
@@ -14,8 +14,8 @@
 	// Incarnation identifies the sender, as in Heartbeat. Sequence counts its envelopes.
 	Incarnation uint32
 	Sequence    uint64
-	// Fleet is the sender's fleet. Messages of another fleet are dropped, so that fleets that can reach each other do not
-	// mix their counts.
+	// Fleet is the sender's fleet. Messages of another fleet are dropped, so that fleets that can reach each other do
+	// not mix their counts.
 	Fleet uint64
 	Kind  envelope.Kind
 	Body  cbor.RawMessage
--- a/internal/front/gossip/fetch.go
+++ b/internal/front/gossip/fetch.go
@@ -24,8 +24,9 @@
 	}
 }
 
-// syncTopic fetches a topic from a member that reported a newer revision, or from others that have one. It repeats until
-// no member is ahead, because reports that arrive during a fetch start no other, or until a round fetches nothing new.
+// syncTopic fetches a topic from a member that reported a newer revision, or from others that have one. It repeats
+// until no member is ahead, because reports that arrive during a fetch start no other, or until a round fetches nothing
+// new.
 func (g *Gossip) syncTopic(t freshness.Topic, first Member, before SyncRequest) {
 	defer g.endFetch(t)
 	for {
@@ -39,8 +40,8 @@
 	}
 }
 
-// syncRound fetches a topic once, after a grace period in which the change may arrive from the store or in a heartbeat. A
-// host without settings or endpoints does not wait.
+// syncRound fetches a topic once, after a grace period in which the change may arrive from the store or in a heartbeat.
+// A host without settings or endpoints does not wait.
 func (g *Gossip) syncRound(t freshness.Topic, first Member, before SyncRequest) {
 	if before.Settings > 0 && before.Directory > 0 {
 		// All hosts learn of a change at the same time, and few hosts have it yet.
@@ -147,9 +148,9 @@
 	isDone func(answered bool) bool
 }
 
-// fetchTopic asks members for a topic. As long as none has answered, it asks twice as many more after each fetchHedge, so
-// that unresponsive members do not use up the time: with half of the members unresponsive, an answer takes more than two
-// hedges in 1 of 8 cases, and more than three in 1 of 128.
+// fetchTopic asks members for a topic. As long as none has answered, it asks twice as many more after each fetchHedge,
+// so that unresponsive members do not use up the time: with half of the members unresponsive, an answer takes more than
+// two hedges in 1 of 8 cases, and more than three in 1 of 128.
 func (g *Gossip) fetchTopic(r *fetchRound) {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
@@ -204,8 +205,8 @@
 	return false
 }
 
-// fetchChanges fetches the changes of the directory after a revision from a member and applies them. It reports false if
-// a snapshot has to be fetched instead: the member has an older version, or no longer has all changes since then.
+// fetchChanges fetches the changes of the directory after a revision from a member and applies them. It reports false
+// if a snapshot has to be fetched instead: the member has an older version, or no longer has all changes since then.
 func (g *Gossip) fetchChanges(ctx context.Context, peer Member, revision uint64) bool {
 	var response ChangesResponse
 	err := g.call(ctx, peer.Address, rpcChanges, &ChangesRequest{Directory: revision}, &response)
--- a/internal/front/gossip/gossip.go
+++ b/internal/front/gossip/gossip.go
@@ -191,8 +191,8 @@
 	return now.Sub(g.joinedAt) >= joinQuietTime || now.Sub(g.started) >= maxSettleTime
 }
 
-// MustReadStore reports whether this host has to read the store for its peers: it is settled, and its place in the order
-// makes it a reader. A host that would take over from other readers first waits for maxSettleTime, by when it has
+// MustReadStore reports whether this host has to read the store for its peers: it is settled, and its place in the
+// order makes it a reader. A host that would take over from other readers first waits for maxSettleTime, by when it has
 // received their heartbeats.
 func (g *Gossip) MustReadStore() bool {
 	if !g.Settled() {
--- a/internal/front/gossip/gossip_test.go
+++ b/internal/front/gossip/gossip_test.go
@@ -399,8 +399,8 @@
 	}
 }
 
-// TestConfirmationsReachMembersAndStartFetches checks that a confirmation reaches all members, and that a member with an
-// older revision fetches the newer one without waiting for a heartbeat.
+// TestConfirmationsReachMembersAndStartFetches checks that a confirmation reaches all members, and that a member with
+// an older revision fetches the newer one without waiting for a heartbeat.
 func TestConfirmationsReachMembersAndStartFetches(t *testing.T) {
 	c := qt.New(t)
 	a := startNode(c, "a")
@@ -450,8 +450,8 @@
 	c.Check(member.Directory, qt.Equals, uint64(4), qt.Commentf("an older revision does not replace a newer one"))
 }
 
-// TestConfirmationsFromHostsWithoutErasAreIgnored guards against confirmations of a later era by hosts whose version has
-// no eras and which have not read that era from the store.
+// TestConfirmationsFromHostsWithoutErasAreIgnored guards against confirmations of a later era by hosts whose version
+// has no eras and which have not read that era from the store.
 func TestConfirmationsFromHostsWithoutErasAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	restored, err := era.Revision(1, 4)
--- a/internal/front/gossip/members.go
+++ b/internal/front/gossip/members.go
@@ -27,14 +27,14 @@
 	// lastFleetSum is the sequence number of the newest sum over all hosts that the member has sent.
 	lastFleetSum uint64
 	lastSeen     time.Time
-	// wantsSumsUntil is when the member's request for this host's sums expires, sendsZoneSumsUntil when the member stops
-	// counting as a sender of sums over its zone.
+	// wantsSumsUntil is when the member's request for this host's sums expires, sendsZoneSumsUntil when the member
+	// stops counting as a sender of sums over its zone.
 	wantsSumsUntil     time.Time
 	sendsZoneSumsUntil time.Time
 }
 
-// Members is a host's view of its peers. It does no I/O and takes the time as a parameter. It is not safe for concurrent
-// use.
+// Members is a host's view of its peers. It does no I/O and takes the time as a parameter. It is not safe for
+// concurrent use.
 type Members struct {
 	self string
 	zone string
--- a/internal/front/gossip/messages.go
+++ b/internal/front/gossip/messages.go
@@ -9,16 +9,16 @@
 	"oxbowslip.dev/oxbowslip/internal/front/keys"
 )
 
-// The messages are CBOR arrays without field names. Hosts of different versions run side by side, and a host can't decode
-// an array of an unexpected length. The fields of a message must therefore not change: new data go into a new message,
-// which older hosts ignore. testdata/golden holds the encoded form of each message.
+// The messages are CBOR arrays without field names. Hosts of different versions run side by side, and a host can't
+// decode an array of an unexpected length. The fields of a message must therefore not change: new data go into a new
+// message, which older hosts ignore. testdata/golden holds the encoded form of each message.
 
 // Heartbeat is a datagram with all of a host's state that peers use, so that a lost one is made up for by the next.
 type Heartbeat struct {
 	_ struct{} `cbor:",toarray"`
 
-	// Incarnation identifies the sender; it is drawn at random at each start of a host. Sequence counts the heartbeats of
-	// an incarnation.
+	// Incarnation identifies the sender; it is drawn at random at each start of a host. Sequence counts the heartbeats
+	// of an incarnation.
 	Incarnation uint32
 	Sequence    uint64
 	// Announcement identifies the sender to hosts that do not know it yet. A heartbeat with an announcement carries no
@@ -141,8 +141,8 @@
 	Long    []keys.Class
 }
 
-// SettingsPatch changes the configuration of revision From into that of revision To. A host with any other revision can't
-// apply it.
+// SettingsPatch changes the configuration of revision From into that of revision To. A host with any other revision
+// can't apply it.
 type SettingsPatch struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -323,8 +323,8 @@
 	// From is the requested revision, To the revision after the changes.
 	From uint64
 	To   uint64
-	// Entries and States are lists of EndpointChange in CBOR, compressed without a base. States holds the entries of which
-	// only the state has changed; they contain the ID and the state alone.
+	// Entries and States are lists of EndpointChange in CBOR, compressed without a base. States holds the entries of
+	// which only the state has changed; they contain the ID and the state alone.
 	Entries []byte
 	States  []byte
 }
--- a/internal/front/gossip/registry.go
+++ b/internal/front/gossip/registry.go
@@ -10,8 +10,8 @@
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
 
-// Registry stores the addresses of hosts, so that hosts that start later can contact them. The implementation counts each
-// error.
+// Registry stores the addresses of hosts, so that hosts that start later can contact them. The implementation counts
+// each error.
 type Registry interface {
 	Register(ctx context.Context, name, address string) error
 	Unregister(ctx context.Context, name string) error
@@ -26,16 +26,16 @@
 	// more peers with each heartbeat. A host that has seen few peers takes itself for a reader; in a large fleet that
 	// starts together, this costs thousands of calls to the store.
 	joinQuietTime = 700 * time.Millisecond
-	// maxSettleTime bounds that wait where peers keep joining. It is also how long a host waits before it takes over from
-	// readers of the store: their first held call and their next heartbeat take 3.3 s. Without this wait, a fleet of 40
-	// hosts that start together made up to 158 calls, because all twelve possible readers began at once.
+	// maxSettleTime bounds that wait where peers keep joining. It is also how long a host waits before it takes over
+	// from readers of the store: their first held call and their next heartbeat take 3.3 s. Without this wait, a fleet
+	// of 40 hosts that start together made up to 158 calls, because all twelve possible readers began at once.
 	maxSettleTime = 6 * time.Second
 	// registerInterval is the mean time between two attempts to register.
 	registerInterval = 2 * time.Second
 )
 
-// KeepRegistered registers this host if it reads the store or has no peers, and contacts the hosts that have registered.
-// It lists them again whenever it has no peers. It runs until done is closed.
+// KeepRegistered registers this host if it reads the store or has no peers, and contacts the hosts that have
+// registered. It lists them again whenever it has no peers. It runs until done is closed.
 func (g *Gossip) KeepRegistered(done <-chan struct{}, registry Registry) {
 	ctx, cancel := lifetime.Context(done)
 	defer cancel()
--- a/internal/front/gossip/rules.go
+++ b/internal/front/gossip/rules.go
@@ -29,8 +29,8 @@
 const (
 	// minReportPace is the minimum time between two reports; their content changes within seconds.
 	minReportPace = 200 * time.Millisecond
-	// reportPacePerHost raises it in a large fleet, so that the traffic of a host stays constant. At 200 ms, the reports
-	// of 78 hosts make up most of the traffic between zones.
+	// reportPacePerHost raises it in a large fleet, so that the traffic of a host stays constant. At 200 ms, the
+	// reports of 78 hosts make up most of the traffic between zones.
 	reportPacePerHost = 30 * time.Millisecond
 )
 
@@ -40,10 +40,11 @@
 }
 
 const (
-	// minMemberTimeout is how long a member may send no heartbeat before it is dropped: three idle intervals and a delay.
+	// minMemberTimeout is how long a member may send no heartbeat before it is dropped: three idle intervals and a
+	// delay.
 	minMemberTimeout = 3500 * time.Millisecond
-	// memberTimeoutPerMember raises the limit in a large fleet, whose hosts send less often. At 300 hosts, 3.5 s is less
-	// than two paces, and live members would be dropped.
+	// memberTimeoutPerMember raises the limit in a large fleet, whose hosts send less often. At 300 hosts, 3.5 s is
+	// less than two paces, and live members would be dropped.
 	memberTimeoutPerMember = 30 * time.Millisecond
 )
 
@@ -53,9 +54,9 @@
 }
 
 // minMembersToAggregate is the number of members from which heartbeats carry no loads and holders, and work is shared
-// through aggregators instead. In a large fleet, loads and holders cost more than they gain: each host has a small share
-// of an endpoint's load, and all hosts find the preferred endpoint of a prefix by its hash. At 300 hosts they make up
-// most of the traffic between zones.
+// through aggregators instead. In a large fleet, loads and holders cost more than they gain: each host has a small
+// share of an endpoint's load, and all hosts find the preferred endpoint of a prefix by its hash. At 300 hosts they
+// make up most of the traffic between zones.
 const minMembersToAggregate = 120
 
 // The number of addresses of other hosts in an announcement. 64 addresses fit one datagram (TestHeartbeatBytes).
@@ -95,11 +96,11 @@
 	// that have the change serve few fetches at a time, and the kernel retries a connection that finds the accept queue
 	// full only after a second.
 	fetchSpreadPerHost = 2 * time.Millisecond
-	// fetchHedge is how long a peer may take to answer before more peers are asked: several times as long as the transfer
-	// of a directory of 3,500 endpoints over a link of 10 Mbit/s.
+	// fetchHedge is how long a peer may take to answer before more peers are asked: several times as long as the
+	// transfer of a directory of 3,500 endpoints over a link of 10 Mbit/s.
 	fetchHedge = 250 * time.Millisecond
-	// maxFetchPeers is how many peers a fetch asks: one, two more, and four more. With half of the peers unresponsive, 1
-	// fetch in 128 fails. More peers would compete for the links of a large fleet whose hosts fetch at the same time.
+	// maxFetchPeers is how many peers a fetch asks: one, two more, and four more. With half of the peers unresponsive,
+	// 1 fetch in 128 fails. More peers would compete for the links of a large fleet whose hosts fetch at the same time.
 	maxFetchPeers = 7
 	// pollCheckInterval is the time between two checks whether peers have to be polled.
 	pollCheckInterval = 200 * time.Millisecond
@@ -108,10 +109,10 @@
 	// fetchTimeout bounds a fetch from all peers: transfers of a directory to hundreds of hosts at the same time take
 	// seconds.
 	fetchTimeout = 3 * time.Second
-	// maxSnapshots bounds the snapshots of the directory that a host sends at a time. More would share its link, and none
-	// would arrive in time. Hosts that get no snapshot ask again, and by then other hosts have it too. With 4, and separate
-	// fetches of settings and directory, a change reaches 300 hosts within the bound of 2 s; without, it takes 2.8 s to
-	// 4.0 s.
+	// maxSnapshots bounds the snapshots of the directory that a host sends at a time. More would share its link, and
+	// none would arrive in time. Hosts that get no snapshot ask again, and by then other hosts have it too. With 4, and
+	// separate fetches of settings and directory, a change reaches 300 hosts within the bound of 2 s; without, it takes
+	// 2.8 s to 4.0 s.
 	maxSnapshots = 4
 	// maxDatagram is the size in bytes of the largest datagram that is read. Heartbeats stay far below it
 	// (TestHeartbeatBytes).
@@ -119,8 +120,8 @@
 )
 
 const (
-	// maxReaders is the number of hosts in the order that may read the store, including those that take over from readers
-	// without answers. It is bounded so that not all hosts call a store that is down.
+	// maxReaders is the number of hosts in the order that may read the store, including those that take over from
+	// readers without answers. It is bounded so that not all hosts call a store that is down.
 	maxReaders = 3 * freshness.Readers
 )
 
--- a/internal/front/gossip/share.go
+++ b/internal/front/gossip/share.go
@@ -22,8 +22,8 @@
 	// keptContributions is how many sent contributions a host keeps, to find the one that a sum includes. A sum with an
 	// older contribution has expired.
 	keptContributions = 8
-	// sumBatchHosts is the number of hosts to which an aggregator sends a sum at a time. A batch of 16 KB takes 7 ms on a
-	// link of 20 Mbit/s, which bounds the delay of other answers.
+	// sumBatchHosts is the number of hosts to which an aggregator sends a sum at a time. A batch of 16 KB takes 7 ms on
+	// a link of 20 Mbit/s, which bounds the delay of other answers.
 	sumBatchHosts = 4
 	// sumBatchSpread is the fraction of aggregate.Interval over which the batches are spread.
 	sumBatchSpread = 0.6
--- a/internal/front/relay/attempt.go
+++ b/internal/front/relay/attempt.go
@@ -23,8 +23,8 @@
 	// maxDials bounds the failed dials of a request that do not count as attempts. After two unreachable endpoints in a
 	// row, a request has used up most of a short latency target.
 	maxDials = 2
-	// maxPlainAnswerBytes bounds a plain answer, which is buffered in memory until it is complete. Typical plain answers
-	// have 800 bytes.
+	// maxPlainAnswerBytes bounds a plain answer, which is buffered in memory until it is complete. Typical plain
+	// answers have 800 bytes.
 	maxPlainAnswerBytes = 16 << 20
 	// headerLastEventID carries the ID of the last event that the caller has received (Server-Sent Events).
 	headerLastEventID = "Last-Event-Id"
@@ -109,7 +109,8 @@
 	})
 }
 
-// reportFailure reports an endpoint's failure, unless the request itself was aborted. A stalled endpoint has failed too.
+// reportFailure reports an endpoint's failure, unless the request itself was aborted. A stalled endpoint has failed
+// too.
 func (x *exchange) reportFailure(ctx context.Context, a *owner.Attempt, cause error) {
 	if ctx.Err() == nil || errors.Is(context.Cause(ctx), owner.ErrStalled) {
 		x.server.parts.Health.Failed(a.EndpointID, !errors.Is(cause, request.ErrNotSent), cause)
@@ -117,8 +118,8 @@
 }
 
 // reportBroken reports a call that was sent and then broken by its endpoint, which may have crashed while running it.
-// Begun is set if the endpoint had begun to answer, or if it would not have shown that. A call that this host aborted is
-// not reported.
+// Begun is set if the endpoint had begun to answer, or if it would not have shown that. A call that this host aborted
+// is not reported.
 func (x *exchange) reportBroken(ctx context.Context, a *owner.Attempt, begun bool) {
 	if ctx.Err() == nil {
 		x.server.parts.Poison.Broke(&poison.Call{Request: x.key, Endpoint: a.EndpointID, Address: a.Endpoint.Address, Begun: begun})
@@ -191,8 +192,9 @@
 	return owner.Result{Event: request.EventWhole}
 }
 
-// keepServerError keeps an endpoint's server error, to be forwarded if no attempt gives a better answer. Statuses 429 and
-// 503 are not forwarded: to the caller they promise that the request did not run, which the endpoint has not confirmed.
+// keepServerError keeps an endpoint's server error, to be forwarded if no attempt gives a better answer. Statuses 429
+// and 503 are not forwarded: to the caller they promise that the request did not run, which the endpoint has not
+// confirmed.
 func (x *exchange) keepServerError(held *httprelay.HeldAnswer) owner.Result {
 	if held.Status != http.StatusServiceUnavailable && held.Status != http.StatusTooManyRequests {
 		x.serverError = held
--- a/internal/front/relay/exchange.go
+++ b/internal/front/relay/exchange.go
@@ -43,14 +43,14 @@
 	sentAt time.Time
 	// signal is the state that the endpoint of the last answer reported.
 	signal pushback.Signal
-	// answer is the complete answer for the caller, serverError an endpoint's server error that is forwarded if no attempt
-	// gives a better answer.
+	// answer is the complete answer for the caller, serverError an endpoint's server error that is forwarded if no
+	// attempt gives a better answer.
 	answer      *httprelay.HeldAnswer
 	serverError *httprelay.HeldAnswer
 }
 
-// prepare classifies the request, checks that it may run, and reads its body. It returns a refusal if the request may not
-// run; nothing has been sent then.
+// prepare classifies the request, checks that it may run, and reads its body. It returns a refusal if the request may
+// not run; nothing has been sent then.
 func (x *exchange) prepare() *request.Refusal {
 	call, err := x.server.parts.Dialect.ParseCall(x.r)
 	x.call = call
@@ -77,8 +77,8 @@
 	return refusal
 }
 
-// timeLimit returns how long a request may take: the limit of its class, or the caller's own limit if that is shorter or
-// the class has none.
+// timeLimit returns how long a request may take: the limit of its class, or the caller's own limit if that is shorter
+// or the class has none.
 func timeLimit(class, patience time.Duration) time.Duration {
 	if patience > 0 && (patience < class || class == 0) {
 		return patience
@@ -127,7 +127,8 @@
 		took := p.Clock.Now().Sub(x.arrived)
 		p.Counters.Answered(x.route.Class, took, x.metTargets(&end, took), 0)
 	case request.OutcomeBroken:
-		// net/http closes the connection without the end of the answer, so that the caller detects that it is truncated.
+		// net/http closes the connection without the end of the answer, so that the caller detects that it is
+		// truncated.
 		panic(http.ErrAbortHandler)
 	case request.OutcomeRefused:
 		if x.serverError != nil {
--- a/internal/front/relay/refuse.go
+++ b/internal/front/relay/refuse.go
@@ -17,7 +17,8 @@
 const (
 	// minRetryAfter is the minimum time that a refusal carries.
 	minRetryAfter = 250 * time.Millisecond
-	// notReadyRetry is for a host without settings: it reads them within milliseconds of its start if the store answers.
+	// notReadyRetry is for a host without settings: it reads them within milliseconds of its start if the store
+	// answers.
 	notReadyRetry = 500 * time.Millisecond
 )
 
@@ -28,8 +29,8 @@
 	Detail string         `json:"detail"`
 }
 
-// statusOf returns the HTTP status of a refusal. 429 and 503 promise that the request has not run and never will, so they
-// are used only with RanNo.
+// statusOf returns the HTTP status of a refusal. 429 and 503 promise that the request has not run and never will, so
+// they are used only with RanNo.
 func statusOf(refusal *request.Refusal) int {
 	switch refusal.Reason {
 	case request.ReasonBadRequest:
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -1,10 +1,10 @@
-// Package relay serves the callers of oxbowslip-front: it accepts calls by host name and path, looks up the route of each,
-// and relays it to an endpoint of the route's service. It forwards plain answers when they are complete, and event
-// streams event by event. The counterpart in oxbowslipd is package daemon/api, which serves the chat protocol of language
-// models instead.
+// Package relay serves the callers of oxbowslip-front: it accepts calls by host name and path, looks up the route of
+// each, and relays it to an endpoint of the route's service. It forwards plain answers when they are complete, and
+// event streams event by event. The counterpart in oxbowslipd is package daemon/api, which serves the chat protocol of
+// language models instead.
 //
-// It owns an exchange for each open request. Package owner takes the request through its attempts, package upstream sends
-// it, and Health receives the observations of endpoints. A Dialect translates the headers of the deployment.
+// It owns an exchange for each open request. Package owner takes the request through its attempts, package upstream
+// sends it, and Health receives the observations of endpoints. A Dialect translates the headers of the deployment.
 package relay
 
 import (
--- a/internal/front/relay/silence.go
+++ b/internal/front/relay/silence.go
@@ -15,12 +15,12 @@
 	plainTimeoutTargets = 2
 	// eventTimeoutPauses is the timeout between events of a stream in multiples of its target for pauses.
 	eventTimeoutPauses = 4
-	// firstEventTimeoutTargets is the timeout for the first event of a stream in multiples of its latency target. The time
-	// to process the prompts ahead of it is added.
+	// firstEventTimeoutTargets is the timeout for the first event of a stream in multiples of its latency target. The
+	// time to process the prompts ahead of it is added.
 	firstEventTimeoutTargets = 2
-	// minPromptTokensPerMS is the assumed minimum rate at which an engine processes prompts, a quarter of the rate of the
-	// slowest engines in use (37 tokens per ms). With slower engines, streams that wait behind long prompts are sent to
-	// another endpoint too early.
+	// minPromptTokensPerMS is the assumed minimum rate at which an engine processes prompts, a quarter of the rate of
+	// the slowest engines in use (37 tokens per ms). With slower engines, streams that wait behind long prompts are
+	// sent to another endpoint too early.
 	minPromptTokensPerMS = 9
 )
 
@@ -43,8 +43,8 @@
 	return eventTimeoutPauses * policy.MaxPause
 }
 
-// The bounds of the connect timeout. A quarter of the latency target leaves time for another endpoint. Endpoints usually
-// accept a connection within 1 ms plus a network delay of 1 ms, and allow a caller one second.
+// The bounds of the connect timeout. A quarter of the latency target leaves time for another endpoint. Endpoints
+// usually accept a connection within 1 ms plus a network delay of 1 ms, and allow a caller one second.
 const (
 	connectTargetDivisor = 4
 	minConnect           = 60 * time.Millisecond
--- a/internal/front/relay/stream.go
+++ b/internal/front/relay/stream.go
@@ -32,8 +32,8 @@
 	lastID  string
 	lastAt  time.Time
 	firstAt time.Time
-	// longestPause is the longest time between two events, unprocessedTokens the number of prompt tokens that the endpoint
-	// had yet to process at its end.
+	// longestPause is the longest time between two events, unprocessedTokens the number of prompt tokens that the
+	// endpoint had yet to process at its end.
 	longestPause      time.Duration
 	unprocessedTokens int
 }
@@ -107,7 +107,8 @@
 	x.w.WriteHeader(answer.Status)
 }
 
-// recordEvent records an event that was sent to the caller. It reports whether the pause before it is the longest so far.
+// recordEvent records an event that was sent to the caller. It reports whether the pause before it is the longest so
+// far.
 func (s *streamState) recordEvent(now time.Time, id string) bool {
 	longest := false
 	if s.events == 0 {
--- a/internal/front/upstream/upstream.go
+++ b/internal/front/upstream/upstream.go
@@ -1,8 +1,9 @@
 // Package upstream is the HTTP client of oxbowslip-front for endpoints. It sends one call at a time on each connection,
 // never resends a call, and reports whether a failed call may have reached the endpoint. It matches answers to calls by
 // their ID, because a faulty endpoint may send a surplus answer before the answer to the next call. The client of
-// net/http would take the surplus answer for that of the next call, and it resends some calls by itself. oxbowslipd uses
-// the client of net/http (package daemon/httpclient), because its endpoints conform to HTTP and its bodies are streamed.
+// net/http would take the surplus answer for that of the next call, and it resends some calls by itself. oxbowslipd
+// uses the client of net/http (package daemon/httpclient), because its endpoints conform to HTTP and its bodies are
+// streamed.
 //
 // It owns the connections. Timeouts and retries are decided by package relay and package owner.
 package upstream
@@ -27,13 +28,13 @@
 	// connection. Larger calls are written while the answer is read, because an endpoint may answer before it has read
 	// the whole call.
 	maxInlineBytes = 4 << 10
-	// maxSurplusAnswers bounds the answers to other calls that are dropped before the right one. Faulty endpoints send one
-	// at a time.
+	// maxSurplusAnswers bounds the answers to other calls that are dropped before the right one. Faulty endpoints send
+	// one at a time.
 	maxSurplusAnswers = 4
 	// readBufBytes is the size of a connection's read buffer.
 	readBufBytes = 8 << 10
-	// maxIdlePerAddress bounds the idle connections to an endpoint. Endpoints accept 100 to 370 connections from all hosts
-	// together.
+	// maxIdlePerAddress bounds the idle connections to an endpoint. Endpoints accept 100 to 370 connections from all
+	// hosts together.
 	maxIdlePerAddress = 16
 	// defaultConnectTimeout is the connect timeout of calls that set none.
 	defaultConnectTimeout = time.Second
--- a/internal/httprelay/body.go
+++ b/internal/httprelay/body.go
@@ -28,8 +28,8 @@
 	r.Body = http.MaxBytesReader(w, r.Body, limit)
 	head, err := io.ReadAll(io.LimitReader(r.Body, maxHead))
 	if err != nil {
-		// The deadline remains set: net/http reads the rest of a body before it answers, and without a deadline a caller
-		// that has stopped sending would block that.
+		// The deadline remains set: net/http reads the rest of a body before it answers, and without a deadline a
+		// caller that has stopped sending would block that.
 		return nil, false, bodyRefusal(err)
 	}
 	complete = int64(len(head)) < maxHead
--- a/internal/httprelay/httprelay.go
+++ b/internal/httprelay/httprelay.go
@@ -1,6 +1,6 @@
 // Package httprelay holds the code for relaying HTTP that both programs share: it reads a body within limits, copies
-// headers, buffers an answer until it is complete, and aborts an attempt whose endpoint stalls. Limits and deadlines come
-// from its callers.
+// headers, buffers an answer until it is complete, and aborts an attempt whose endpoint stalls. Limits and deadlines
+// come from its callers.
 package httprelay
 
 import (
@@ -17,8 +17,8 @@
 	Write time.Duration
 }
 
-// HeldAnswer is a complete answer of an endpoint. Answers are buffered until they are complete so that a broken one is not
-// forwarded.
+// HeldAnswer is a complete answer of an endpoint. Answers are buffered until they are complete so that a broken one is
+// not forwarded.
 type HeldAnswer struct {
 	Status int
 	Header http.Header
--- a/internal/httprelay/silence.go
+++ b/internal/httprelay/silence.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// IdleTimer cancels an attempt whose endpoint sends nothing for too long. Its methods must be called from the goroutine of
-// the attempt.
+// IdleTimer cancels an attempt whose endpoint sends nothing for too long. Its methods must be called from the goroutine
+// of the attempt.
 type IdleTimer struct {
 	cancel context.CancelCauseFunc
 	cause  error
@@ -14,8 +14,8 @@
 	limit  time.Duration
 }
 
-// WithIdleTimeout returns a context for an attempt and its timer. The context is cancelled with a cause when Reset has not
-// been called for the limit. A limit of 0 sets no timeout. Stop must be called.
+// WithIdleTimeout returns a context for an attempt and its timer. The context is cancelled with a cause when Reset has
+// not been called for the limit. A limit of 0 sets no timeout. Stop must be called.
 func WithIdleTimeout(ctx context.Context, limit time.Duration, cause error) (context.Context, *IdleTimer) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	w := &IdleTimer{cancel: cancel, cause: cause}
