--- a/internal/front/relay/attempt.go
+++ b/internal/front/relay/attempt.go
@@ -113,7 +113,7 @@
 // too.
 func (x *exchange) reportFailure(ctx context.Context, a *owner.Attempt, cause error) {
 	if ctx.Err() == nil || errors.Is(context.Cause(ctx), owner.ErrStalled) {
-		x.server.parts.Health.Failed(a.EndpointID, !errors.Is(cause, request.ErrNotSent), cause)
+		x.server.parts.Health.RecordFailure(a.EndpointID, !errors.Is(cause, request.ErrNotSent), cause)
 	}
 }
 
@@ -128,7 +128,7 @@
 
 // reportAnswered reports that an endpoint has sent a complete answer.
 func (x *exchange) reportAnswered(a *owner.Attempt) {
-	x.server.parts.Health.Answered(a.EndpointID)
+	x.server.parts.Health.RecordSuccess(a.EndpointID)
 	x.server.parts.Poison.Answered(x.key)
 }
 
@@ -136,7 +136,7 @@
 	// The rest of the answer is read so that the connection can be reused; if that fails, it is closed.
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxPlainAnswerBytes))
 	if x.server.parts.Dialect.IsOtherEndpoint(answer.Status) {
-		x.server.parts.Health.Failed(a.EndpointID, false, errors.New("another endpoint has its address"))
+		x.server.parts.Health.RecordFailure(a.EndpointID, false, errors.New("another endpoint has its address"))
 	}
 	return owner.Result{Event: request.EventNotStarted, Err: errors.New("not started: " + strconv.Itoa(answer.Status))}
 }
@@ -163,7 +163,7 @@
 			return false
 		}
 		x.sentAt = x.server.parts.Clock.Now()
-		a.Sent()
+		a.RecordSend()
 		return true
 	}
 }
@@ -185,7 +185,7 @@
 		return x.keepServerError(held)
 	}
 	x.reportAnswered(a)
-	if !a.Deliver() {
+	if !a.StartDelivery() {
 		return owner.Result{Event: request.EventBroken}
 	}
 	x.answer = held
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -32,14 +32,14 @@
 
 // Health receives the observations of endpoints that requests yield. Its methods must not block.
 type Health interface {
-	// Failed is called when an endpoint could not be reached, or was reached and broke the call or stalled.
-	Failed(endpoint string, reached bool, cause error)
-	// Answered is called when an endpoint has sent a complete answer.
-	Answered(endpoint string)
-	// Streamed is called with the observations of a complete stream.
-	Streamed(service string, stream engine.Stream)
-	// Unread returns the number of prompt tokens that an endpoint has yet to process, as far as this host knows.
-	Unread(endpoint string) int
+	// RecordFailure is called when an endpoint could not be reached, or was reached and broke the call or stalled.
+	RecordFailure(endpoint string, reached bool, cause error)
+	// RecordSuccess is called when an endpoint has sent a complete answer.
+	RecordSuccess(endpoint string)
+	// RecordStream is called with the observations of a complete stream.
+	RecordStream(service string, stream engine.Stream)
+	// UnprocessedTokens returns the number of prompt tokens that an endpoint has yet to process, as far as this host knows.
+	UnprocessedTokens(endpoint string) int
 }
 
 // Meter counts the requests that endpoints began to run.
--- a/internal/front/relay/stream.go
+++ b/internal/front/relay/stream.go
@@ -41,7 +41,7 @@
 // summary returns the observations of the stream.
 func (s *streamState) summary() engine.Stream {
 	return engine.Stream{
-		Events: s.events, Lasted: s.lastAt.Sub(s.firstAt), Longest: s.longestPause, Beside: s.unprocessedTokens,
+		Events: s.events, Duration: s.lastAt.Sub(s.firstAt), LongestPause: s.longestPause, UnreadBeside: s.unprocessedTokens,
 	}
 }
 
@@ -67,7 +67,7 @@
 		return owner.Result{Event: request.EventBroken, Err: err}
 	}
 	x.reportAnswered(a)
-	if !a.Deliver() {
+	if !a.StartDelivery() {
 		return owner.Result{Event: request.EventBroken}
 	}
 	x.sendHead(answer)
@@ -76,7 +76,7 @@
 
 // forwardEvent sends an event to the caller. It returns a result if the attempt has ended.
 func (x *exchange) forwardEvent(a *owner.Attempt, answer *upstream.Answer, event []byte) *owner.Result {
-	if !a.Deliver() {
+	if !a.StartDelivery() {
 		return &owner.Result{Event: request.EventBroken}
 	}
 	x.sendHead(answer)
@@ -90,9 +90,9 @@
 		return &owner.Result{Event: request.EventCallerGone, Err: err}
 	}
 	if x.stream.recordEvent(x.server.parts.Clock.Now(), eventID(event)) {
-		x.stream.unprocessedTokens = x.server.parts.Health.Unread(a.EndpointID)
+		x.stream.unprocessedTokens = x.server.parts.Health.UnprocessedTokens(a.EndpointID)
 	}
-	a.Tokens(x.stream.events)
+	a.RecordTokens(x.stream.events)
 	return nil
 }
 
