--- a/internal/front/gossip/share.go
+++ b/internal/front/gossip/share.go
@@ -13,32 +13,32 @@
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
 
-// The messages by which hosts of a large fleet share their work through aggregators (package aggregate).
+// Hosts of a large fleet share their work through aggregators (package aggregate). This file sends and receives the
+// messages for it.
 
 const (
-	// shareSpread is the part of aggregate.Interval over which the messages of different hosts are spread.
-	shareSpread = 0.2
-	// sentWork is how many contributions a host remembers, to know which of them a sum counts: a sum is older than that
-	// only if it would be too old to count.
-	sentWork = 8
-	// sumBatch is how many sums an aggregator sends at a time: 16 KB are 7 ms of a link of 20 Mbit/s, so that they hold
-	// up no answer for longer.
-	sumBatch = 4
-	// sumPause is the part of aggregate.Interval over which the batches are spread.
-	sumPause = 0.6
-	// zoneAggregators is how many hosts of each zone are sent the sums of other zones: the one that is the
-	// aggregator and the one that would take over.
-	zoneAggregators = 2
+	// shareJitter is the fraction of aggregate.Interval over which the messages of different hosts are spread.
+	shareJitter = 0.2
+	// keptContributions is how many sent contributions a host keeps, to find the one that a sum includes. A sum with an
+	// older contribution has expired.
+	keptContributions = 8
+	// sumBatchHosts is the number of hosts to which an aggregator sends a sum at a time. A batch of 16 KB takes 7 ms on
+	// a link of 20 Mbit/s, which bounds the delay of other answers.
+	sumBatchHosts = 4
+	// sumBatchSpread is the fraction of aggregate.Interval over which the batches are spread.
+	sumBatchSpread = 0.6
+	// aggregatorsPerZone is how many hosts of each zone receive the sums of other zones: the aggregator and its backup.
+	aggregatorsPerZone = 2
 )
 
-// shares is the state of this host's part in sharing work.
-type shares struct {
+// workSharing is this host's state for sharing work.
+type workSharing struct {
 	choice aggregate.Choice
-	// sequence counts the contributions, sums the rounds of sums.
-	sequence uint64
-	sums     uint64
-	// sent are the last contributions, by their sequence modulo their number.
-	sent [sentWork]sentContribution
+	// contributions counts the contributions sent, sums the rounds of sums sent.
+	contributions uint64
+	sums          uint64
+	// sent holds the last contributions by sequence number modulo keptContributions.
+	sent [keptContributions]sentContribution
 }
 
 // sentContribution is a contribution that was sent.
@@ -47,25 +47,25 @@
 	work     Work
 }
 
-// UsesAggregators reports whether the fleet is so large that hosts share their work through aggregators.
+// UsesAggregators reports whether the fleet is large enough that hosts share their work through aggregators.
 func (g *Gossip) UsesAggregators() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.aggregates()
+	return g.usesAggregatorsLocked()
 }
 
-// aggregates is Aggregates with the lock held.
-func (g *Gossip) aggregates() bool { return g.members.Count() >= fullHeartbeats }
+// usesAggregatorsLocked is UsesAggregators with the lock held.
+func (g *Gossip) usesAggregatorsLocked() bool { return g.members.Count() >= minMembersToAggregate }
 
-// share sends this host's work to its aggregators, and the sums of those that send it theirs, until done is
-// closed.
-func (g *Gossip) share(done <-chan struct{}) {
+// shareWork sends this host's work to its aggregators, and sums to the hosts that use this host as their aggregator,
+// until done is closed.
+func (g *Gossip) shareWork(done <-chan struct{}) {
 	ctx, cancel := lifetime.Context(done)
 	defer cancel()
 	next := g.parts.Clock()
 	for {
-		next = next.Add(backoff.Spread(aggregate.Interval, shareSpread, g.parts.Random()))
-		// A host that was frozen or is slow goes on from now: what it missed is of no use.
+		next = next.Add(backoff.Spread(aggregate.Interval, shareJitter, g.parts.Random()))
+		// A host that was suspended or is slow skips the rounds that it missed.
 		if now := g.parts.Clock(); next.Before(now) {
 			next = now
 		}
@@ -78,7 +78,7 @@
 	}
 }
 
-// contribute sends this host's work to its aggregators. It reports whether this host is its own.
+// contribute sends this host's work to its aggregators. It reports whether this host is its own aggregator.
 func (g *Gossip) contribute() bool {
 	work := g.parts.Host.Work()
 	self := g.parts.Config.Name
@@ -87,16 +87,16 @@
 		g.mu.Unlock()
 		return false
 	}
-	s := &g.shares
-	before := s.choice.Primary()
+	s := &g.sharing
+	previous := s.choice.Primary()
 	primary, backup := s.choice.Pick(g.parts.Clock(), self, g.members.Ranked(g.parts.Config.Zone))
-	s.sequence++
-	s.sent[s.sequence%sentWork] = sentContribution{sequence: s.sequence, work: work}
-	contribution := Contribution{Incarnation: g.incarnation, Sequence: s.sequence, Work: work}
+	s.contributions++
+	s.sent[s.contributions%keptContributions] = sentContribution{sequence: s.contributions, work: work}
+	contribution := Contribution{Incarnation: g.incarnation, Sequence: s.contributions, Work: work}
 	primaryAddress, backupAddress := g.members.Address(primary), g.members.Address(backup)
 	g.mu.Unlock()
-	if primary != before {
-		g.parts.Log.WithFields(logrus.Fields{"peer": primary, "backup": backup, "before": before}).Info("aggregator chosen")
+	if primary != previous {
+		g.parts.Log.WithFields(logrus.Fields{"peer": primary, "backup": backup, "before": previous}).Info("aggregator chosen")
 	}
 	if primary == self || backup == self {
 		g.parts.Host.HandleContribution(self, &contribution)
@@ -111,72 +111,72 @@
 	return primary == self
 }
 
-// sendSums sends the sums of an aggregator, until ctx ends.
+// sendSums sends an aggregator's sums in batches, or until ctx ends. A host that is no aggregator sends nothing.
 func (g *Gossip) sendSums(ctx context.Context, isPrimary bool) {
-	wanting, aggregators := g.sumTargets()
-	if len(wanting) == 0 && !isPrimary {
+	receivers, aggregators := g.sumTargets()
+	if len(receivers) == 0 && !isPrimary {
 		return
 	}
 	zone, fleet := g.parts.Host.Sums()
 	g.mu.Lock()
-	g.shares.sums++
-	sequence := g.shares.sums
+	g.sharing.sums++
+	sequence := g.sharing.sums
 	g.mu.Unlock()
 	for i := range zone {
 		zone[i].Incarnation, zone[i].Sequence = g.incarnation, sequence
 		g.sendDatagram(counters.PeerHeartbeats, &zone[i], aggregators)
 	}
-	batches := (len(wanting) + sumBatch - 1) / sumBatch
+	batches := (len(receivers) + sumBatchHosts - 1) / sumBatchHosts
 	for i := range fleet {
 		fleet[i].Incarnation, fleet[i].Sequence = g.incarnation, sequence
 		if isPrimary {
-			g.useSum(&fleet[i])
+			g.applyFleetSum(&fleet[i])
 		}
-		for batch := range slices.Chunk(wanting, sumBatch) {
+		for batch := range slices.Chunk(receivers, sumBatchHosts) {
 			g.sendDatagram(counters.PeerHeartbeats, &fleet[i], batch)
-			if !lifetime.Sleep(ctx, time.Duration(sumPause*float64(aggregate.Interval)/float64(batches*len(fleet)))) {
+			if !lifetime.Sleep(ctx, time.Duration(sumBatchSpread*float64(aggregate.Interval)/float64(batches*len(fleet)))) {
 				return
 			}
 		}
 	}
 }
 
-// sumTargets returns the addresses of the hosts that use this host's sums, and those of the aggregators that
-// are sent the sum of its zone: the first of each zone, and those that send theirs.
-func (g *Gossip) sumTargets() (wanting, aggregators []string) {
+// sumTargets returns the addresses of the hosts that use this host's sums, and the addresses of the aggregators that
+// receive the sum over its zone: the first hosts of each zone, and those that send sums over their zones.
+func (g *Gossip) sumTargets() (receivers, aggregators []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.parts.Clock()
-	taken := make(map[string]bool)
+	selected := make(map[string]bool)
 	for _, zone := range g.members.Zones() {
 		ranked := g.members.Ranked(zone)
-		for _, name := range ranked[:min(zoneAggregators, len(ranked))] {
-			taken[name] = true
+		for _, name := range ranked[:min(aggregatorsPerZone, len(ranked))] {
+			selected[name] = true
 		}
 	}
 	for _, member := range g.members.Live() {
-		if now.Before(member.wantsSums) {
-			wanting = append(wanting, member.Address)
+		if now.Before(member.wantsSumsUntil) {
+			receivers = append(receivers, member.Address)
 		}
-		if taken[member.Name] || now.Before(member.sendsZones) {
+		if selected[member.Name] || now.Before(member.sendsZoneSumsUntil) {
 			aggregators = append(aggregators, member.Address)
 		}
 	}
-	return wanting, aggregators
+	return receivers, aggregators
 }
 
-// contributed handles the work of a host of this zone.
-func (g *Gossip) contributed(c *Contribution) {
+// handleContribution passes the work of a member of this zone to Host.
+func (g *Gossip) handleContribution(c *Contribution) {
 	g.mu.Lock()
-	host, counts := g.members.ApplyContribution(g.parts.Clock(), c)
+	host, accepted := g.members.ApplyContribution(g.parts.Clock(), c)
 	g.mu.Unlock()
-	if counts {
+	if accepted {
 		g.parts.Host.HandleContribution(host, c)
 	}
 }
 
-// zoneSummed handles the sum of a zone.
-func (g *Gossip) zoneSummed(s *ZoneSum) {
+// handleZoneSum passes a member's sum over its zone to Host.
+func (g *Gossip) handleZoneSum(s *ZoneSum) {
 	g.mu.Lock()
 	member, known := g.members.ApplyZoneSum(g.parts.Clock(), s)
 	g.mu.Unlock()
@@ -185,25 +185,25 @@
 	}
 }
 
-// fleetSummed handles the sum over all hosts from an aggregator.
-func (g *Gossip) fleetSummed(s *FleetSum) {
+// handleFleetSum handles an aggregator's sum over all hosts.
+func (g *Gossip) handleFleetSum(s *FleetSum) {
 	g.mu.Lock()
-	aggregator, counts := g.members.ApplyFleetSum(s)
-	if counts {
-		g.shares.choice.Received(g.parts.Clock(), aggregator)
+	aggregator, accepted := g.members.ApplyFleetSum(s)
+	if accepted {
+		g.sharing.choice.Received(g.parts.Clock(), aggregator)
 	}
 	g.mu.Unlock()
-	if counts {
-		g.useSum(s)
+	if accepted {
+		g.applyFleetSum(s)
 	}
 }
 
-// useSum hands a sum over all hosts to the host, with its own work that the sum counts.
-func (g *Gossip) useSum(s *FleetSum) {
+// applyFleetSum passes a sum over all hosts to Host, with the work of this host that the sum includes.
+func (g *Gossip) applyFleetSum(s *FleetSum) {
 	var counted *Work
 	g.mu.Lock()
 	if i := slices.Index(s.Counted, g.incarnation); i >= 0 && i < len(s.Sequences) {
-		if sent := &g.shares.sent[s.Sequences[i]%sentWork]; sent.sequence == s.Sequences[i] {
+		if sent := &g.sharing.sent[s.Sequences[i]%keptContributions]; sent.sequence == s.Sequences[i] {
 			counted = &sent.work
 		}
 	}
--- a/internal/front/relay/exchange.go
+++ b/internal/front/relay/exchange.go
@@ -14,7 +14,7 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// exchange is one request from its arrival to its answer.
+// exchange is the state of a request from its arrival to its answer.
 type exchange struct {
 	server  *Server
 	w       http.ResponseWriter
@@ -23,34 +23,34 @@
 
 	call     Call
 	revision uint64
-	// age is how old the settings were at most when they decided, or freshness.Unknown.
+	// age is the maximum age of the settings when they were applied, or freshness.Unknown.
 	age       time.Duration
 	route     settings.HostRoute
 	workspace string
 	policy    settings.Policy
-	// service is the one of the route's targets that gets the request.
+	// service is the target of the route that was picked for the request.
 	service string
 	body    []byte
-	// key is the same for each request that asks for the same.
+	// key identifies the content of the request; identical requests share it.
 	key keys.Request
-	// limit is when the request's time is over.
-	limit time.Time
+	// deadline is when the request's time limit expires.
+	deadline time.Time
 
 	stream streamState
-	// counted is set once the meter has counted the request.
-	counted bool
+	// isCounted is set once Meter has counted the request.
+	isCounted bool
 	// sentAt is when the last attempt was sent.
 	sentAt time.Time
-	// signal is what the last answer said of its endpoint.
+	// signal is the state that the endpoint of the last answer reported.
 	signal pushback.Signal
-	// answer is the whole answer for the caller, failure an endpoint's own failure that is
-	// passed on if nothing better comes.
-	answer  *httprelay.HeldAnswer
-	failure *httprelay.HeldAnswer
+	// answer is the complete answer for the caller, serverError an endpoint's server error that is forwarded if no
+	// attempt gives a better answer.
+	answer      *httprelay.HeldAnswer
+	serverError *httprelay.HeldAnswer
 }
 
-// prepare finds out what the request is and whether it may run, and reads its body. It returns
-// the refusal if it may not; nothing was sent then.
+// prepare classifies the request, checks that it may run, and reads its body. It returns a refusal if the request may
+// not run; nothing has been sent then.
 func (x *exchange) prepare() *request.Refusal {
 	call, err := x.server.parts.Dialect.ParseCall(x.r)
 	x.call = call
@@ -65,10 +65,10 @@
 	}
 	x.revision, x.age = current.Number, x.server.parts.Freshness.Age(freshness.Settings)
 	x.server.parts.Counters.DecidedAt(x.age)
-	if refusal := x.classify(current.Tree); refusal != nil {
+	if refusal := x.resolveRoute(current.Tree); refusal != nil {
 		return refusal
 	}
-	x.limit = x.arrived.Add(timeLimit(x.policy.TimeLimit, x.call.MaxWait))
+	x.deadline = x.arrived.Add(timeLimit(x.policy.TimeLimit, x.call.MaxWait))
 	var refusal *request.Refusal
 	x.body, refusal = httprelay.ReadBody(x.w, x.r, int64(x.policy.MaxBodyBytes), x.server.parts.Timeouts.Read)
 	x.key = keys.OfRequest(&keys.Identity{
@@ -77,8 +77,8 @@
 	return refusal
 }
 
-// timeLimit returns how long a request may take: the class's limit, or the time that the caller
-// waits if that is shorter or the class has none.
+// timeLimit returns how long a request may take: the limit of its class, or the caller's own limit if that is shorter
+// or the class has none.
 func timeLimit(class, patience time.Duration) time.Duration {
 	if patience > 0 && (patience < class || class == 0) {
 		return patience
@@ -86,8 +86,8 @@
 	return class
 }
 
-// classify finds the route, the workspace and the settings that apply to them.
-func (x *exchange) classify(tree *settings.Tree) *request.Refusal {
+// resolveRoute finds the route, the workspace and the policy of the request, and picks a service.
+func (x *exchange) resolveRoute(tree *settings.Tree) *request.Refusal {
 	host, _, _ := strings.Cut(x.r.Host, ":")
 	route, ok := tree.RouteFor(host, x.r.URL.Path)
 	if !ok {
@@ -108,49 +108,49 @@
 	return nil
 }
 
-// run leads the request through its attempts and answers the caller.
+// run takes the request through its attempts and answers the caller.
 func (x *exchange) run() {
 	p := &x.server.parts
-	ctx, cancel := p.Clock.WithDeadline(x.r.Context(), x.limit, owner.ErrTimeLimit)
+	ctx, cancel := p.Clock.WithDeadline(x.r.Context(), x.deadline, owner.ErrTimeLimit)
 	defer cancel()
-	job := x.job()
+	job := x.newJob()
 	end := p.Owner.Run(ctx, job)
 	if x.stream.events > 1 && end.Sends == 1 {
-		p.Health.RecordStream(x.service, x.stream.observed())
+		p.Health.RecordStream(x.service, x.stream.summary())
 	}
-	x.logEnd(&end)
+	x.logResult(&end)
 	switch end.Outcome {
 	case request.OutcomeAnswered:
 		if x.answer != nil {
 			x.answer.Send(x.w)
 		}
-		whole := p.Clock.Now().Sub(x.arrived)
-		p.Counters.Answered(x.route.Class, whole, x.attained(&end, whole), 0)
+		took := p.Clock.Now().Sub(x.arrived)
+		p.Counters.Answered(x.route.Class, took, x.metTargets(&end, took), 0)
 	case request.OutcomeBroken:
-		// net/http closes the connection without the end of the answer, so that the caller
-		// sees that it is cut.
+		// net/http closes the connection without the end of the answer, so that the caller detects that it is
+		// truncated.
 		panic(http.ErrAbortHandler)
 	case request.OutcomeRefused:
-		if x.failure != nil {
-			x.failure.Send(x.w)
+		if x.serverError != nil {
+			x.serverError.Send(x.w)
 			return
 		}
 		writeRefusal(x.w, x.call.ID, end.Refusal)
 	}
 }
 
-// began has the meter count the request, once.
-func (x *exchange) began() {
-	if !x.counted {
-		x.counted = true
+// countRun counts the request with Meter, once.
+func (x *exchange) countRun() {
+	if !x.isCounted {
+		x.isCounted = true
 		x.server.parts.Meter.Began(x.workspace, x.server.parts.Clock.Now())
 	}
 }
 
-// attained reports whether an answer met the targets of its class.
-func (x *exchange) attained(end *owner.End, whole time.Duration) bool {
+// metTargets reports whether an answer met the latency targets of its class.
+func (x *exchange) metTargets(end *owner.End, took time.Duration) bool {
 	if !x.policy.Stream {
-		return x.policy.WholeAnswer == 0 || whole <= x.policy.WholeAnswer
+		return x.policy.WholeAnswer == 0 || took <= x.policy.WholeAnswer
 	}
 	if x.policy.FirstToken == 0 {
 		return true
--- a/internal/front/upstream/pool.go
+++ b/internal/front/upstream/pool.go
@@ -12,14 +12,14 @@
 	"oxbowslip.dev/oxbowslip/internal/deadpeer"
 )
 
-// connect returns a kept connection that still works, or makes one.
+// connect returns an idle connection that is still usable, or opens one.
 func (c *Client) connect(ctx context.Context, call *Call) (*connection, error) {
 	for {
-		conn := c.take(call.Address)
+		conn := c.takeIdle(call.Address)
 		if conn == nil {
 			return c.dial(ctx, call)
 		}
-		if c.clock().Before(conn.expires) && conn.quiet() {
+		if c.clock().Before(conn.expires) && conn.isQuiet() {
 			return conn, nil
 		}
 		conn.Close()
@@ -29,7 +29,7 @@
 func (c *Client) dial(ctx context.Context, call *Call) (*connection, error) {
 	timeout := call.ConnectTimeout
 	if timeout == 0 {
-		timeout = defaultConnect
+		timeout = defaultConnectTimeout
 	}
 	dialer := &net.Dialer{
 		Timeout: timeout,
@@ -48,8 +48,9 @@
 	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, readBufBytes)}, nil
 }
 
-// HasExited reports whether the process at an address has ended: the machine is there, and nothing listens. A connection
-// that is made is kept for a later call. It blocks until ctx ends at the latest; the error says that it can't be known.
+// HasExited reports whether the process at an address has exited: the machine refuses connections. If it connects, the
+// connection is kept for a later call. It returns when ctx ends at the latest. An error means that the state of the
+// process is unknown.
 func (c *Client) HasExited(ctx context.Context, address string) (bool, error) {
 	conn, err := c.dial(ctx, &Call{Address: address})
 	switch {
@@ -58,19 +59,19 @@
 	case err != nil:
 		return false, merry.Wrap(err)
 	}
-	c.keepUnused(address, conn)
+	c.putUnused(address, conn)
 	return false, nil
 }
 
-// keepUnused keeps a connection on which nothing was sent for a later call.
-func (c *Client) keepUnused(address string, conn *connection) {
+// putUnused keeps a connection on which no call was sent for a later call.
+func (c *Client) putUnused(address string, conn *connection) {
 	if conn.expires.IsZero() {
 		conn.expires = c.clock().Add(c.config.KeepIdle)
 	}
-	c.keep(address, conn)
+	c.putIdle(address, conn)
 }
 
-func (c *Client) take(address string) *connection {
+func (c *Client) takeIdle(address string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	kept := c.idle[address]
@@ -82,17 +83,17 @@
 	return conn
 }
 
-func (c *Client) keep(address string, conn *connection) {
+func (c *Client) putIdle(address string, conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || len(c.idle[address]) >= idlePerAddress {
+	if c.closed || len(c.idle[address]) >= maxIdlePerAddress {
 		conn.Close()
 		return
 	}
 	c.idle[address] = append(c.idle[address], conn)
 }
 
-// CloseExpired closes the kept connections that were idle for too long.
+// CloseExpired closes the idle connections that have expired.
 func (c *Client) CloseExpired() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
