--- a/internal/front/gossip/share.go
+++ b/internal/front/gossip/share.go
@@ -190,7 +190,7 @@
 	g.mu.Lock()
 	aggregator, accepted := g.members.ApplyFleetSum(s)
 	if accepted {
-		g.sharing.choice.Received(g.parts.Clock(), aggregator)
+		g.sharing.choice.RecordSum(g.parts.Clock(), aggregator)
 	}
 	g.mu.Unlock()
 	if accepted {
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -52,16 +52,16 @@
 type Poison interface {
 	// IsPoison reports whether a request must not be sent.
 	IsPoison(request keys.Request) bool
-	// Broke is called when an endpoint has broken a call.
-	Broke(call *poison.Call)
-	// Answered is called when an endpoint has sent a complete answer.
-	Answered(request keys.Request)
+	// RecordBrokenCall is called when an endpoint has broken a call.
+	RecordBrokenCall(call *poison.Call)
+	// RecordAnswer is called when an endpoint has sent a complete answer.
+	RecordAnswer(request keys.Request)
 }
 
 // Signals receives the states that endpoints report. Its methods must not block.
 type Signals interface {
-	// Received is called with the state in the head of an answer.
-	Received(answer *pushback.Answer)
+	// HandleAnswer is called with the state in the head of an answer.
+	HandleAnswer(answer *pushback.Answer)
 }
 
 // Clock is the host's clock.
