--- a/internal/front/ratelimit/lender.go
+++ b/internal/front/ratelimit/lender.go
@@ -10,41 +10,42 @@
 	"oxbowslip.dev/oxbowslip/internal/front/pushback"
 )
 
-// The pace of a bucket. In any time t an endpoint gets at most the pace times (t + permitValidity) and the depth, which for
-// any 4 s is below what the limit allows in them, and 2.
+// Rate and burst of a bucket. Within any time t an endpoint gets at most rate * (t + permitValidity) + burst
+// requests. For any 4 s this is less than its limit allows in 4 s, plus 2.
 const (
-	// paceShare is the part of a limit that is lent.
-	paceShare = 0.95
-	// leastDepth is the depth of a bucket in permits, depthTime what is added to it, as the time in which a limit fills it.
-	leastDepth = 1.9
-	depthTime  = 100 * time.Millisecond
-	// successorShare is the part of the pace, for each host that was passed over, at which one lends in place of silent ones.
-	// They may be back and lend as well: together all stay below half more than the limit, since 1 + 1/3 + 1/9 does.
-	successorShare = 1.0 / 3
-	// successorDepth is the depth of its bucket in permits.
-	successorDepth = 1
-	// mostPassedOver is in place of how many hosts one lends: with each there is one more bucket that may be full.
-	mostPassedOver = 2
-	// leastPace is the pace in requests a second of an endpoint that names a lower limit, 0 among them: a request now and
-	// then finds out whether it still holds.
-	leastPace = 0.1
+	// lentShare is the part of a limit that is lent.
+	lentShare = 0.95
+	// The burst of a bucket is baseBurst permits plus the permits that it gains within burstTime.
+	baseBurst = 1.9
+	burstTime = 100 * time.Millisecond
+	// A host that lends in place of unresponsive ones multiplies its rate by successorRateFactor for each host that
+	// it replaces. These hosts may be lending as well: all of them together stay below 1.5 times the limit, since 1 +
+	// 1/3 + 1/9 does.
+	successorRateFactor = 1.0 / 3
+	// successorBurst replaces baseBurst in the bucket of such a host.
+	successorBurst = 1
+	// maxPassedOver bounds how many hosts a successor replaces, since each adds one more bucket that may be full.
+	maxPassedOver = 2
+	// minRate, in requests a second, applies to endpoints that name a lower limit, including 0: an occasional request
+	// finds out whether that limit still holds.
+	minRate = 0.1
 )
 
 const (
-	// mostWaiting bounds the requests that wait for the permits of one endpoint, some 100 B each.
-	mostWaiting = 1024
-	// asksPerPermit is how many questions come for each permit when all hosts want one: more use permits sooner, fewer
-	// cost less.
+	// maxWaiting bounds the requests that wait for permits of one endpoint, at some 100 B each.
+	maxWaiting = 1024
+	// asksPerPermit is the number of Asks for each permit when every host wants one: more of them use permits sooner,
+	// fewer cost less.
 	asksPerPermit = 4
-	// mostDelay bounds each of the two times after which a host that got no permit asks again.
-	mostDelay = 5 * time.Second
-	// askerTimeout is how long a host counts as one that asks.
-	askerTimeout = 2 * mostDelay
-	// replyAllowance is for how long before the end of its wait a request is let know that it got none.
-	replyAllowance = 5 * time.Millisecond
+	// maxDelay bounds each of the two times (Next, Spread) after which a denied host asks again.
+	maxDelay = 5 * time.Second
+	// askerTimeout is how long a host counts as an asker after its last Ask.
+	askerTimeout = 2 * maxDelay
+	// denialLeadTime is how long before the end of its wait a request is denied.
+	denialLeadTime = 5 * time.Millisecond
 )
 
-// onePermit is a permit, less what is lost by rounding.
+// onePermit is one permit less a tolerance for rounding errors.
 const onePermit = 1 - 1e-6
 
 // Lender lends the permits of endpoints. It does no input or output, and is safe for concurrent use.
@@ -56,40 +57,40 @@
 	buckets map[pushback.Instance]*bucket
 }
 
-// bucket is what is there to lend for one endpoint.
+// bucket is the token bucket of one endpoint.
 type bucket struct {
-	permits float64
-	at      time.Time
-	// passedOver is how many hosts this one lends in place of.
+	permits    float64
+	refilledAt time.Time
+	// passedOver is the number of hosts that this one replaces as the lender.
 	passedOver int
-	// waiting are the requests that wait, the next first.
-	waiting []waiting
-	// askers are the hosts that have asked lately, with the last time.
+	// queue holds the waiting requests, the next to be served first.
+	queue []queuedAsk
+	// askers holds the time of the last Ask of each host that has asked within askerTimeout.
 	askers map[string]time.Time
 }
 
-// waiting is a request that waits for a permit.
-type waiting struct {
-	host   string
-	number uint64
-	rank   uint8
-	came   time.Time
-	until  time.Time
+// queuedAsk is a request that waits for a permit.
+type queuedAsk struct {
+	host       string
+	number     uint64
+	rank       uint8
+	receivedAt time.Time
+	deadline   time.Time
 }
 
-// Outgoing is a reply for a host.
+// Outgoing is a reply with its recipient.
 type Outgoing struct {
 	Host  string
 	Reply Reply
 }
 
-// NewLender returns a lender that has lent nothing.
+// NewLender returns a lender without buckets.
 func NewLender(limits *pushback.Limits, clock func() time.Time) *Lender {
 	return &Lender{limits: limits, clock: clock, buckets: make(map[pushback.Instance]*bucket)}
 }
 
-// Ask replies to a host at once, or has its request wait and reports false; Due has its reply then. PassedOver is how many hosts
-// this one lends in place of.
+// Ask returns the reply to a host, or queues its request and returns false; Due returns the reply of a queued
+// request. PassedOver is the number of hosts that this one replaces as the lender.
 func (l *Lender) Ask(host string, ask *Ask, passedOver int) (Reply, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,42 +101,43 @@
 	if !limit.IsSet {
 		return Reply{Number: ask.Number, IsGranted: true}, true
 	}
-	b := l.bucket(endpoint, now)
+	b := l.bucketOf(endpoint, now)
 	b.refill(now, limit)
 	b.passedOver = passedOver
 	b.askers[host] = now
-	w := waiting{host: host, number: ask.Number, rank: ask.Rank, came: now, until: now.Add(min(ask.Wait, mostDelay) - replyAllowance)}
+	w := queuedAsk{host: host, number: ask.Number, rank: ask.Rank, receivedAt: now, deadline: now.Add(min(ask.Wait, maxDelay) - denialLeadTime)}
 	switch {
-	case passedOver > mostPassedOver:
-		return b.denial(ask.Number, limit), true
-	case b.permits >= onePermit && len(b.waiting) == 0:
+	case passedOver > maxPassedOver:
+		return b.denialReply(ask.Number, limit), true
+	case b.permits >= onePermit && len(b.queue) == 0:
 		b.permits--
 		return Reply{Number: ask.Number, IsGranted: true}, true
-	case !now.Before(w.until) || len(b.waiting) >= mostWaiting:
-		return b.denial(ask.Number, limit), true
+	case !now.Before(w.deadline) || len(b.queue) >= maxWaiting:
+		return b.denialReply(ask.Number, limit), true
 	}
-	at, _ := slices.BinarySearchFunc(b.waiting, w, func(e, target waiting) int {
-		// Of the same rank the first that came is the first.
+	at, _ := slices.BinarySearchFunc(b.queue, w, func(e, target queuedAsk) int {
+		// Requests of the same rank are served in order of arrival.
 		return cmp.Or(cmp.Compare(e.rank, target.rank), -1)
 	})
-	b.waiting = slices.Insert(b.waiting, at, w)
+	b.queue = slices.Insert(b.queue, at, w)
 	return Reply{}, false
 }
 
-// Due returns the replies to requests that have waited, and when the next may be due. It reports false if none waits.
+// Due returns the replies to queued requests that are due, and when the next one may be. IsWaiting is false if the
+// queue is empty.
 func (l *Lender) Due() (replies []Outgoing, next time.Time, isWaiting bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock()
 	for endpoint, b := range l.buckets {
-		if len(b.waiting) == 0 {
+		if len(b.queue) == 0 {
 			continue
 		}
-		replies = append(replies, b.due(now, l.limits.Get(endpoint))...)
-		for i := range b.waiting {
-			at := b.waiting[i].until
+		replies = append(replies, b.takeDue(now, l.limits.Get(endpoint))...)
+		for i := range b.queue {
+			at := b.queue[i].deadline
 			if i == 0 {
-				at = earlier(at, now.Add(b.untilPermits(1, l.limits.Get(endpoint))))
+				at = earlier(at, now.Add(b.delayForPermits(1, l.limits.Get(endpoint))))
 			}
 			if !isWaiting || at.Before(next) {
 				next, isWaiting = at, true
@@ -145,7 +147,8 @@
 	return replies, next, isWaiting
 }
 
-// Expire drops the buckets of endpoints that have no limit any more. It is called about once a second.
+// Expire removes the buckets of endpoints that no longer have a limit, and hosts that have stopped asking. It is
+// called about once a second.
 func (l *Lender) Expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,82 +159,84 @@
 				delete(b.askers, host)
 			}
 		}
-		if len(b.waiting) == 0 && !l.limits.Get(endpoint).IsSet {
+		if len(b.queue) == 0 && !l.limits.Get(endpoint).IsSet {
 			delete(l.buckets, endpoint)
 		}
 	}
 }
 
-// bucket returns the bucket of an endpoint. A new one is empty: another host may have lent until now. The lock is held.
-func (l *Lender) bucket(endpoint pushback.Instance, now time.Time) *bucket {
+// bucketOf returns the bucket of an endpoint. A new one starts empty, because another host may have been lending
+// until now. The caller holds the lock.
+func (l *Lender) bucketOf(endpoint pushback.Instance, now time.Time) *bucket {
 	b, ok := l.buckets[endpoint]
 	if !ok {
-		b = &bucket{at: now, askers: make(map[string]time.Time)}
+		b = &bucket{refilledAt: now, askers: make(map[string]time.Time)}
 		l.buckets[endpoint] = b
 	}
 	return b
 }
 
-// pace returns how many permits a second are lent under a limit.
-func (b *bucket) pace(limit pushback.Limit) float64 {
-	share := paceShare * math.Pow(successorShare, float64(b.passedOver))
-	return max(share*limit.PerSecond, leastPace)
+// rate returns how many permits a second are lent under a limit.
+func (b *bucket) rate(limit pushback.Limit) float64 {
+	share := lentShare * math.Pow(successorRateFactor, float64(b.passedOver))
+	return max(share*limit.PerSecond, minRate)
 }
 
-// depth returns how many permits are saved up at the most at a pace.
-func (b *bucket) depth(pace float64) float64 {
-	depth := leastDepth
+// burst returns how many permits a bucket holds at most.
+func (b *bucket) burst(rate float64) float64 {
+	permits := baseBurst
 	if b.passedOver > 0 {
-		depth = successorDepth
+		permits = successorBurst
 	}
-	return depth + pace*depthTime.Seconds()
+	return permits + rate*burstTime.Seconds()
 }
 
-// refill brings the permits to a time.
+// refill adds the permits gained since the last refill.
 func (b *bucket) refill(now time.Time, limit pushback.Limit) {
-	pace := b.pace(limit)
-	if passed := now.Sub(b.at); passed > 0 {
-		b.permits = min(b.permits+pace*passed.Seconds(), b.depth(pace))
-		b.at = now
+	rate := b.rate(limit)
+	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
+		b.permits = min(b.permits+rate*elapsed.Seconds(), b.burst(rate))
+		b.refilledAt = now
 	}
 }
 
-// due takes out the requests that get a permit, and those that have waited for as long as they can.
-func (b *bucket) due(now time.Time, limit pushback.Limit) []Outgoing {
+// takeDue removes the requests that get a permit and those whose deadline has passed, and returns their replies.
+func (b *bucket) takeDue(now time.Time, limit pushback.Limit) []Outgoing {
 	b.refill(now, limit)
 	var replies []Outgoing
-	left := b.waiting[:0]
-	for _, w := range b.waiting {
+	left := b.queue[:0]
+	for _, w := range b.queue {
 		switch {
 		case !limit.IsSet || b.permits >= onePermit:
 			b.permits--
-			replies = append(replies, Outgoing{Host: w.host, Reply: Reply{Number: w.number, IsGranted: true, Waited: now.Sub(w.came)}})
-		case !now.Before(w.until):
-			replies = append(replies, Outgoing{Host: w.host, Reply: b.denial(w.number, limit)})
+			replies = append(replies, Outgoing{Host: w.host, Reply: Reply{Number: w.number, IsGranted: true, Waited: now.Sub(w.receivedAt)}})
+		case !now.Before(w.deadline):
+			replies = append(replies, Outgoing{Host: w.host, Reply: b.denialReply(w.number, limit)})
 		default:
 			left = append(left, w)
 		}
 	}
-	b.waiting = left
+	b.queue = left
 	return replies
 }
 
-// denial returns the reply to a request that gets no permit.
-func (b *bucket) denial(number uint64, limit pushback.Limit) Reply {
+// denialReply returns the reply to a request that gets no permit.
+func (b *bucket) denialReply(number uint64, limit pushback.Limit) Reply {
 	spread := time.Duration(0)
 	if others := len(b.askers) - 1; others > 0 {
-		spread = seconds(float64(others) / (asksPerPermit * b.pace(limit)))
+		spread = durationFromSeconds(float64(others) / (asksPerPermit * b.rate(limit)))
 	}
-	return Reply{Number: number, Next: min(b.untilPermits(1+len(b.waiting), limit), mostDelay), Spread: min(spread, mostDelay)}
+	return Reply{Number: number, Next: min(b.delayForPermits(1+len(b.queue), limit), maxDelay), Spread: min(spread, maxDelay)}
 }
 
-// untilPermits returns after which time there are a number of permits.
-func (b *bucket) untilPermits(number int, limit pushback.Limit) time.Duration {
-	return seconds(max(float64(number)-b.permits, 0) / b.pace(limit))
+// delayForPermits returns the time until the bucket holds a number of permits.
+func (b *bucket) delayForPermits(number int, limit pushback.Limit) time.Duration {
+	return durationFromSeconds(max(float64(number)-b.permits, 0) / b.rate(limit))
 }
 
-// seconds returns a time; it is bounded, since the slowest bucket takes minutes to serve many.
-func seconds(s float64) time.Duration {
+// durationFromSeconds converts seconds to a duration of an hour at most: the slowest bucket takes minutes to serve
+// many requests.
+func durationFromSeconds(s float64) time.Duration {
 	return time.Duration(min(s, time.Hour.Seconds()) * float64(time.Second))
 }
 
--- a/internal/front/ratelimit/lender_test.go
+++ b/internal/front/ratelimit/lender_test.go
@@ -23,25 +23,26 @@
 	return pushback.LimitNotice{Endpoint: limited, Limit: pushback.Limit{IsSet: true, PerSecond: perSecond}}
 }
 
-// fleet plays hosts that ask a lender, in virtual time.
+// fleet simulates hosts that ask a lender, in virtual time.
 type fleet struct {
 	now    time.Time
 	random *rand.Rand
 	lender *Lender
 	notice pushback.LimitNotice
-	// deniedUntil is until when each host does not ask.
+	// deniedUntil is the time until which each host does not ask.
 	deniedUntil []time.Time
-	// successors lend to the hosts that take the lender for silent, each to as many of them.
+	// successors lend to the hosts that take the lender for unresponsive. Hosts are spread evenly over the lender and
+	// its successors.
 	successors []*Lender
 	events     events
-	// arrived are when requests reached the endpoint.
-	arrived []time.Time
+	// arrivals are the times at which requests reached the endpoint.
+	arrivals []time.Time
 }
 
-// event is something that happens at a time.
+// event is an action at a point in virtual time.
 type event struct {
-	at time.Time
-	do func()
+	at  time.Time
+	run func()
 }
 
 type events []event
@@ -56,53 +57,53 @@
 	return last
 }
 
-// oneWay is how long a message takes.
+// oneWay is the latency of a message.
 const oneWay = time.Millisecond
 
 func newFleet(hosts int, perSecond float64) *fleet {
 	f := &fleet{now: start, random: rand.New(rand.NewPCG(uint64(hosts), math.Float64bits(perSecond))), deniedUntil: make([]time.Time, hosts), notice: notice(perSecond)}
-	f.restartLender()
+	f.replaceLender()
 	return f
 }
 
-// restartLender has another host lend from now on.
-func (f *fleet) restartLender() {
+// replaceLender has another host lend from now on, with an empty bucket.
+func (f *fleet) replaceLender() {
 	clock := func() time.Time { return f.now }
 	f.lender = NewLender(pushback.NewLimits(clock), clock)
 }
 
-func (f *fleet) after(span time.Duration, do func()) {
+func (f *fleet) schedule(span time.Duration, do func()) {
 	heap.Push(&f.events, event{f.now.Add(span), do})
 }
 
-// arrive has requests come at a pace, for a host that is picked for each, until a time.
-func (f *fleet) arrive(perSecond float64, until time.Time, pick func() int) {
-	f.after(time.Duration(f.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
+// generateRequests has requests arrive at a mean rate until a point in time, each at the host that pick returns.
+func (f *fleet) generateRequests(perSecond float64, until time.Time, pick func() int) {
+	f.schedule(time.Duration(f.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
 		if f.now.After(until) {
 			return
 		}
 		f.request(pick())
-		f.arrive(perSecond, until, pick)
+		f.generateRequests(perSecond, until, pick)
 	})
 }
 
-// request has a host ask for a permit, unless it was denied one lately.
+// request has a host ask for a permit, unless it was denied one and may not ask again yet.
 func (f *fleet) request(host int) {
 	if f.now.Before(f.deniedUntil[host]) {
 		return
 	}
-	f.after(oneWay, func() {
+	f.schedule(oneWay, func() {
 		lender, passedOver := f.lender, host%(len(f.successors)+1)
 		if passedOver > 0 {
 			lender = f.successors[passedOver-1]
 		}
 		reply, isReplied := lender.Ask(fmt.Sprint("host-", host), &Ask{Limit: f.notice}, passedOver)
 		if !isReplied {
-			panic("a request that can't wait waits")
+			panic("a request without a wait was queued")
 		}
-		f.after(oneWay, func() {
+		f.schedule(oneWay, func() {
 			if reply.IsGranted {
-				f.arrived = append(f.arrived, f.now)
+				f.arrivals = append(f.arrivals, f.now)
 				return
 			}
 			f.deniedUntil[host] = f.now.Add(reply.Next + time.Duration(f.random.Float64()*float64(reply.Spread)))
@@ -114,15 +115,15 @@
 	for f.events.Len() > 0 {
 		next := heap.Pop(&f.events).(event)
 		f.now = next.at
-		next.do()
+		next.run()
 	}
 }
 
-// most returns the largest number of requests that arrived in 4 s.
-func (f *fleet) most() int {
+// maxArrivals returns the largest number of requests that arrived within any 4 s.
+func (f *fleet) maxArrivals() int {
 	most, first := 0, 0
-	for i, at := range f.arrived {
-		for at.Sub(f.arrived[first]) >= 4*time.Second {
+	for i, at := range f.arrivals {
+		for at.Sub(f.arrivals[first]) >= 4*time.Second {
 			first++
 		}
 		most = max(most, i-first+1)
@@ -130,13 +131,13 @@
 	return most
 }
 
-// TestTheLimitIsWhatAnEndpointGets has three times as many requests wanted as an endpoint takes. In any 4 s it gets at most
-// what the limit allows, and 2, and in all four fifths of it, at any size of the fleet, also where one host has all requests
-// and then another, and where another host lends after a third of the time, and again.
-func TestTheLimitIsWhatAnEndpointGets(t *testing.T) {
+// TestEndpointRateStaysWithinLimit offers three times as many requests as an endpoint takes. In any 4 s the endpoint
+// must get at most what its limit allows, plus 2, and over the whole run at least four fifths of it. This must hold
+// for any fleet size, for traffic that moves from one host to another, and while the lender changes twice.
+func TestEndpointRateStaysWithinLimit(t *testing.T) {
 	traffic := map[string]func(f *fleet, hosts int) int{
-		"at all hosts alike": func(f *fleet, hosts int) int { return f.random.IntN(hosts) },
-		"at one host, then at another": func(f *fleet, hosts int) int {
+		"evenly at all hosts": func(f *fleet, hosts int) int { return f.random.IntN(hosts) },
+		"at one host after the other": func(f *fleet, hosts int) int {
 			return int(f.now.Sub(start)/(7*time.Second)) % hosts
 		},
 	}
@@ -148,23 +149,24 @@
 					c := qt.New(t)
 					f := newFleet(hosts, perSecond)
 					span := time.Duration(max(20, 60/perSecond) * float64(time.Second))
-					f.arrive(3*perSecond, start.Add(span), func() int { return pick(f, hosts) })
-					f.after(span/3, f.restartLender)
-					f.after(2*span/3, f.restartLender)
+					f.generateRequests(3*perSecond, start.Add(span), func() int { return pick(f, hosts) })
+					f.schedule(span/3, f.replaceLender)
+					f.schedule(2*span/3, f.replaceLender)
 					f.run()
 					bound := int(4*perSecond) + 2
-					c.Check(f.most() <= bound, qt.IsTrue, qt.Commentf("%d in 4 s, %d may be", f.most(), bound))
-					used := float64(len(f.arrived)) / (perSecond * span.Seconds())
-					c.Check(used >= 0.8, qt.IsTrue, qt.Commentf("%.2f of the limit used", used))
+					c.Check(f.maxArrivals() <= bound, qt.IsTrue, qt.Commentf("%d requests in 4 s, want at most %d", f.maxArrivals(), bound))
+					used := float64(len(f.arrivals)) / (perSecond * span.Seconds())
+					c.Check(used >= 0.8, qt.IsTrue, qt.Commentf("%.2f of the limit was used", used))
 				})
 			}
 		}
 	}
 }
 
-// TestHostsThatLendBesideOneAnother has some of the hosts take the one that lends for silent while it lends to the others, and some
-// of those its successor as well. Together they stay within the bound of the users' pages, half more than the limit and 5.
-func TestHostsThatLendBesideOneAnother(t *testing.T) {
+// TestConcurrentLendersStayWithinBound has some hosts take the lender for unresponsive while it lends to the others,
+// and some of those its successor as well. Together the lenders must stay within the documented bound: 1.5 times the
+// limit, plus 5.
+func TestConcurrentLendersStayWithinBound(t *testing.T) {
 	for _, lenders := range []int{2, 3, 5} {
 		for _, hosts := range []int{8, 78} {
 			for _, perSecond := range []float64{0.1, 1, 2.5, 12, 100, 500} {
@@ -176,19 +178,19 @@
 					for range lenders - 1 {
 						f.successors = append(f.successors, NewLender(pushback.NewLimits(clock), clock))
 					}
-					f.arrive(5*perSecond, start.Add(time.Duration(max(20, 60/perSecond)*float64(time.Second))), func() int { return f.random.IntN(hosts) })
+					f.generateRequests(5*perSecond, start.Add(time.Duration(max(20, 60/perSecond)*float64(time.Second))), func() int { return f.random.IntN(hosts) })
 					f.run()
 					bound := int(1.5*4*perSecond) + 5
-					c.Check(f.most() <= bound, qt.IsTrue, qt.Commentf("%d in 4 s, %d may be", f.most(), bound))
+					c.Check(f.maxArrivals() <= bound, qt.IsTrue, qt.Commentf("%d requests in 4 s, want at most %d", f.maxArrivals(), bound))
 				})
 			}
 		}
 	}
 }
 
-// TestHostsThatWait has requests wait for permits: the most urgent gets the next one, among equals the first that came, and
-// one that has waited for as long as it can is let know.
-func TestHostsThatWait(t *testing.T) {
+// TestQueuedAsksAreServedByRank checks that the most urgent request gets the next permit, that requests of the same
+// rank are served in order of arrival, and that a request is denied before its wait ends.
+func TestQueuedAsksAreServedByRank(t *testing.T) {
 	c := qt.New(t)
 	now := start
 	clock := func() time.Time { return now }
@@ -229,18 +231,19 @@
 	c.Check(denied, qt.DeepEquals, []uint64{7, 3})
 	c.Check(now.Sub(start) <= 2*time.Second, qt.IsTrue)
 
-	// Once the limit has ended nothing waits.
+	// Buckets are dropped once the limit has expired.
 	now = now.Add(time.Hour)
 	limits.Expire()
 	lender.Expire()
 	c.Check(lender.buckets, qt.HasLen, 0)
 }
 
-// TestALimitOfNothing has an endpoint take no requests: one now and then finds out whether it still does.
-func TestALimitOfNothing(t *testing.T) {
+// TestZeroLimitAllowsOccasionalRequests checks that an endpoint with a limit of 0 still gets an occasional request,
+// which finds out whether the limit holds.
+func TestZeroLimitAllowsOccasionalRequests(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(8, 0)
-	f.arrive(50, start.Add(time.Minute), func() int { return f.random.IntN(8) })
+	f.generateRequests(50, start.Add(time.Minute), func() int { return f.random.IntN(8) })
 	f.run()
-	c.Check(len(f.arrived) >= 4 && len(f.arrived) <= 6, qt.IsTrue, qt.Commentf("%d in a minute", len(f.arrived)))
+	c.Check(len(f.arrivals) >= 4 && len(f.arrivals) <= 6, qt.IsTrue, qt.Commentf("%d requests in a minute", len(f.arrivals)))
 }
--- a/internal/front/ratelimit/limiter.go
+++ b/internal/front/ratelimit/limiter.go
@@ -18,23 +18,24 @@
 )
 
 const (
-	// replyTimeout is how long a reply may take beside the wait that was asked for. Peers are a millisecond apart.
+	// replyTimeout is how long a reply may take in addition to the requested wait. Round trips between peers take
+	// about a millisecond.
 	replyTimeout = 50 * time.Millisecond
-	// unansweredPause is how long a host does not ask for an endpoint again after it got no reply.
-	unansweredPause = 200 * time.Millisecond
-	// silenceTime is how long a peer that lends may reply to nothing before the next in order is asked: twice in a row at
-	// least, and well within the time in which peers are dropped for their silence. avoidTime is for how long it is passed
-	// over then.
-	silenceTime = 500 * time.Millisecond
-	avoidTime   = 3 * time.Second
-	// leastPause is how long a host that was denied a permit does not ask again at the least: one may be about to be lent
-	// to a request that waits.
-	leastPause = 10 * time.Millisecond
+	// noReplyPause is how long a host does not ask again for the permits of an endpoint after it got no reply.
+	noReplyPause = 200 * time.Millisecond
+	// noReplyTimeout is how long a lender may leave Asks unanswered, at least two in a row, before the next host in
+	// order is asked. It is well below the time after which gossip drops an unresponsive peer. avoidTime is how long
+	// the lender is then passed over.
+	noReplyTimeout = 500 * time.Millisecond
+	avoidTime      = 3 * time.Second
+	// minDenialPause is the least time for which a denied host does not ask again: the next permit may already be due
+	// to a queued request.
+	minDenialPause = 10 * time.Millisecond
 	// unsettledPause is how long a host that does not know its peers yet waits for permits that it would lend itself.
 	unsettledPause = 200 * time.Millisecond
 )
 
-// Peers are the other hosts. A message to them may be lost.
+// Peers reaches the other hosts. Messages may be lost.
 type Peers interface {
 	// Senders returns the live hosts, this one first.
 	Senders() []envelope.Sender
@@ -44,68 +45,67 @@
 	SendTo(host string, kind envelope.Kind, message any)
 }
 
-// Parts are what a limiter works with.
+// Parts are the dependencies of a Limiter.
 type Parts struct {
 	Limits *pushback.Limits
 	Lender *Lender
 	Peers  Peers
-	// Counted counts how questions for permits end.
+	// Counted is called with the outcome of each Ask.
 	Counted func(counters.Permit)
 	Log     *logrus.Entry
 	Clock   func() time.Time
-	// Random returns numbers from 0 up to 1.
+	// Random returns a number in [0, 1).
 	Random func() float64
 }
 
-// Limiter gets the permits that this host's requests need. It is safe for concurrent use.
+// Limiter acquires the permits for the requests of this host. It is safe for concurrent use.
 type Limiter struct {
 	parts Parts
 
-	mu     sync.Mutex
-	number uint64
-	// replies are awaited, by the number of the question.
+	mu         sync.Mutex
+	lastNumber uint64
+	// replies holds the channel of each Ask that awaits its reply, by the number of the Ask.
 	replies map[uint64]chan Reply
 	denials map[pushback.Instance]denial
-	// silent are the peers that did not reply to the last question.
-	silent map[envelope.Sender]silence
-	// queued wakes Run: a request waits at the lender of this host.
+	// unresponsive holds the lenders that did not reply to the last Ask.
+	unresponsive map[envelope.Sender]unansweredAsks
+	// queued wakes Run after a request was queued at the lender of this host.
 	queued chan struct{}
 }
 
-// denial is an endpoint for which this host got no permit.
+// denial records that this host got no permit for an endpoint.
 type denial struct {
 	limit pushback.Limit
-	// next is when a permit may be free, until when this host asks again.
-	next, until time.Time
+	// nextPermitAt is when a permit may be free, askAgainAt when this host may ask again.
+	nextPermitAt, askAgainAt time.Time
 }
 
-// silence is that of a peer which lends.
-type silence struct {
-	since time.Time
-	// asks counts the questions without a reply.
-	asks int
-	// avoidUntil is until when the peer is passed over.
+// unansweredAsks are the successive Asks that a lender has left unanswered.
+type unansweredAsks struct {
+	firstAt time.Time
+	count   int
+	// avoidUntil is when the lender may be asked again.
 	avoidUntil time.Time
 }
 
-// New returns a limiter that has asked for nothing. It numbers its questions from any number on, so that a reply to an
-// earlier start of this host is not taken for one of its own.
+// New returns a limiter. It numbers its Asks from a random number on, so that a late reply to an earlier start of
+// this host is not matched to an Ask of this one.
 func New(parts Parts) *Limiter {
 	return &Limiter{
-		parts: parts, number: uint64(parts.Random() * math.MaxUint32), replies: make(map[uint64]chan Reply), denials: make(map[pushback.Instance]denial),
-		silent: make(map[envelope.Sender]silence), queued: make(chan struct{}, 1),
+		parts: parts, lastNumber: uint64(parts.Random() * math.MaxUint32), replies: make(map[uint64]chan Reply), denials: make(map[pushback.Instance]denial),
+		unresponsive: make(map[envelope.Sender]unansweredAsks), queued: make(chan struct{}, 1),
 	}
 }
 
-// Denied is the endpoint of several from which a permit may come first, if none may be asked for now.
+// Denied is the endpoint among several for which a permit may be free first, if none may be asked for now.
 type Denied struct {
 	Endpoint *directory.Entry
-	// Next is when that is, as far as is known.
+	// Next is the expected time of that permit.
 	Next time.Time
 }
 
-// Usable returns those of the endpoints that have no limit or for which a permit may be asked, and what is known of the
-// others; if mayAsk is not set, only those without a limit. The list is not modified.
+// Usable returns the endpoints that have no limit or for which this host may ask for a permit, and the soonest of the
+// others. Without mayAsk it returns only those without a limit. The list is not modified.
 func (l *Limiter) Usable(endpoints []*directory.Entry, mayAsk bool) (usable []*directory.Entry, denied Denied) {
 	if !l.parts.Limits.Any() {
 		return endpoints, Denied{}
@@ -117,18 +117,18 @@
 		endpoint := instanceOf(e)
 		limit := l.parts.Limits.Get(endpoint)
 		d := l.denials[endpoint]
-		if !limit.IsSet || (mayAsk && (d.limit != limit || !now.Before(d.until))) {
+		if !limit.IsSet || (mayAsk && (d.limit != limit || !now.Before(d.askAgainAt))) {
 			usable = append(usable, e)
 			continue
 		}
-		if denied.Endpoint == nil || d.next.Before(denied.Next) {
-			denied = Denied{Endpoint: e, Next: d.next}
+		if denied.Endpoint == nil || d.nextPermitAt.Before(denied.Next) {
+			denied = Denied{Endpoint: e, Next: d.nextPermitAt}
 		}
 	}
 	return usable, denied
 }
 
-// instanceOf returns the start of an endpoint that its entry shows.
+// instanceOf returns the instance of an endpoint that a directory entry describes.
 func instanceOf(e *directory.Entry) pushback.Instance {
 	return pushback.Instance{ID: e.ID, Version: e.Endpoint.Version}
 }
@@ -138,69 +138,70 @@
 	return l.parts.Limits.Get(endpoint).IsSet
 }
 
-// MaySend reports whether a request may be sent to an endpoint now: it has no limit, or the permit is still good.
+// MaySend reports whether a request may be sent to an endpoint now: the endpoint has no limit, or the permit is still
+// valid.
 func (l *Limiter) MaySend(endpoint pushback.Instance, permit Permit) bool {
-	return !l.IsLimited(endpoint) || permit.isGood(endpoint, l.parts.Clock())
+	return !l.IsLimited(endpoint) || permit.isValidFor(endpoint, l.parts.Clock())
 }
 
-// Acquire asks for a permit, for a request of a rank (0 is the most urgent) that can wait for a while. It reports false if
-// there is none, or ctx ended.
+// Acquire asks for a permit for a request of a rank (0 is the most urgent) that can wait for a time. It returns false
+// if there is none, or if ctx ends first.
 func (l *Limiter) Acquire(ctx context.Context, endpoint pushback.Instance, rank uint8, wait time.Duration) (Permit, bool) {
-	lender, isSuccessor, ok := l.lender(endpoint.ID)
+	lender, isSuccessor, ok := l.pickLender(endpoint.ID)
 	if !ok {
-		l.deny(endpoint, unsettledPause, unsettledPause)
+		l.recordDenial(endpoint, unsettledPause, unsettledPause)
 		return Permit{}, false
 	}
 	asked := l.parts.Clock()
-	number, replies := l.await()
-	defer l.forget(number)
+	number, replies := l.register()
+	defer l.unregister(number)
 	ask := &Ask{Number: number, Limit: l.parts.Limits.Notice(endpoint), Rank: rank, Wait: wait, IsSuccessor: isSuccessor}
-	l.ask(lender, ask)
+	l.sendAsk(lender, ask)
 	timeout := time.NewTimer(wait + replyTimeout)
 	defer timeout.Stop()
 	select {
 	case reply := <-replies:
-		l.replied(lender)
-		return l.permit(endpoint, asked, &reply)
+		l.recordReply(lender)
+		return l.permitFrom(endpoint, asked, &reply)
 	case <-timeout.C:
-		l.unanswered(lender)
+		l.recordNoReply(lender)
 		l.parts.Counted(counters.PermitUnanswered)
-		l.deny(endpoint, unansweredPause, unansweredPause)
+		l.recordDenial(endpoint, noReplyPause, noReplyPause)
 	case <-ctx.Done():
 	}
 	return Permit{}, false
 }
 
-// permit returns what a reply allows.
-func (l *Limiter) permit(endpoint pushback.Instance, asked time.Time, reply *Reply) (Permit, bool) {
+// permitFrom returns the permit that a reply grants, or records its denial.
+func (l *Limiter) permitFrom(endpoint pushback.Instance, asked time.Time, reply *Reply) (Permit, bool) {
 	if reply.IsGranted {
 		l.parts.Counted(counters.PermitGranted)
-		// Counted from before the question was sent, so that a late reply does not make the permit last longer.
+		// Validity counts from before the Ask was sent, so that a late reply does not extend it.
 		return Permit{endpoint: endpoint, until: asked.Add(reply.Waited + permitValidity)}, true
 	}
 	l.parts.Counted(counters.PermitDenied)
-	next := max(reply.Next, leastPause)
-	l.deny(endpoint, next, next+time.Duration(l.parts.Random()*float64(reply.Spread)))
+	next := max(reply.Next, minDenialPause)
+	l.recordDenial(endpoint, next, next+time.Duration(l.parts.Random()*float64(reply.Spread)))
 	return Permit{}, false
 }
 
-// ask asks a host, which may be this one.
-func (l *Limiter) ask(lender envelope.Sender, ask *Ask) {
+// sendAsk sends an Ask to a lender, which may be this host.
+func (l *Limiter) sendAsk(lender envelope.Sender, ask *Ask) {
 	self := l.parts.Peers.Senders()[0]
 	if lender != self {
 		l.parts.Peers.SendTo(lender.Host, envelope.KindPermitAsk, ask)
 		return
 	}
 	if reply, isReplied := l.parts.Lender.Ask(self.Host, ask, l.passedOver(ask)); isReplied {
-		l.receivedReply(&reply)
+		l.deliverReply(&reply)
 		return
 	}
 	lifetime.Wake(l.queued)
 }
 
-// lender returns the host that lends the permits of an endpoint, and whether it does so in place of a silent one. It
-// reports false if that would be this host, which does not know its peers yet.
-func (l *Limiter) lender(endpoint string) (lender envelope.Sender, isSuccessor, ok bool) {
+// pickLender returns the host that lends the permits of an endpoint, and whether it replaces an unresponsive one. OK
+// is false if that is this host and it does not know its peers yet.
+func (l *Limiter) pickLender(endpoint string) (lender envelope.Sender, isSuccessor, ok bool) {
 	hosts := l.parts.Peers.Senders()
 	now := l.parts.Clock()
 	l.mu.Lock()
@@ -208,7 +209,7 @@
 	var highest, highestSilent uint64
 	for _, host := range hosts {
 		w := weight(host, endpoint)
-		if now.Before(l.silent[host].avoidUntil) {
+		if now.Before(l.unresponsive[host].avoidUntil) {
 			highestSilent = max(highestSilent, w)
 			continue
 		}
@@ -219,14 +220,14 @@
 	return lender, highestSilent > highest, lender != hosts[0] || l.parts.Peers.Settled()
 }
 
-// isFirst reports whether this host is the one that lends the permits of an endpoint.
-func (l *Limiter) isFirst(endpoint string) bool {
-	lender, _, ok := l.lender(endpoint)
+// isLender reports whether this host lends the permits of an endpoint.
+func (l *Limiter) isLender(endpoint string) bool {
+	lender, _, ok := l.pickLender(endpoint)
 	return ok && lender == l.parts.Peers.Senders()[0]
 }
 
-// passedOver returns how many hosts before this one do not lend if this one does. It is the same whichever of them the asking
-// host has passed over, so that two hosts that lend have different places.
+// passedOver returns the number of hosts that precede this one in the order of lenders. It does not depend on which
+// of them the asking host has passed over, so two hosts that lend at the same time get different numbers.
 func (l *Limiter) passedOver(ask *Ask) int {
 	senders := l.parts.Peers.Senders()
 	own, before := weight(senders[0], ask.Limit.Endpoint.ID), 0
@@ -236,99 +237,98 @@
 		}
 	}
 	if ask.IsSuccessor {
-		// The asking host knows of one before this one that this one does not.
+		// The asking host sees a preceding host that this one does not.
 		return max(before, 1)
 	}
 	return before
 }
 
-// weight orders the hosts that may lend the permits of an endpoint: the one with the highest does.
+// weight orders the hosts that may lend the permits of an endpoint: the host with the highest weight lends.
 func weight(host envelope.Sender, endpoint string) uint64 {
 	return xxhash.Sum64String(host.Host + "\x00" + endpoint)
 }
 
-// await returns the number for a question, and what receives its reply.
-func (l *Limiter) await() (uint64, <-chan Reply) {
+// register returns the number for a new Ask, and the channel that receives its reply.
+func (l *Limiter) register() (uint64, <-chan Reply) {
 	replies := make(chan Reply, 1)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.number++
-	l.replies[l.number] = replies
-	return l.number, replies
+	l.lastNumber++
+	l.replies[l.lastNumber] = replies
+	return l.lastNumber, replies
 }
 
-func (l *Limiter) forget(number uint64) {
+func (l *Limiter) unregister(number uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.replies, number)
 }
 
-// deny notes that this host got no permit for an endpoint.
-func (l *Limiter) deny(endpoint pushback.Instance, next, until time.Duration) {
+// recordDenial records that this host got no permit for an endpoint.
+func (l *Limiter) recordDenial(endpoint pushback.Instance, next, until time.Duration) {
 	now := l.parts.Clock()
 	limit := l.parts.Limits.Get(endpoint)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.denials[endpoint] = denial{limit: limit, next: now.Add(next), until: now.Add(until)}
+	l.denials[endpoint] = denial{limit: limit, nextPermitAt: now.Add(next), askAgainAt: now.Add(until)}
 }
 
-// replied notes that a peer replies.
-func (l *Limiter) replied(lender envelope.Sender) {
+// recordReply records that a lender replied.
+func (l *Limiter) recordReply(lender envelope.Sender) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.silent, lender)
+	delete(l.unresponsive, lender)
 }
 
-// unanswered notes that a peer did not reply.
-func (l *Limiter) unanswered(lender envelope.Sender) {
+// recordNoReply records that a lender did not reply.
+func (l *Limiter) recordNoReply(lender envelope.Sender) {
 	now := l.parts.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.silent[lender]
-	if s.asks == 0 {
-		s.since = now
+	s := l.unresponsive[lender]
+	if s.count == 0 {
+		s.firstAt = now
 	}
-	s.asks++
-	if s.asks > 1 && now.Sub(s.since) >= silenceTime {
-		l.parts.Log.WithFields(logrus.Fields{"peer": lender.Host, "asks": s.asks}).Warn("a peer that lends permits does not reply")
-		s = silence{avoidUntil: now.Add(avoidTime)}
+	s.count++
+	if s.count > 1 && now.Sub(s.firstAt) >= noReplyTimeout {
+		l.parts.Log.WithFields(logrus.Fields{"peer": lender.Host, "asks": s.count}).Warn("no reply from the peer that lends permits; the next host in order is asked")
+		s = unansweredAsks{avoidUntil: now.Add(avoidTime)}
 	}
-	l.silent[lender] = s
+	l.unresponsive[lender] = s
 }
 
-// ReceivedAsk handles a peer's Ask, in CBOR.
+// ReceivedAsk handles a peer's Ask, encoded as CBOR.
 func (l *Limiter) ReceivedAsk(from envelope.Sender, body []byte) {
 	var ask Ask
 	if !l.decode(from, body, &ask) {
 		return
 	}
-	if !ask.IsSuccessor && !l.isFirst(ask.Limit.Endpoint.ID) {
-		// Hosts that differ on who lends must not both lend.
-		l.reply(from.Host, &Reply{Number: ask.Number, Next: unsettledPause})
+	if !ask.IsSuccessor && !l.isLender(ask.Limit.Endpoint.ID) {
+		// Hosts may disagree on who lends, and must not lend at the same time.
+		l.sendReply(from.Host, &Reply{Number: ask.Number, Next: unsettledPause})
 		return
 	}
 	if reply, isReplied := l.parts.Lender.Ask(from.Host, &ask, l.passedOver(&ask)); isReplied {
-		l.reply(from.Host, &reply)
+		l.sendReply(from.Host, &reply)
 		return
 	}
 	lifetime.Wake(l.queued)
 }
 
-// reply sends a reply to a peer.
-func (l *Limiter) reply(host string, reply *Reply) {
+func (l *Limiter) sendReply(host string, reply *Reply) {
 	l.parts.Peers.SendTo(host, envelope.KindPermitReply, reply)
 }
 
-// ReceivedReply handles a peer's Reply, in CBOR.
+// ReceivedReply handles a peer's Reply, encoded as CBOR.
 func (l *Limiter) ReceivedReply(from envelope.Sender, body []byte) {
 	var reply Reply
 	if l.decode(from, body, &reply) {
-		l.receivedReply(&reply)
+		l.deliverReply(&reply)
 	}
 }
 
-// receivedReply passes a reply on to whoever awaits it. One that comes too late is dropped: its permit is lost.
-func (l *Limiter) receivedReply(reply *Reply) {
+// deliverReply passes a reply to the Acquire call that awaits it. A late reply is dropped and its permit is lost.
+func (l *Limiter) deliverReply(reply *Reply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if replies, ok := l.replies[reply.Number]; ok {
@@ -337,16 +337,16 @@
 	}
 }
 
-// decode decodes a peer's message, and reports whether it can be.
+// decode decodes a peer's message, and returns false if it can't.
 func (l *Limiter) decode(from envelope.Sender, body []byte, message any) bool {
 	err := cbor.Unmarshal(body, message)
 	if err != nil {
-		l.parts.Log.WithError(err).WithField("from", from.Host).Warn("a peer's message can't be decoded")
+		l.parts.Log.WithError(err).WithField("from", from.Host).Warn("peer's message can't be decoded; dropped")
 	}
 	return err == nil
 }
 
-// Run replies to requests that wait at the lender of this host, until done is closed.
+// Run replies to the requests queued at the lender of this host, until done is closed.
 func (l *Limiter) Run(done <-chan struct{}) {
 	var due <-chan time.Time
 	for {
@@ -360,16 +360,17 @@
 	}
 }
 
-// replyToWaiting replies to requests that wait, and returns what receives when the next reply may be due, or nil.
+// replyToWaiting sends the replies that are due, and returns a channel that fires when the next may be due, or nil if
+// no request waits.
 func (l *Limiter) replyToWaiting() <-chan time.Time {
 	replies, next, isWaiting := l.parts.Lender.Due()
 	self := l.parts.Peers.Senders()[0]
 	for _, r := range replies {
 		if r.Host == self.Host {
-			l.receivedReply(&r.Reply)
+			l.deliverReply(&r.Reply)
 			continue
 		}
-		l.reply(r.Host, &r.Reply)
+		l.sendReply(r.Host, &r.Reply)
 	}
 	if !isWaiting {
 		return nil
@@ -377,20 +378,20 @@
 	return time.After(max(next.Sub(l.parts.Clock()), time.Millisecond))
 }
 
-// Expire forgets what is over. It is called about once a second.
+// Expire removes expired denials, and peers whose avoidance has expired. It is called about once a second.
 func (l *Limiter) Expire() {
 	l.parts.Lender.Expire()
 	now := l.parts.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for endpoint, d := range l.denials {
-		if !now.Before(d.until) {
+		if !now.Before(d.askAgainAt) {
 			delete(l.denials, endpoint)
 		}
 	}
-	for host, s := range l.silent {
-		if now.Sub(s.since) > avoidTime && !now.Before(s.avoidUntil) {
-			delete(l.silent, host)
+	for host, s := range l.unresponsive {
+		if now.Sub(s.firstAt) > avoidTime && !now.Before(s.avoidUntil) {
+			delete(l.unresponsive, host)
 		}
 	}
 }
--- a/internal/front/ratelimit/limiter_test.go
+++ b/internal/front/ratelimit/limiter_test.go
@@ -26,11 +26,11 @@
 	mu    sync.Mutex
 	now   time.Time
 	hosts []*host
-	// down are hosts that get nothing.
-	down map[string]bool
+	// unreachable are hosts whose incoming messages are dropped.
+	unreachable map[string]bool
 }
 
-// host is one of them. It implements Peers.
+// host is a host of a network. It implements Peers.
 type host struct {
 	network *network
 	sender  envelope.Sender
@@ -40,7 +40,7 @@
 }
 
 func newNetwork(c *qt.C, names ...string) *network {
-	n := &network{c: c, now: start, down: make(map[string]bool)}
+	n := &network{c: c, now: start, unreachable: make(map[string]bool)}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	for i, name := range names {
@@ -73,15 +73,15 @@
 	n.now = n.now.Add(span)
 }
 
-// setDown has a host get nothing.
-func (n *network) setDown(name string) {
+// setUnreachable drops all later messages to a host.
+func (n *network) setUnreachable(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.down[name] = true
+	n.unreachable[name] = true
 }
 
-// nameAll lets all hosts know of a limit.
-func (n *network) nameAll(perSecond float64) {
+// setLimitAtAll has all hosts learn a limit.
+func (n *network) setLimitAtAll(perSecond float64) {
 	for _, h := range n.hosts {
 		h.limits.Note(limited, notice(perSecond).Limit, n.clock())
 	}
@@ -103,10 +103,10 @@
 	body, err := cbor.Marshal(message)
 	h.network.c.Check(err, qt.IsNil)
 	h.network.mu.Lock()
-	isDown := h.network.down[name]
+	isUnreachable := h.network.unreachable[name]
 	h.network.mu.Unlock()
 	for _, other := range h.network.hosts {
-		if other.sender.Host != name || isDown {
+		if other.sender.Host != name || isUnreachable {
 			continue
 		}
 		if kind == envelope.KindPermitAsk {
@@ -122,10 +122,10 @@
 	return h.limiter.Acquire(context.Background(), limited, 0, 0)
 }
 
-// lenderOf returns the host that lends, and the others.
-func (n *network) lenderOf() (lender *host, others []*host) {
+// lenderAndOthers returns the host that lends, and the others.
+func (n *network) lenderAndOthers() (lender *host, others []*host) {
 	for _, h := range n.hosts {
-		if h.limiter.isFirst(limited.ID) {
+		if h.limiter.isLender(limited.ID) {
 			lender = h
 		} else {
 			others = append(others, h)
@@ -135,11 +135,11 @@
 	return lender, others
 }
 
-// TestOneHostLends has hosts ask in turn: together they get what one would.
-func TestOneHostLends(t *testing.T) {
+// TestHostsShareOneBucket has hosts ask in turn: together they get as many permits as one host would.
+func TestHostsShareOneBucket(t *testing.T) {
 	c := qt.New(t)
 	n := newNetwork(c, "a", "b", "c")
-	n.nameAll(2)
+	n.setLimitAtAll(2)
 	granted := 0
 	for range 100 {
 		n.advance(100 * time.Millisecond)
@@ -149,16 +149,16 @@
 			}
 		}
 	}
-	c.Check(granted >= 17 && granted <= 20, qt.IsTrue, qt.Commentf("%d in 10 s", granted))
+	c.Check(granted >= 17 && granted <= 20, qt.IsTrue, qt.Commentf("%d permits in 10 s", granted))
 }
 
-// TestAPermitIsGoodForAMoment has a connection take longer than a permit is good for.
-func TestAPermitIsGoodForAMoment(t *testing.T) {
+// TestPermitExpires has a request wait for its connection for longer than its permit is valid.
+func TestPermitExpires(t *testing.T) {
 	c := qt.New(t)
 	n := newNetwork(c, "a")
 	l := n.hosts[0].limiter
 	c.Check(l.MaySend(limited, Permit{}), qt.IsTrue)
-	n.nameAll(2)
+	n.setLimitAtAll(2)
 	c.Check(l.MaySend(limited, Permit{}), qt.IsFalse)
 	_, ok := n.hosts[0].acquire()
 	c.Check(ok, qt.IsFalse)
@@ -166,47 +166,47 @@
 	permit, ok := n.hosts[0].acquire()
 	c.Assert(ok, qt.IsTrue)
 	c.Check(l.MaySend(limited, permit), qt.IsTrue)
-	c.Check(l.MaySend(pushback.Instance{ID: "a", Version: "v2"}, permit), qt.IsTrue, qt.Commentf("another start has no limit"))
+	c.Check(l.MaySend(pushback.Instance{ID: "a", Version: "v2"}, permit), qt.IsTrue, qt.Commentf("another instance has no limit"))
 	n.advance(permitValidity)
 	c.Check(l.MaySend(limited, permit), qt.IsFalse)
 }
 
-// TestAnotherLendsForASilentHost has the host that lends fall silent.
-func TestAnotherLendsForASilentHost(t *testing.T) {
+// TestSuccessorLendsForUnresponsiveLender has the lender stop replying. Another host must lend within 2 s, and the
+// first lender is asked again once avoidTime has passed.
+func TestSuccessorLendsForUnresponsiveLender(t *testing.T) {
 	c := qt.New(t)
 	n := newNetwork(c, "a", "b", "c")
-	n.nameAll(4)
-	lender, others := n.lenderOf()
-	n.setDown(lender.sender.Host)
+	n.setLimitAtAll(4)
+	lender, others := n.lenderAndOthers()
+	n.setUnreachable(lender.sender.Host)
 	asker := others[0]
 	for tries := 0; ; tries++ {
 		c.Assert(tries < 20, qt.IsTrue)
-		n.advance(unansweredPause)
+		n.advance(noReplyPause)
 		if _, ok := asker.acquire(); ok {
 			break
 		}
 	}
 	c.Check(n.clock().Sub(start) <= 2*time.Second, qt.IsTrue, qt.Commentf("%s", n.clock().Sub(start)))
-	// It is asked again after a while.
 	n.advance(avoidTime)
 	asker.limiter.Expire()
-	first, isSuccessor, ok := asker.limiter.lender(limited.ID)
+	first, isSuccessor, ok := asker.limiter.pickLender(limited.ID)
 	c.Check(first, qt.Equals, lender.sender)
 	c.Check(isSuccessor, qt.IsFalse)
 	c.Check(ok, qt.IsTrue)
 }
 
-// TestHostsThatDifferOnWhoLends has a host asked that is not the first in order, and one that has just started and does not
-// know its peers: neither lends.
-func TestHostsThatDifferOnWhoLends(t *testing.T) {
+// TestMisdirectedAskIsDenied covers hosts that disagree on who lends, and a host that has just started and does not
+// know its peers yet: a host that is not the first in order must not lend, and neither must the new one.
+func TestMisdirectedAskIsDenied(t *testing.T) {
 	c := qt.New(t)
 	n := newNetwork(c, "a", "b", "c")
-	n.nameAll(2)
+	n.setLimitAtAll(2)
 	n.advance(time.Second)
-	lender, others := n.lenderOf()
+	lender, others := n.lenderAndOthers()
 	for _, isSuccessor := range []bool{false, true} {
 		asker := others[0].limiter
-		number, replies := asker.await()
+		number, replies := asker.register()
 		others[0].SendTo(others[1].sender.Host, envelope.KindPermitAsk, &Ask{Number: number, Limit: others[0].limits.Notice(limited), IsSuccessor: isSuccessor})
 		c.Check((<-replies).IsGranted, qt.IsFalse)
 		// A new bucket is empty.
@@ -219,14 +219,15 @@
 	c.Check(ok, qt.IsFalse)
 }
 
-// TestHostsThatLendHaveDifferentPlaces has hosts be asked as successors, whoever has been passed over.
-func TestHostsThatLendHaveDifferentPlaces(t *testing.T) {
+// TestSuccessorsCountDifferentPassedOverHosts checks that hosts that lend as successors get different numbers of
+// passed-over hosts, so that their rates add up to a bounded sum.
+func TestSuccessorsCountDifferentPassedOverHosts(t *testing.T) {
 	c := qt.New(t)
 	n := newNetwork(c, "a", "b", "c")
-	first, others := n.lenderOf()
+	first, others := n.lenderAndOthers()
 	limit := first.limits.Notice(limited)
 	c.Check(first.limiter.passedOver(&Ask{Limit: limit}), qt.Equals, 0)
-	c.Check(first.limiter.passedOver(&Ask{Limit: limit, IsSuccessor: true}), qt.Equals, 1, qt.Commentf("a host before it may live"))
+	c.Check(first.limiter.passedOver(&Ask{Limit: limit, IsSuccessor: true}), qt.Equals, 1, qt.Commentf("a preceding host may be alive"))
 	places := map[int]bool{}
 	for _, h := range others {
 		places[h.limiter.passedOver(&Ask{Limit: limit, IsSuccessor: true})] = true
@@ -234,8 +235,9 @@
 	c.Check(places, qt.DeepEquals, map[int]bool{1: true, 2: true})
 }
 
-// TestWhoMayBeChosen has a host be denied a permit: it does not ask again before one may be free, unless the limit changes.
-func TestWhoMayBeChosen(t *testing.T) {
+// TestDeniedEndpointIsUnusableUntilNextPermit has a host be denied a permit: it must not ask again before one may be
+// free, unless the limit changes.
+func TestDeniedEndpointIsUnusableUntilNextPermit(t *testing.T) {
 	c := qt.New(t)
 	n := newNetwork(c, "a")
 	l := n.hosts[0].limiter
@@ -252,7 +254,7 @@
 		}
 	}
 	check(true, 2, false)
-	n.nameAll(2)
+	n.setLimitAtAll(2)
 	check(true, 2, false)
 	check(false, 1, true)
 	_, ok := n.hosts[0].acquire()
@@ -260,7 +262,7 @@
 	check(true, 1, true)
 	_, denied := l.Usable(endpoints, true)
 	c.Check(denied.Next.Sub(start) > 500*time.Millisecond, qt.IsTrue)
-	n.nameAll(1)
+	n.setLimitAtAll(1)
 	check(true, 2, false)
 	_, ok = n.hosts[0].acquire()
 	c.Assert(ok, qt.IsFalse)
@@ -270,11 +272,11 @@
 	c.Check(l.denials, qt.HasLen, 0)
 }
 
-// TestACallerThatLeavesWaitsForNoPermit ends a wait.
-func TestACallerThatLeavesWaitsForNoPermit(t *testing.T) {
+// TestCancelledCallerStopsWaiting checks that a cancelled context ends a wait for a permit.
+func TestCancelledCallerStopsWaiting(t *testing.T) {
 	c := qt.New(t)
 	n := newNetwork(c, "a")
-	n.nameAll(0.1)
+	n.setLimitAtAll(0.1)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, ok := n.hosts[0].limiter.Acquire(ctx, limited, 0, time.Minute)
@@ -282,17 +284,18 @@
 	c.Check(n.hosts[0].limiter.replies, qt.HasLen, 0)
 }
 
-// TestAReplyToAnEarlierStart has a host start again while a reply is on its way to it: it is not taken for one of its own.
-func TestAReplyToAnEarlierStart(t *testing.T) {
+// TestAskNumbersDifferBetweenStarts guards against a reply to an earlier start of a host being matched to an Ask of
+// the current one.
+func TestAskNumbersDifferBetweenStarts(t *testing.T) {
 	c := qt.New(t)
 	number := func(random float64) uint64 {
-		number, _ := New(Parts{Random: func() float64 { return random }}).await()
+		number, _ := New(Parts{Random: func() float64 { return random }}).register()
 		return number
 	}
 	c.Check(number(0.25), qt.Not(qt.Equals), number(0.75))
 }
 
-// TestGoldenMessages holds the encoded forms: hosts of other versions read them.
+// TestGoldenMessages pins the encoded forms, which hosts of other versions read.
 func TestGoldenMessages(t *testing.T) {
 	golden.Message(t, "ask", &Ask{Number: 1, Limit: notice(1.5), Rank: 2, Wait: time.Second, IsSuccessor: true})
 	golden.Message(t, "reply", &Reply{Number: 1, IsGranted: true, Waited: 2, Next: 3, Spread: 4})
