--- a/internal/front/placement/placement_test.go
+++ b/internal/front/placement/placement_test.go
@@ -553,7 +553,7 @@
 			c := qt.New(t)
 			s := newPlacer(func() time.Time { return start })
 			for id, failed := range test.failed {
-				s.view.failures.Count(pushback.Work{Endpoint: keys.OfEndpoint(id), Class: keys.OfClass("c")}, failed, 10-failed)
+				s.view.failures.Count(pushback.EndpointClass{Endpoint: keys.OfEndpoint(id), Class: keys.OfClass("c")}, failed, 10-failed)
 			}
 			s.view.loads.Begin("e2", test.ahead)
 			request := short()
--- a/internal/front/pushback/outbox.go
+++ b/internal/front/pushback/outbox.go
@@ -40,7 +40,7 @@
 	// newcomers are hosts that have joined, and learn all of it.
 	newcomers *announce.List[envelope.Sender]
 	rejected  counts[keys.Endpoint]
-	failed    counts[Work]
+	failed    counts[EndpointClass]
 }
 
 // limitNews is a limit that has changed.
@@ -53,7 +53,7 @@
 func newOutbox() outbox {
 	return outbox{
 		leaving: announce.New[Instance](announceRepeats), limits: announce.New[limitNews](announceRepeats),
-		newcomers: announce.New[envelope.Sender](announceRepeats), rejected: make(counts[keys.Endpoint]), failed: make(counts[Work]),
+		newcomers: announce.New[envelope.Sender](announceRepeats), rejected: make(counts[keys.Endpoint]), failed: make(counts[EndpointClass]),
 	}
 }
 
--- a/internal/front/pushback/tracker.go
+++ b/internal/front/pushback/tracker.go
@@ -135,7 +135,7 @@
 // count counts a request that an endpoint has rejected, failed or answered. A rejected one says nothing of failures.
 func (t *Tracker) count(answer *Answer) {
 	key := keys.OfEndpoint(answer.Endpoint.ID)
-	work := Work{Endpoint: key, Class: answer.Class}
+	work := EndpointClass{Endpoint: key, Class: answer.Class}
 	rejected, taken := oneOf(answer.Signal.Rejected)
 	failed, answered := oneOf(answer.Signal.Failed)
 	isNews := t.parts.Rejections.Count(key, rejected, taken)
--- a/internal/front/pushback/tracker_test.go
+++ b/internal/front/pushback/tracker_test.go
@@ -144,7 +144,7 @@
 	p := newPeers()
 	first, _ := newTracker(c, p)
 	second, _ := newTracker(c, newPeers())
-	work := Work{Endpoint: keys.OfEndpoint("a"), Class: 7}
+	work := EndpointClass{Endpoint: keys.OfEndpoint("a"), Class: 7}
 	for range 3 {
 		first.Received(&Answer{Endpoint: instance, Class: 7, Signal: Signal{Failed: true}})
 	}
@@ -156,14 +156,14 @@
 	message := <-p.failed
 	c.Check(message.Counts, qt.DeepEquals, []FailedCount{{Work: work, Failed: 3, Answered: 1}})
 	second.ReceivedFailures("first", encode(c, message))
-	c.Check(second.parts.Failures.Worst(work.Endpoint, 9) > 0.2, qt.IsTrue)
+	c.Check(second.parts.Failures.WorstExcess(work.Endpoint, 9) > 0.2, qt.IsTrue)
 	c.Check(second.outbox.failed, qt.HasLen, 0)
 	second.ReceivedFailures("first", []byte("no message"))
 }
 
 // TestGoldenFailed holds the encoded form of failures.
 func TestGoldenFailed(t *testing.T) {
-	golden.Message(t, "failed", &Failed{Counts: []FailedCount{{Work: Work{Endpoint: 1, Class: 2}, Failed: 3, Answered: 4}}})
+	golden.Message(t, "failed", &Failed{Counts: []FailedCount{{Work: EndpointClass{Endpoint: 1, Class: 2}, Failed: 3, Answered: 4}}})
 }
 
 // TestGoldenLeaving holds the encoded form of the message: hosts of other versions read it.
@@ -267,7 +267,7 @@
 	}
 	var failed Failed
 	for range mostFailures {
-		failed.Counts = append(failed.Counts, FailedCount{Work: Work{Endpoint: math.MaxUint32, Class: math.MaxUint32}, Failed: mostCounted, Answered: mostCounted})
+		failed.Counts = append(failed.Counts, FailedCount{Work: EndpointClass{Endpoint: math.MaxUint32, Class: math.MaxUint32}, Failed: mostCounted, Answered: mostCounted})
 	}
 	for name, message := range map[string]any{"failed": &failed, "leaving": &leaving, "rejected": &rejected, "limited": &limited} {
 		t.Run(name, func(t *testing.T) {
