--- a/internal/front/pushback/outbox.go
+++ b/internal/front/pushback/outbox.go
@@ -122,7 +122,7 @@
 // announceFresh announces what was not announced yet. Newcomers don't know this host yet, and wait.
 func (t *Tracker) announceFresh() {
 	t.mu.Lock()
-	leaving, limits := t.outbox.leaving.Fresh(), t.outbox.limits.Fresh()
+	leaving, limits := t.outbox.leaving.Unsent(), t.outbox.limits.Unsent()
 	t.mu.Unlock()
 	t.send(leaving, t.notices(limits), t.parts.Peers.Broadcast)
 }
