--- a/internal/front/pushback/failures.go
+++ b/internal/front/pushback/failures.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// failureTime is the time in which a failure, or an answer that is none, loses half of its weight.
-	failureTime = 6 * time.Second
-	// chanceFailures is by how many deviations an endpoint's failures have to be more than usual before it counts as
-	// worse than its peers.
-	chanceFailures = 2
-	// priorFailures is the weight, in requests of a class, of what an endpoint does to the requests of all classes.
-	priorFailures = 2
-	// usualPart is the part of a service's endpoints, those that fail the least, whose failures are usual.
-	usualPart = 1.0 / 3
-	// usualInterval is how often what is usual is worked out anew.
-	usualInterval = 100 * time.Millisecond
+	// failureHalfLife is the half-life of the weight of a failed or answered request.
+	failureHalfLife = 6 * time.Second
+	// toleratedDeviations is the number of standard deviations by which an endpoint's failures must exceed the
+	// baseline before it counts as worse than its peers.
+	toleratedDeviations = 2
+	// priorRequestsOfClass is the weight, in requests of the class, that the endpoint's record with all classes has.
+	priorRequestsOfClass = 2
+	// baselinePart is the part of a service's endpoints, those with the fewest failures, that sets the baseline.
+	baselinePart = 1.0 / 3
+	// baselineInterval is how often the baseline is recomputed.
+	baselineInterval = 100 * time.Millisecond
 )
 
-// EndpointClass is the requests of a class at an endpoint.
+// EndpointClass identifies the requests of a class at an endpoint.
 type EndpointClass struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -30,97 +30,98 @@
 	Class    keys.Class
 }
 
-// Failures learns which endpoints fail more of the requests of a class than their peers do, from the answers to all hosts.
-// What fails everywhere is the requests' own fault, and makes no endpoint worse. It is safe for concurrent use.
+// Failures learns from the answers to all hosts which endpoints fail more requests of a class than their peers do.
+// Requests that fail everywhere are at fault themselves and make no endpoint look worse. It is safe for concurrent
+// use.
 type Failures struct {
 	clock   func() time.Time
 	tallies *tallies[EndpointClass]
 
-	// failed holds the shares that endpoints fail of each class, the smallest first, as of failedAt. The lock of the
-	// tallies guards both.
-	failed   map[keys.Class][]float64
-	failedAt time.Time
+	// shares holds the failed shares of the endpoints for each class in ascending order, as computed at sharesAt. The
+	// lock of tallies guards both.
+	shares   map[keys.Class][]float64
+	sharesAt time.Time
 }
 
-// NewFailures returns a table in which nothing has failed.
+// NewFailures returns a table without failures.
 func NewFailures(clock func() time.Time) *Failures {
-	return &Failures{clock: clock, tallies: newTallies[EndpointClass](clock, failureTime)}
+	return &Failures{clock: clock, tallies: newTallies[EndpointClass](clock, failureHalfLife)}
 }
 
-// Count counts requests that an endpoint has failed and answered. It reports whether that is worth knowing: what it answers
-// of which nothing has failed lately is not.
-func (f *Failures) Count(work EndpointClass, failed, answered uint) bool {
-	return f.tallies.count(work, failed, answered)
+// Count counts requests that an endpoint has failed and answered. It returns false if they need not be reported to
+// peers: an endpoint only answers, and no recent failure of it is recorded.
+func (f *Failures) Count(key EndpointClass, failed, answered uint) bool {
+	return f.tallies.count(key, failed, answered)
 }
 
-// Excess returns which share of the requests of a class an endpoint is expected to fail beyond what is usual at a number of
-// endpoints. What it does to the requests of other classes counts a little.
-func (f *Failures) Excess(work EndpointClass, endpoints int) float64 {
-	if f.tallies.known.Load() == 0 {
+// Excess returns the share of the requests of a class that an endpoint is expected to fail beyond the baseline of a
+// number of endpoints. Its record with other classes has a small weight.
+func (f *Failures) Excess(key EndpointClass, endpoints int) float64 {
+	if f.tallies.size.Load() == 0 {
 		return 0
 	}
 	f.tallies.mu.Lock()
 	defer f.tallies.mu.Unlock()
-	f.sortFailed(f.clock())
-	return f.excess(work, endpoints)
+	f.updateShares(f.clock())
+	return f.excess(key, endpoints)
 }
 
-// WorstExcess returns the largest share of the requests of any class that an endpoint is expected to fail beyond what is usual.
+// WorstExcess returns the largest excess of an endpoint over all classes.
 func (f *Failures) WorstExcess(endpoint keys.Endpoint, endpoints int) float64 {
 	f.tallies.mu.Lock()
 	defer f.tallies.mu.Unlock()
-	f.sortFailed(f.clock())
+	f.updateShares(f.clock())
 	worst := 0.0
-	for class := range f.failed {
+	for class := range f.shares {
 		worst = max(worst, f.excess(EndpointClass{Endpoint: endpoint, Class: class}, endpoints))
 	}
 	return worst
 }
 
-// excess is Excess with the lock held.
-func (f *Failures) excess(work EndpointClass, endpoints int) float64 {
+// excess implements Excess. The caller holds the lock.
+func (f *Failures) excess(key EndpointClass, endpoints int) float64 {
 	now := f.clock()
-	var own, ofOwn, all, ofAll float64
-	for class, failed := range f.failed {
-		t, ok := f.tallies.byKey[EndpointClass{Endpoint: work.Endpoint, Class: class}]
+	var own, ownRequests, all, allRequests float64
+	for class, failed := range f.shares {
+		t, ok := f.tallies.byKey[EndpointClass{Endpoint: key.Endpoint, Class: class}]
 		if !ok {
 			continue
 		}
-		t.decay(now, failureTime)
-		beyond, of := beyondUsual(t, usualShare(failed, endpoints)), t.bad+t.good
-		all, ofAll = all+beyond, ofAll+of
-		if class == work.Class {
-			own, ofOwn = beyond, of
+		t.decay(now, failureHalfLife)
+		excess, requests := excessFailures(t, baselineShare(failed, endpoints)), t.bad+t.good
+		all, allRequests = all+excess, allRequests+requests
+		if class == key.Class {
+			own, ownRequests = excess, requests
 		}
 	}
-	return (own + priorFailures*all/(ofAll+1)) / (ofOwn + priorFailures)
+	return (own + priorRequestsOfClass*all/(allRequests+1)) / (ownRequests + priorRequestsOfClass)
 }
 
-// beyondUsual returns how many failures of a tally are more than usual, and more than chance makes of that.
-func beyondUsual(t *tally, usual float64) float64 {
-	expected := usual * (t.bad + t.good)
-	return max(t.bad-expected-chanceFailures*math.Sqrt(expected+0.25), 0)
+// excessFailures returns the number of failures of a tally beyond the baseline and the tolerance for chance.
+func excessFailures(t *tally, baseline float64) float64 {
+	expected := baseline * (t.bad + t.good)
+	return max(t.bad-expected-toleratedDeviations*math.Sqrt(expected+0.25), 0)
 }
 
-// sortFailed works out which shares endpoints fail of each class, if that is due. The lock is held.
-func (f *Failures) sortFailed(now time.Time) {
-	if f.failed != nil && now.Sub(f.failedAt) < usualInterval {
+// updateShares recomputes shares once baselineInterval has passed. The caller holds the lock.
+func (f *Failures) updateShares(now time.Time) {
+	if f.shares != nil && now.Sub(f.sharesAt) < baselineInterval {
 		return
 	}
-	f.failed, f.failedAt = make(map[keys.Class][]float64), now
-	for work, t := range f.tallies.byKey {
-		t.decay(now, failureTime)
-		f.failed[work.Class] = append(f.failed[work.Class], t.bad/(t.bad+t.good+1))
+	f.shares, f.sharesAt = make(map[keys.Class][]float64), now
+	for key, t := range f.tallies.byKey {
+		t.decay(now, failureHalfLife)
+		f.shares[key.Class] = append(f.shares[key.Class], t.bad/(t.bad+t.good+1))
 	}
-	for _, failed := range f.failed {
+	for _, failed := range f.shares {
 		slices.Sort(failed)
 	}
 }
 
-// usualShare returns which share fails as a rule, if some of a number of endpoints fail shares, the smallest first, and the
-// others none: the mean of those that fail the least.
-func usualShare(failed []float64, endpoints int) float64 {
-	least := int(math.Ceil(usualPart * float64(endpoints)))
+// baselineShare returns the mean failed share of the endpoints that fail the least. Failed holds the shares of some
+// of the endpoints in ascending order; the others fail nothing.
+func baselineShare(failed []float64, endpoints int) float64 {
+	least := int(math.Ceil(baselinePart * float64(endpoints)))
 	others := max(endpoints-len(failed), 0)
 	sum := 0.0
 	for _, share := range failed[:min(max(least-others, 0), len(failed))] {
@@ -129,10 +130,10 @@
 	return sum / float64(max(least, 1))
 }
 
-// Forget forgets an endpoint that has started again.
+// Forget removes the record of an endpoint that has restarted.
 func (f *Failures) Forget(endpoint keys.Endpoint) {
-	f.tallies.forget(func(work EndpointClass) bool { return work.Endpoint == endpoint })
+	f.tallies.removeMatching(func(key EndpointClass) bool { return key.Endpoint == endpoint })
 }
 
-// Expire forgets what has lost its weight. It is called about once a second.
+// Expire removes records whose weight has decayed. It is called about once a second.
 func (f *Failures) Expire() { f.tallies.expire() }
--- a/internal/front/pushback/failures_test.go
+++ b/internal/front/pushback/failures_test.go
@@ -10,36 +10,36 @@
 	"oxbowslip.dev/oxbowslip/internal/front/keys"
 )
 
-// TestFailures has endpoints fail requests of one class. The endpoints that are not listed fail none.
+// TestFailures has endpoints fail requests of one class. Endpoints that are not listed fail none.
 func TestFailures(t *testing.T) {
 	type counted struct{ failed, answered uint }
 	tests := map[string]struct {
 		of        int
 		endpoints map[keys.Endpoint]counted
 		after     time.Duration
-		// least and most bound what endpoint 1 is expected to fail beyond the usual.
+		// least and most bound the expected excess of endpoint 1.
 		least, most float64
 	}{
-		"one failure alone":           {9, map[keys.Endpoint]counted{1: {1, 0}}, 0, 0, 0},
-		"two in a row":                {9, map[keys.Endpoint]counted{1: {2, 0}}, 0, 0.2, 0.5},
-		"all":                         {9, map[keys.Endpoint]counted{1: {20, 0}}, 0, 0.9, 1},
-		"half":                        {9, map[keys.Endpoint]counted{1: {20, 20}}, 0, 0.4, 0.5},
-		"one in a hundred":            {9, map[keys.Endpoint]counted{1: {1, 99}}, 0, 0, 0},
-		"two of three fail all":       {3, map[keys.Endpoint]counted{1: {20, 0}, 2: {20, 0}}, 0, 0.9, 1},
-		"half of the endpoints do":    {8, map[keys.Endpoint]counted{1: {20, 0}, 2: {20, 0}, 3: {20, 0}, 4: {20, 0}}, 0, 0.9, 1},
-		"all endpoints fail all":      {3, map[keys.Endpoint]counted{1: {20, 0}, 2: {20, 0}, 3: {20, 0}}, 0, 0, 0.01},
-		"all fail as much":            {3, map[keys.Endpoint]counted{1: {5, 20}, 2: {5, 20}, 3: {5, 20}}, 0, 0, 0},
-		"all fail some, one all":      {3, map[keys.Endpoint]counted{1: {25, 0}, 2: {5, 20}, 3: {5, 20}}, 0, 0.4, 0.8},
-		"forgotten in the end":        {9, map[keys.Endpoint]counted{1: {20, 0}}, time.Minute, 0, 0},
-		"less sure after a while":     {9, map[keys.Endpoint]counted{1: {20, 0}}, 2 * failureTime, 0.4, 0.8},
-		"another endpoint fails some": {9, map[keys.Endpoint]counted{2: {20, 0}}, 0, 0, 0},
+		"one failure alone":              {9, map[keys.Endpoint]counted{1: {1, 0}}, 0, 0, 0},
+		"two in a row":                   {9, map[keys.Endpoint]counted{1: {2, 0}}, 0, 0.2, 0.5},
+		"all":                            {9, map[keys.Endpoint]counted{1: {20, 0}}, 0, 0.9, 1},
+		"half":                           {9, map[keys.Endpoint]counted{1: {20, 20}}, 0, 0.4, 0.5},
+		"one in a hundred":               {9, map[keys.Endpoint]counted{1: {1, 99}}, 0, 0, 0},
+		"two of three fail all":          {3, map[keys.Endpoint]counted{1: {20, 0}, 2: {20, 0}}, 0, 0.9, 1},
+		"half of the endpoints fail all": {8, map[keys.Endpoint]counted{1: {20, 0}, 2: {20, 0}, 3: {20, 0}, 4: {20, 0}}, 0, 0.9, 1},
+		"all endpoints fail all":         {3, map[keys.Endpoint]counted{1: {20, 0}, 2: {20, 0}, 3: {20, 0}}, 0, 0, 0.01},
+		"all fail the same share":        {3, map[keys.Endpoint]counted{1: {5, 20}, 2: {5, 20}, 3: {5, 20}}, 0, 0, 0},
+		"all fail some, one all":         {3, map[keys.Endpoint]counted{1: {25, 0}, 2: {5, 20}, 3: {5, 20}}, 0, 0.4, 0.8},
+		"failures expire":                {9, map[keys.Endpoint]counted{1: {20, 0}}, time.Minute, 0, 0},
+		"failures lose weight with age":  {9, map[keys.Endpoint]counted{1: {20, 0}}, 2 * failureHalfLife, 0.4, 0.8},
+		"another endpoint fails some":    {9, map[keys.Endpoint]counted{2: {20, 0}}, 0, 0, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			now := time.Unix(1000, 0)
 			f := NewFailures(func() time.Time { return now })
-			c.Check(f.Count(EndpointClass{Endpoint: 1}, 0, 5), qt.IsFalse, qt.Commentf("nothing has failed"))
+			c.Check(f.Count(EndpointClass{Endpoint: 1}, 0, 5), qt.IsFalse, qt.Commentf("no request has failed"))
 			for endpoint, n := range test.endpoints {
 				c.Check(f.Count(EndpointClass{Endpoint: endpoint}, n.failed, n.answered), qt.IsTrue)
 			}
@@ -54,22 +54,24 @@
 	}
 }
 
-// TestClassesThatFailApart has an endpoint fail one class and answer another: each is expected to go on so.
-func TestClassesThatFailApart(t *testing.T) {
+// TestClassesFailIndependently has an endpoint fail one class and answer another. The expectation for each class must
+// follow its own record.
+func TestClassesFailIndependently(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	f := NewFailures(func() time.Time { return now })
 	f.Count(EndpointClass{Endpoint: 1, Class: 1}, 20, 0)
 	untried := f.Excess(EndpointClass{Endpoint: 1, Class: 2}, 9)
-	c.Check(untried > 0.5, qt.IsTrue, qt.Commentf("%v: what is not known of a class is taken from others", untried))
+	c.Check(untried > 0.5, qt.IsTrue, qt.Commentf("%v: a class without a record should inherit that of other classes", untried))
 	f.Count(EndpointClass{Endpoint: 1, Class: 2}, 1, 40)
-	now = now.Add(usualInterval)
+	now = now.Add(baselineInterval)
 	c.Check(f.Excess(EndpointClass{Endpoint: 1, Class: 2}, 9) < 0.05, qt.IsTrue)
 	c.Check(f.Excess(EndpointClass{Endpoint: 1, Class: 1}, 9) > 0.8, qt.IsTrue)
 }
 
-// TestFailuresByChance has each endpoint fail one request in seven: few look worse than the others, and little.
-func TestFailuresByChance(t *testing.T) {
+// TestChanceFailuresAreTolerated has each endpoint fail one request in seven at random: the mean excess must stay
+// below 1%.
+func TestChanceFailuresAreTolerated(t *testing.T) {
 	c := qt.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	now := time.Unix(1000, 0)
@@ -78,7 +80,7 @@
 	for n := range 20_000 {
 		now = now.Add(75 * time.Millisecond)
 		work := EndpointClass{Endpoint: keys.Endpoint(random.IntN(4))}
-		failed, answered := oneOf(random.IntN(7) == 0)
+		failed, answered := countOf(random.IntN(7) == 0)
 		f.Count(work, failed, answered)
 		if n%100 == 0 {
 			f.Expire()
@@ -89,7 +91,7 @@
 	c.Check(sum/float64(looks) < 0.01, qt.IsTrue, qt.Commentf("%v", sum/float64(looks)))
 }
 
-// BenchmarkExcess is what placement pays for each endpoint that it compares while some fail.
+// BenchmarkExcess measures the cost for each endpoint that placement compares while some endpoints fail.
 func BenchmarkExcess(b *testing.B) {
 	f := NewFailures(time.Now)
 	for endpoint := range keys.Endpoint(45) {
--- a/internal/front/pushback/limits.go
+++ b/internal/front/pushback/limits.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	// highestLimit is the highest limit in requests a second that counts as one: no endpoint takes more.
-	highestLimit = 1e6
-	// limitTimeout is how long a limit holds that no answer has named since: long enough for the slowest limit to be
-	// named again by the answer to the request that it allows.
+	// maxPerSecond is the highest limit, in requests a second, that is accepted: no endpoint takes more.
+	maxPerSecond = 1e6
+	// limitTimeout is how long a limit holds after an answer last named it. The slowest limit must not expire before
+	// the answer to the one request that it allows names it again.
 	limitTimeout = time.Minute
-	// maxLimits bounds the endpoints whose limits are known: a faulty peer may name any.
+	// maxLimits bounds the number of limits, since a faulty peer may send limits of any endpoints.
 	maxLimits = 4096
 )
 
-// errNoLimit: a text is not a number of requests a second.
-var errNoLimit = merry.Sentinel("no number of requests a second")
+// errNoLimit is the error for a text that is not a limit.
+var errNoLimit = merry.Sentinel("limit is not a number of requests a second between 0 and 1e6")
 
-// Limit is how many requests a second an endpoint takes from all hosts together. The zero value is none.
+// Limit is the number of requests a second that an endpoint takes from all hosts together. The zero value is no
+// limit.
 type Limit struct {
 	_ struct{} `cbor:",toarray"`
 
-	// IsSet is set if there is a limit. One of 0 a second asks for no requests at all.
+	// IsSet is set if there is a limit. A limit of 0 requests a second allows none.
 	IsSet     bool
 	PerSecond float64
 }
 
-// ParseLimit returns the limit that a text names, in requests a second. It fails for a text that names none: empty,
-// negative, not a finite number, or so high that it bounds nothing.
+// ParseLimit parses a limit in requests a second. It fails for a text that is empty, negative, not a finite number,
+// or above maxPerSecond.
 func ParseLimit(text string) (Limit, error) {
 	rate, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil {
@@ -47,12 +48,12 @@
 	return limit, nil
 }
 
-// isValid reports whether a limit can be one, or is none.
+// isValid reports whether a limit is unset or within the accepted range.
 func (l Limit) isValid() bool {
-	return !l.IsSet || (!math.IsNaN(l.PerSecond) && l.PerSecond >= 0 && l.PerSecond <= highestLimit)
+	return !l.IsSet || (!math.IsNaN(l.PerSecond) && l.PerSecond >= 0 && l.PerSecond <= maxPerSecond)
 }
 
-// rate returns the limit as a number that can be compared: none is above all.
+// rate returns the limit as a comparable number; no limit is infinite.
 func (l Limit) rate() float64 {
 	if !l.IsSet {
 		return math.Inf(1)
@@ -60,34 +61,34 @@
 	return l.PerSecond
 }
 
-// knownLimit is the limit of one start of an endpoint.
+// knownLimit is the limit of one instance of an endpoint.
 type knownLimit struct {
 	version string
 	limit   Limit
-	// namedAt is when an answer last named the limit, loosenedAt when it was last raised or ended.
+	// namedAt is when an answer last named the limit, loosenedAt when the limit was last raised or removed.
 	namedAt    time.Time
 	loosenedAt time.Time
 }
 
-// Limits holds the limits that endpoints have named, each for one start of its endpoint. A stricter limit holds at once. A
-// looser one, or none, holds only if the answer that says so is to a request that was sent after the stricter was named:
-// answers overtake each other. It is safe for concurrent use.
+// Limits holds the limits that endpoints have named, each for one instance of its endpoint. Answers may arrive out of
+// order: a stricter limit takes effect immediately, while a looser one, or none, takes effect only if its request was
+// sent after the stricter limit was named. Limits is safe for concurrent use.
 type Limits struct {
 	clock func() time.Time
 
 	mu   sync.Mutex
 	byID map[string]*knownLimit
-	// known is their number, so that a question costs nothing while no endpoint has a limit.
-	known atomic.Int64
+	// size is the number of limits, so that lookups cost nothing while no endpoint has one.
+	size atomic.Int64
 }
 
-// NewLimits returns a table in which no endpoint has a limit.
+// NewLimits returns a table without limits.
 func NewLimits(clock func() time.Time) *Limits {
 	return &Limits{clock: clock, byID: make(map[string]*knownLimit)}
 }
 
-// Note takes the limit that an answer names, or that it names none. SentAt is when the request was sent that was answered.
-// It reports whether that changes what is known.
+// Note records the limit that an answer names, or that it names none. SentAt is when the answered request was sent.
+// It reports whether the endpoint's limit changed.
 func (l *Limits) Note(endpoint Instance, limit Limit, sentAt time.Time) bool {
 	if (!limit.IsSet && !l.Any()) || !limit.isValid() {
 		return false
@@ -97,7 +98,7 @@
 	now := l.clock()
 	known, ok := l.byID[endpoint.ID]
 	if !ok || known.version != endpoint.Version {
-		return l.begin(endpoint, limit, now)
+		return l.add(endpoint, limit, now)
 	}
 	switch {
 	case limit.rate() == known.limit.rate():
@@ -119,8 +120,8 @@
 	return true
 }
 
-// begin notes the first limit of a start of an endpoint. The lock is held.
-func (l *Limits) begin(endpoint Instance, limit Limit, now time.Time) bool {
+// add records the first limit of an instance. The caller holds the lock.
+func (l *Limits) add(endpoint Instance, limit Limit, now time.Time) bool {
 	if !limit.IsSet {
 		return false
 	}
@@ -128,13 +129,13 @@
 		if len(l.byID) >= maxLimits {
 			return false
 		}
-		l.known.Add(1)
+		l.size.Add(1)
 	}
 	l.byID[endpoint.ID] = &knownLimit{version: endpoint.Version, limit: limit, namedAt: now}
 	return true
 }
 
-// Get returns the limit of an endpoint, which may be none.
+// Get returns the limit of an endpoint; it is unset if there is none.
 func (l *Limits) Get(endpoint Instance) Limit {
 	if !l.Any() {
 		return Limit{}
@@ -147,10 +148,10 @@
 	return Limit{}
 }
 
-// Any reports whether the limit of any endpoint is known.
-func (l *Limits) Any() bool { return l.known.Load() > 0 }
+// Any reports whether any limit is recorded.
+func (l *Limits) Any() bool { return l.size.Load() > 0 }
 
-// Notice returns what is known of an endpoint, for a peer.
+// Notice returns the limit of an endpoint as a message to a peer.
 func (l *Limits) Notice(endpoint Instance) LimitNotice {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,7 +162,7 @@
 	return notice
 }
 
-// All returns the endpoints that have a limit.
+// All returns the limits that are set.
 func (l *Limits) All() map[Instance]Limit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -174,7 +175,7 @@
 	return all
 }
 
-// Expire forgets limits that no answer has named for long. It is called about once a second.
+// Expire removes limits that no answer has named within limitTimeout. It is called about once a second.
 func (l *Limits) Expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -182,7 +183,7 @@
 	for id, known := range l.byID {
 		if now.Sub(known.namedAt) > limitTimeout {
 			delete(l.byID, id)
-			l.known.Add(-1)
+			l.size.Add(-1)
 		}
 	}
 }
--- a/internal/front/pushback/limits_test.go
+++ b/internal/front/pushback/limits_test.go
@@ -13,17 +13,17 @@
 		want float64
 		ok   bool
 	}{
-		"whole":       {"3", 3, true},
-		"a fraction":  {"0.25", 0.25, true},
-		"with blanks": {" 2 ", 2, true},
-		"none at all": {"0", 0, true},
-		"empty":       {"", 0, false},
-		"a text":      {"few", 0, false},
-		"with a unit": {"3/s", 0, false},
-		"negative":    {"-1", 0, false},
-		"no number":   {"NaN", 0, false},
-		"infinite":    {"Inf", 0, false},
-		"huge":        {"1e300", 0, false},
+		"whole":         {"3", 3, true},
+		"a fraction":    {"0.25", 0.25, true},
+		"with blanks":   {" 2 ", 2, true},
+		"zero a second": {"0", 0, true},
+		"empty":         {"", 0, false},
+		"a word":        {"few", 0, false},
+		"with a unit":   {"3/s", 0, false},
+		"negative":      {"-1", 0, false},
+		"not a number":  {"NaN", 0, false},
+		"infinite":      {"Inf", 0, false},
+		"huge":          {"1e300", 0, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -43,12 +43,11 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		limit, err := ParseLimit(text)
 		if limit.IsSet == (err != nil) || !limit.isValid() {
-			t.Errorf("%q is read as %v, %v", text, limit, err)
+			t.Errorf("%q was parsed as %v, %v", text, limit, err)
 		}
 	})
 }
 
-// perSecond returns a limit.
 func perSecond(rate float64) Limit { return Limit{IsSet: true, PerSecond: rate} }
 
 // TestLimits has answers arrive in and out of order. Times are in seconds.
@@ -61,19 +60,19 @@
 		answers []answer
 		want    Limit
 	}{
-		"none":                          {[]answer{{0, 1, Limit{}}}, Limit{}},
-		"one":                           {[]answer{{0, 1, perSecond(2)}}, perSecond(2)},
-		"named again":                   {[]answer{{0, 1, perSecond(2)}, {1, 2, perSecond(2)}}, perSecond(2)},
-		"lowered":                       {[]answer{{0, 1, perSecond(2)}, {0, 2, perSecond(1)}}, perSecond(1)},
-		"raised":                        {[]answer{{0, 1, perSecond(2)}, {1, 2, perSecond(4)}}, perSecond(4)},
-		"raised by an older answer":     {[]answer{{0, 2, perSecond(2)}, {1, 3, perSecond(4)}}, perSecond(2)},
-		"ended":                         {[]answer{{0, 1, perSecond(2)}, {1, 2, Limit{}}}, Limit{}},
-		"ended by an older answer":      {[]answer{{0, 2, perSecond(2)}, {1, 3, Limit{}}}, perSecond(2)},
-		"revived by an older answer":    {[]answer{{0, 1, perSecond(2)}, {1, 4, Limit{}}, {3, 5, perSecond(2)}}, Limit{}},
-		"named anew":                    {[]answer{{0, 1, perSecond(2)}, {1, 4, Limit{}}, {4, 5, perSecond(2)}}, perSecond(2)},
-		"none at all":                   {[]answer{{0, 1, perSecond(0)}}, perSecond(0)},
-		"not named for long":            {[]answer{{0, 1, perSecond(2)}, {90, 91, Limit{}}}, Limit{}},
-		"not named for long, unrelated": {[]answer{{0, 1, perSecond(2)}, {59, 60, perSecond(2)}}, perSecond(2)},
+		"none":                                   {[]answer{{0, 1, Limit{}}}, Limit{}},
+		"one":                                    {[]answer{{0, 1, perSecond(2)}}, perSecond(2)},
+		"named again":                            {[]answer{{0, 1, perSecond(2)}, {1, 2, perSecond(2)}}, perSecond(2)},
+		"lowered":                                {[]answer{{0, 1, perSecond(2)}, {0, 2, perSecond(1)}}, perSecond(1)},
+		"raised":                                 {[]answer{{0, 1, perSecond(2)}, {1, 2, perSecond(4)}}, perSecond(4)},
+		"raised by an older answer":              {[]answer{{0, 2, perSecond(2)}, {1, 3, perSecond(4)}}, perSecond(2)},
+		"ended":                                  {[]answer{{0, 1, perSecond(2)}, {1, 2, Limit{}}}, Limit{}},
+		"ended by an older answer":               {[]answer{{0, 2, perSecond(2)}, {1, 3, Limit{}}}, perSecond(2)},
+		"named by an older answer after its end": {[]answer{{0, 1, perSecond(2)}, {1, 4, Limit{}}, {3, 5, perSecond(2)}}, Limit{}},
+		"named anew":                             {[]answer{{0, 1, perSecond(2)}, {1, 4, Limit{}}, {4, 5, perSecond(2)}}, perSecond(2)},
+		"zero requests a second":                 {[]answer{{0, 1, perSecond(0)}}, perSecond(0)},
+		"expired after a minute":                 {[]answer{{0, 1, perSecond(2)}, {90, 91, Limit{}}}, Limit{}},
+		"named again before it expires":          {[]answer{{0, 1, perSecond(2)}, {59, 60, perSecond(2)}}, perSecond(2)},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -94,8 +93,9 @@
 	}
 }
 
-// TestALimitIsOfOneStart has an endpoint start again without one.
-func TestALimitIsOfOneStart(t *testing.T) {
+// TestLimitHoldsForOneInstance has an endpoint restart without a limit: the limit of the earlier instance must not
+// apply.
+func TestLimitHoldsForOneInstance(t *testing.T) {
 	c := qt.New(t)
 	limits := NewLimits(time.Now)
 	limits.Note(instance, perSecond(2), time.Time{})
--- a/internal/front/pushback/messages.go
+++ b/internal/front/pushback/messages.go
@@ -11,51 +11,51 @@
 	_ struct{} `cbor:",toarray"`
 
 	ID string
-	// Version is that of the endpoint's entry.
+	// Version is the version of the endpoint's directory entry.
 	Version string
 }
 
-// Leaving is a message to peers: endpoints that have said that they leave.
+// Leaving is a message to peers: endpoints that have reported that they are leaving.
 type Leaving struct {
 	_ struct{} `cbor:",toarray"`
 
 	Endpoints []Instance
 }
 
-// Limited is a message to peers: limits that endpoints have named, or name no more.
+// Limited is a message to peers: limits that endpoints have named or no longer name.
 type Limited struct {
 	_ struct{} `cbor:",toarray"`
 
 	Notices []LimitNotice
 }
 
-// LimitNotice is the limit of an endpoint as a host knows it.
+// LimitNotice is the limit of an endpoint as the sender has recorded it.
 type LimitNotice struct {
 	_ struct{} `cbor:",toarray"`
 
 	Endpoint Instance
 	Limit    Limit
-	// Age is how long before the message the request was sent whose answer said so.
+	// Age is the time since the request was sent whose answer named the limit.
 	Age time.Duration
 }
 
-// Rejected is a message to peers: what endpoints have rejected and taken at the sender since its last message. What one
-// endpoint has taken is in it only while it has rejected something lately.
+// Rejected is a message to peers: the requests that endpoints have rejected and taken at the sender since its last
+// message. Requests taken by an endpoint are listed only while the sender has a recent rejection of it.
 type Rejected struct {
 	_ struct{} `cbor:",toarray"`
 
 	Endpoints []RejectedCount
 }
 
-// Failed is a message to peers: what endpoints have failed and answered at the sender since its last message. What is
-// answered is in it only while requests of that class have failed there lately.
+// Failed is a message to peers: the requests that endpoints have failed and answered at the sender since its last
+// message. Answered requests are listed only while the sender has a recent failure of the same endpoint and class.
 type Failed struct {
 	_ struct{} `cbor:",toarray"`
 
 	Counts []FailedCount
 }
 
-// FailedCount is what one endpoint has failed and answered of a class, in requests.
+// FailedCount is the number of requests of a class that one endpoint has failed and answered.
 type FailedCount struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -64,7 +64,7 @@
 	Answered uint
 }
 
-// RejectedCount is what one endpoint has rejected and taken, in requests.
+// RejectedCount is the number of requests that one endpoint has rejected and taken.
 type RejectedCount struct {
 	_ struct{} `cbor:",toarray"`
 
--- a/internal/front/pushback/outbox.go
+++ b/internal/front/pushback/outbox.go
@@ -12,39 +12,41 @@
 )
 
 const (
-	// announceInterval is the mean time between two announcements of endpoints that leave, announceRepeats how often
-	// each is announced after the first time: datagrams may be lost, 1 in 40 on a bad day of mfs-kochi. All are sent well
-	// within the two seconds in which the users expect that an endpoint that leaves gets no more work.
+	// announceInterval is the mean time between two announcements of the same update, announceRepeats the number of
+	// repetitions after the first one. Datagrams may be lost, up to 1 in 40 in production. All announcements are sent
+	// well within the 2 s in which a leaving endpoint must stop getting new work.
 	announceInterval = 400 * time.Millisecond
 	announceRepeats  = 2
-	// leastCountPace and countPacePerHost are the time between two messages with counts of one host: short against the
-	// time for which they count in a small fleet, and so long in a large one that a host sends the same to all together.
-	leastCountPace   = 200 * time.Millisecond
-	countPacePerHost = 25 * time.Millisecond
-	// mostLeaving, mostLimits, mostCounts and mostFailures bound the endpoints of one message, so that it fits into a
-	// datagram: each takes 9 KB at most (TestMessageBytes).
-	mostLeaving  = 128
-	mostLimits   = 96
-	mostCounts   = 512
-	mostFailures = 384
-	// greeters is how many hosts let a newcomer know what endpoints have said: some may have just joined themselves.
-	greeters = 3
-	// mostCounted bounds what one message can say of an endpoint, so that a faulty one has no more weight than a burst.
-	mostCounted = 1000
+	// minCountInterval and countIntervalPerHost determine the time between two messages with counts of one host. In a
+	// small fleet it is short against the half-life of the counts. It grows with the fleet, so that the bytes that a
+	// host sends to all peers together stay the same.
+	minCountInterval     = 200 * time.Millisecond
+	countIntervalPerHost = 25 * time.Millisecond
+	// These limits keep a message within a datagram: a full one takes 9 KB at most (TestMessageBytes).
+	maxLeavingPerMessage    = 128
+	maxLimitsPerMessage     = 96
+	maxRejectionsPerMessage = 512
+	maxFailuresPerMessage   = 384
+	// stateSenders is the number of hosts that send the current state to a host that joins, since some of them may
+	// have just joined themselves.
+	stateSenders = 3
+	// maxReportedCount bounds the counts that are accepted from one message, so that a faulty one has no more weight
+	// than a burst of requests.
+	maxReportedCount = 1000
 )
 
-// outbox is what is still to be sent to peers.
+// outbox holds the updates that are still to be sent to peers.
 type outbox struct {
 	leaving *announce.List[Instance]
-	limits  *announce.List[limitNews]
-	// newcomers are hosts that have joined, and learn all of it.
-	newcomers *announce.List[envelope.Sender]
-	rejected  counts[keys.Endpoint]
-	failed    counts[EndpointClass]
+	limits  *announce.List[limitUpdate]
+	// joined are hosts that have joined and are still to be sent the current state.
+	joined   *announce.List[envelope.Sender]
+	rejected counts[keys.Endpoint]
+	failed   counts[EndpointClass]
 }
 
-// limitNews is a limit that has changed.
-type limitNews struct {
+// limitUpdate is a limit that has changed.
+type limitUpdate struct {
 	endpoint Instance
 	limit    Limit
 	sentAt   time.Time
@@ -52,20 +54,20 @@
 
 func newOutbox() outbox {
 	return outbox{
-		leaving: announce.New[Instance](announceRepeats), limits: announce.New[limitNews](announceRepeats),
-		newcomers: announce.New[envelope.Sender](announceRepeats), rejected: make(counts[keys.Endpoint]), failed: make(counts[EndpointClass]),
+		leaving: announce.New[Instance](announceRepeats), limits: announce.New[limitUpdate](announceRepeats),
+		joined: announce.New[envelope.Sender](announceRepeats), rejected: make(counts[keys.Endpoint]), failed: make(counts[EndpointClass]),
 	}
 }
 
-// isEmpty reports whether nothing is to be announced again.
+// isEmpty reports whether no announcement is left to send.
 func (o *outbox) isEmpty() bool {
-	return o.leaving.IsEmpty() && o.limits.IsEmpty() && o.newcomers.IsEmpty()
+	return o.leaving.IsEmpty() && o.limits.IsEmpty() && o.joined.IsEmpty()
 }
 
-// counts are requests that went badly and well and were not sent to peers yet.
+// counts are failed or rejected requests, and successful ones, that have not been sent to peers yet.
 type counts[K comparable] map[K]count
 
-// count is how many requests went badly and well.
+// count is the number of bad (failed or rejected) and good requests.
 type count struct{ bad, good uint }
 
 func (c counts[K]) add(key K, bad, good uint) {
@@ -75,17 +77,17 @@
 	c[key] = sum
 }
 
-// take returns what was not sent yet.
+// take returns the counts and clears them.
 func (c counts[K]) take() counts[K] {
 	taken := maps.Clone(c)
 	clear(c)
 	return taken
 }
 
-// Run sends what peers have to know until done is closed: what is announced at once, and again after a while; counts at
-// once, but for a pause after the last.
+// Run sends updates to peers until done is closed. Announcements are sent immediately and repeated; counts are sent
+// immediately, or after a pause if some were sent just before.
 func (t *Tracker) Run(done <-chan struct{}) {
-	// again is nil while nothing has to be announced again, paused while counts may be sent.
+	// again is nil while no announcement is left to repeat, paused is nil while counts may be sent.
 	var again, paused <-chan time.Time
 	for {
 		counted := t.counted
@@ -93,8 +95,8 @@
 			counted = nil
 		}
 		select {
-		case <-t.news:
-			t.announceFresh()
+		case <-t.updated:
+			t.announceUnsent()
 			if again == nil {
 				again = t.after(announceInterval)
 			}
@@ -105,7 +107,7 @@
 			}
 		case <-counted:
 			t.sendCounts()
-			paused = t.after(max(leastCountPace, time.Duration(t.parts.Peers.Hosts())*countPacePerHost))
+			paused = t.after(max(minCountInterval, time.Duration(t.parts.Peers.Hosts())*countIntervalPerHost))
 		case <-paused:
 			paused = nil
 		case <-done:
@@ -114,34 +116,35 @@
 	}
 }
 
-// after returns what receives after a time, spread around its mean.
+// after returns a channel that fires after a randomized delay with the given mean.
 func (t *Tracker) after(mean time.Duration) <-chan time.Time {
 	return time.After(backoff.Spread(mean, 1, t.parts.Random()))
 }
 
-// announceFresh announces what was not announced yet. Newcomers don't know this host yet, and wait.
-func (t *Tracker) announceFresh() {
+// announceUnsent announces the updates that have not been announced yet. Hosts that have just joined do not know this
+// host yet, and get the state later.
+func (t *Tracker) announceUnsent() {
 	t.mu.Lock()
 	leaving, limits := t.outbox.leaving.Unsent(), t.outbox.limits.Unsent()
 	t.mu.Unlock()
 	t.send(leaving, t.notices(limits), t.parts.Peers.Broadcast)
 }
 
-// announceAll announces all once more, and reports whether something has to be announced again.
+// announceAll repeats all announcements, and reports whether some are left to be repeated again.
 func (t *Tracker) announceAll() (again bool) {
 	t.mu.Lock()
-	leaving, limits, newcomers := t.outbox.leaving.All(), t.outbox.limits.All(), t.outbox.newcomers.All()
+	leaving, limits, joined := t.outbox.leaving.All(), t.outbox.limits.All(), t.outbox.joined.All()
 	again = !t.outbox.isEmpty()
 	t.mu.Unlock()
 	t.send(leaving, t.notices(limits), t.parts.Peers.Broadcast)
-	for _, newcomer := range newcomers {
-		t.greet(newcomer)
+	for _, host := range joined {
+		t.sendState(host)
 	}
 	return again
 }
 
-// greet sends a host that has joined what endpoints have said.
-func (t *Tracker) greet(newcomer envelope.Sender) {
+// sendState sends the leaving endpoints and all limits to a host that has joined.
+func (t *Tracker) sendState(joined envelope.Sender) {
 	var leaving []Instance
 	for id, version := range t.parts.Directory.SaidLeaving() {
 		leaving = append(leaving, Instance{ID: id, Version: version})
@@ -150,11 +153,11 @@
 	for endpoint := range t.parts.Limits.All() {
 		limits = append(limits, t.parts.Limits.Notice(endpoint))
 	}
-	t.send(leaving, limits, func(kind envelope.Kind, message any) { t.parts.Peers.SendTo(newcomer.Host, kind, message) })
+	t.send(leaving, limits, func(kind envelope.Kind, message any) { t.parts.Peers.SendTo(joined.Host, kind, message) })
 }
 
-// notices returns limits that have changed as peers are sent them.
-func (t *Tracker) notices(limits []limitNews) []LimitNotice {
+// notices converts limits that have changed to messages.
+func (t *Tracker) notices(limits []limitUpdate) []LimitNotice {
 	now := t.parts.Clock()
 	notices := make([]LimitNotice, 0, len(limits))
 	for _, n := range limits {
@@ -163,17 +166,17 @@
 	return notices
 }
 
-// send sends what endpoints say in messages that fit into a datagram.
+// send sends leaving endpoints and limits in messages that fit into a datagram.
 func (t *Tracker) send(leaving []Instance, limits []LimitNotice, send func(kind envelope.Kind, message any)) {
-	for batch := range slices.Chunk(leaving, mostLeaving) {
+	for batch := range slices.Chunk(leaving, maxLeavingPerMessage) {
 		send(envelope.KindLeaving, &Leaving{Endpoints: batch})
 	}
-	for batch := range slices.Chunk(limits, mostLimits) {
+	for batch := range slices.Chunk(limits, maxLimitsPerMessage) {
 		send(envelope.KindLimits, &Limited{Notices: batch})
 	}
 }
 
-// sendCounts sends what endpoints have rejected, failed and taken.
+// sendCounts sends the requests that endpoints have rejected, failed and taken since the last message.
 func (t *Tracker) sendCounts() {
 	t.mu.Lock()
 	rejected, failed := t.outbox.rejected.take(), t.outbox.failed.take()
@@ -182,14 +185,14 @@
 	for endpoint, c := range rejected {
 		rejections = append(rejections, RejectedCount{Endpoint: endpoint, Rejected: c.bad, Taken: c.good})
 	}
-	for batch := range slices.Chunk(rejections, mostCounts) {
+	for batch := range slices.Chunk(rejections, maxRejectionsPerMessage) {
 		t.parts.Peers.Broadcast(envelope.KindRejections, &Rejected{Endpoints: batch})
 	}
 	var failures []FailedCount
-	for work, c := range failed {
-		failures = append(failures, FailedCount{Work: work, Failed: c.bad, Answered: c.good})
+	for key, c := range failed {
+		failures = append(failures, FailedCount{Work: key, Failed: c.bad, Answered: c.good})
 	}
-	for batch := range slices.Chunk(failures, mostFailures) {
+	for batch := range slices.Chunk(failures, maxFailuresPerMessage) {
 		t.parts.Peers.Broadcast(envelope.KindFailures, &Failed{Counts: batch})
 	}
 }
--- a/internal/front/pushback/pushback.go
+++ b/internal/front/pushback/pushback.go
@@ -1,9 +1,11 @@
-// Package pushback takes in what endpoints of oxbowslip-front say of themselves in their answers: that they leave, that they
-// want no requests for a while, that they have rejected or failed one, how many a second they take.
+// Package pushback evaluates what endpoints of oxbowslip-front report about themselves in their answers: that they
+// are leaving, that they want no requests for a time (a rest), that they rejected or failed a request, and how many
+// requests a second they take.
 //
-// It owns the rests that endpoints have asked this host for, the shares of requests that they reject and fail at all hosts, the limits
-// that they have named, and what has to be passed on to peers. It relies on package relay for the answers, on package directory to keep endpoints that leave
-// from new work, and on its owner to reach peers. Package placement asks it before a grant, package owner before a send.
+// It owns the rests that endpoints have asked this host for, the shares of requests that endpoints reject and fail at
+// all hosts, the limits that they have named, and the updates to send to peers. It relies on package relay for the
+// answers, on package directory to keep new work from leaving endpoints, and on its owner to reach peers. Package
+// placement calls it before a grant, package owner before a send.
 package pushback
 
 import (
@@ -15,27 +17,27 @@
 	"oxbowslip.dev/oxbowslip/internal/counters"
 )
 
-// mostRest bounds the rest that one answer asks for, so that a faulty one shuts its endpoint out for no longer.
-// Endpoints of the users ask for 3 s.
-const mostRest = time.Minute
+// maxRest bounds the rest that one answer asks for, so that a faulty answer can't exclude its endpoint for longer.
+// Endpoints in production ask for 3 s.
+const maxRest = time.Minute
 
-// Signal is what the head of an answer says of its endpoint.
+// Signal is what the head of an answer reports about its endpoint.
 type Signal struct {
-	// Leaving is set if the endpoint leaves.
+	// Leaving is set if the endpoint is leaving.
 	Leaving bool
-	// Rejected is set if the endpoint turned the request away for its load.
+	// Rejected is set if the endpoint rejected the request because of its load.
 	Rejected bool
-	// Failed is set if the endpoint failed the request, for a reason other than its load.
+	// Failed is set if the endpoint failed the request for another reason.
 	Failed bool
-	// Rest is for how long the endpoint wants no request from this host; 0 if it does not say.
+	// Rest is how long the endpoint wants no requests from this host, or 0.
 	Rest time.Duration
-	// Limit is how many requests a second the endpoint takes from all hosts, if the answer names that.
+	// Limit is the number of requests a second that the endpoint takes from all hosts, if the answer names one.
 	Limit Limit
-	// MalformedLimit is what the answer names in place of a limit, or empty.
+	// MalformedLimit is the text of a limit that could not be parsed, or empty.
 	MalformedLimit string
 }
 
-// Kinds returns what is counted of the signal.
+// Kinds returns the counters that the signal increments.
 func (s Signal) Kinds() []counters.Signal {
 	var kinds []counters.Signal
 	if s.Leaving {
@@ -59,12 +61,12 @@
 	return kinds
 }
 
-// ParseRest returns the rest that a text in seconds asks for, fractions included, mostRest at the most. It is 0 for a text
-// that is no time: empty, a date, negative, not a finite number.
+// ParseRest parses a rest in seconds, which may have a fraction, and caps it at maxRest. It returns 0 for any other
+// text: empty, a date, a negative or non-finite number.
 func ParseRest(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || math.IsNaN(seconds) || math.IsInf(seconds, 0) || seconds <= 0 {
 		return 0
 	}
-	return time.Duration(min(seconds, mostRest.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, maxRest.Seconds()) * float64(time.Second))
 }
--- a/internal/front/pushback/pushback_test.go
+++ b/internal/front/pushback/pushback_test.go
@@ -14,14 +14,14 @@
 	}{
 		"seconds":            {"3", 3 * time.Second},
 		"a fraction":         {" 0.250 ", 250 * time.Millisecond},
-		"a day":              {"86400", mostRest},
-		"beyond all numbers": {"1e300", mostRest},
+		"a day":              {"86400", maxRest},
+		"above any duration": {"1e300", maxRest},
 		"zero":               {"0", 0},
 		"negative":           {"-1", 0},
 		"nothing":            {"", 0},
-		"a text":             {"soon", 0},
+		"a word":             {"soon", 0},
 		"not a number":       {"NaN", 0},
-		"for ever":           {"Inf", 0},
+		"an infinite time":   {"Inf", 0},
 		"a date":             {"Fri, 31 Dec 2099 23:59:59 GMT", 0},
 	}
 	for name, test := range tests {
@@ -35,6 +35,6 @@
 	f.Add("-Inf")
 	f.Fuzz(func(t *testing.T, text string) {
 		rest := ParseRest(text)
-		qt.Check(t, rest >= 0 && rest <= mostRest, qt.IsTrue)
+		qt.Check(t, rest >= 0 && rest <= maxRest, qt.IsTrue)
 	})
 }
--- a/internal/front/pushback/rejections.go
+++ b/internal/front/pushback/rejections.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// rejectionTime is the time in which what an endpoint has rejected and taken loses half of its weight: longer, and one
-	// that takes requests again waits for them; shorter, and one that doesn't is tried too often.
-	rejectionTime = 3 * time.Second
-	// priorRequests is how many requests an endpoint counts as having taken before anything is known of it, so that one
-	// rejection alone does not shut it out.
+	// rejectionHalfLife is the half-life of the weight of rejected and taken requests. A longer one delays the return
+	// of an endpoint that takes requests again; a shorter one tries an endpoint that still rejects too often.
+	rejectionHalfLife = 3 * time.Second
+	// priorRequests is the number of taken requests that every endpoint is credited with, so that a single rejection
+	// does not exclude it.
 	priorRequests = 1.0
 )
 
-// Rejections learns which share of the requests each endpoint rejects, from the answers to all hosts. It knows the
-// endpoints that have rejected one lately, and nothing of others. It is safe for concurrent use.
+// Rejections learns from the answers to all hosts which share of its requests each endpoint rejects. It keeps records
+// only of endpoints with a recent rejection. It is safe for concurrent use.
 type Rejections struct{ tallies *tallies[keys.Endpoint] }
 
-// NewRejections returns a table in which no endpoint has rejected a request.
+// NewRejections returns a table without rejections.
 func NewRejections(clock func() time.Time) *Rejections {
-	return &Rejections{tallies: newTallies[keys.Endpoint](clock, rejectionTime)}
+	return &Rejections{tallies: newTallies[keys.Endpoint](clock, rejectionHalfLife)}
 }
 
-// Count counts requests that an endpoint has rejected and taken. It reports whether that is worth knowing: what an
-// endpoint takes of which nothing was rejected lately is not.
+// Count counts requests that an endpoint has rejected and taken. It returns false if they need not be reported to
+// peers: the endpoint only took requests, and no recent rejection of it is recorded.
 func (r *Rejections) Count(endpoint keys.Endpoint, rejected, taken uint) bool {
 	return r.tallies.count(endpoint, rejected, taken)
 }
@@ -42,7 +42,7 @@
 // rejectedShare returns the share of requests that an endpoint with a tally is expected to reject.
 func rejectedShare(t tally) float64 { return t.bad / (t.bad + t.good + priorRequests) }
 
-// Shares returns the share of requests that each endpoint is expected to reject which has rejected one lately.
+// Shares returns the expected share for each endpoint with a recent rejection.
 func (r *Rejections) Shares() map[keys.Endpoint]float64 {
 	all := r.tallies.all()
 	shares := make(map[keys.Endpoint]float64, len(all))
@@ -52,10 +52,10 @@
 	return shares
 }
 
-// Forget forgets an endpoint that has started again.
+// Forget removes the record of an endpoint that has restarted.
 func (r *Rejections) Forget(endpoint keys.Endpoint) {
-	r.tallies.forget(func(key keys.Endpoint) bool { return key == endpoint })
+	r.tallies.removeMatching(func(key keys.Endpoint) bool { return key == endpoint })
 }
 
-// Expire forgets what has lost its weight. It is called about once a second.
+// Expire removes records whose weight has decayed. It is called about once a second.
 func (r *Rejections) Expire() { r.tallies.expire() }
--- a/internal/front/pushback/rejections_test.go
+++ b/internal/front/pushback/rejections_test.go
@@ -13,24 +13,24 @@
 	tests := map[string]struct {
 		rejected, taken uint
 		after           time.Duration
-		// least and most bound the share that is expected.
+		// least and most bound the expected share.
 		least, most float64
 	}{
-		"one rejection alone":       {1, 0, 0, 0.5, 0.5},
-		"two":                       {2, 0, 0, 0.66, 0.67},
-		"nine in ten":               {90, 10, 0, 0.85, 0.9},
-		"four in ten":               {40, 60, 0, 0.38, 0.4},
-		"half of it after a while":  {1, 0, rejectionTime, 0.33, 0.34},
-		"much of it lasts longer":   {9, 1, rejectionTime, 0.7, 0.8},
-		"nothing in the end":        {90, 10, time.Minute, 0, 0.01},
-		"the clock has not gone on": {1, 0, -time.Second, 0.5, 0.5},
+		"one rejection alone":              {1, 0, 0, 0.5, 0.5},
+		"two":                              {2, 0, 0, 0.66, 0.67},
+		"nine in ten":                      {90, 10, 0, 0.85, 0.9},
+		"four in ten":                      {40, 60, 0, 0.38, 0.4},
+		"one rejection, a half-life later": {1, 0, rejectionHalfLife, 0.33, 0.34},
+		"nine in ten, a half-life later":   {9, 1, rejectionHalfLife, 0.7, 0.8},
+		"nine in ten, a minute later":      {90, 10, time.Minute, 0, 0.01},
+		"the clock has gone back":          {1, 0, -time.Second, 0.5, 0.5},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			now := time.Unix(1000, 0)
 			r := NewRejections(func() time.Time { return now })
-			c.Check(r.Count(1, 0, 5), qt.IsFalse, qt.Commentf("nothing was rejected"))
+			c.Check(r.Count(1, 0, 5), qt.IsFalse, qt.Commentf("no request was rejected"))
 			c.Check(r.Shares(), qt.HasLen, 0)
 			c.Check(r.Count(1, test.rejected, test.taken), qt.IsTrue)
 			now = now.Add(test.after)
@@ -46,8 +46,9 @@
 	}
 }
 
-// TestAnEndpointComesBack has an endpoint that rejected everything take requests again.
-func TestAnEndpointComesBack(t *testing.T) {
+// TestShareFallsWhenRequestsAreTaken has an endpoint that rejected every request take requests again: its share must
+// fall below 0.3 within 4 s.
+func TestShareFallsWhenRequestsAreTaken(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	r := NewRejections(func() time.Time { return now })
--- a/internal/front/pushback/rests.go
+++ b/internal/front/pushback/rests.go
@@ -8,42 +8,42 @@
 )
 
 const (
-	// restSpread is the part by which a rest is made longer at random, so that hosts that were asked together don't
-	// come back together.
+	// restSpread is the part by which rests are lengthened at random, so that hosts that were asked at the same time
+	// do not resume at the same time.
 	restSpread = 0.1
-	// trialTime is how long one request is out to try an endpoint after its rest, before another may; the first answer
-	// that is no rejection ends the trial. Longer than the targets of plain calls on the users' sites.
-	trialTime = 500 * time.Millisecond
-	// trialLimit is how long after its rest an endpoint that was not asked since counts as any other.
-	trialLimit = 10 * time.Second
+	// trialTimeout is how long the trial request that follows a rest delays a second one. The first answer other than
+	// a rejection ends the trial. It is longer than the latency targets of short requests in production.
+	trialTimeout = 500 * time.Millisecond
+	// trialExpiry is how long after its rest an endpoint without requests is treated like any other again.
+	trialExpiry = 10 * time.Second
 )
 
-// rest is the rest of one start of an endpoint.
+// rest is the rest of one instance of an endpoint.
 type rest struct {
 	version string
 	until   time.Time
-	// triedAt is when the last request was granted after it.
+	// triedAt is when a request was last granted after the rest.
 	triedAt time.Time
 }
 
-// Rests holds the endpoints that want no requests from this host for a while. What an endpoint has asked for is kept to the
-// end, by a clock that goes on while the machine is suspended; after it one request at a time tries the endpoint, until one
-// is answered, as long as there are others. It holds for that start of the endpoint. It is safe for concurrent use.
+// Rests holds the endpoints that want no requests from this host for a time. A rest is kept to its end, by a clock
+// that counts suspended time. After the rest, one request at a time tries the endpoint until one is answered, as long
+// as other endpoints are available. A rest applies to one instance of the endpoint. Rests is safe for concurrent use.
 type Rests struct {
 	clock func() time.Time
-	// random returns numbers from 0 up to 1.
+	// random returns a number in [0, 1).
 	random func() float64
 
 	mu   sync.Mutex
 	byID map[string]*rest
 }
 
-// NewRests returns a table in which no endpoint rests.
+// NewRests returns a table without rests.
 func NewRests(clock func() time.Time, random func() float64) *Rests {
 	return &Rests{clock: clock, random: random, byID: make(map[string]*rest)}
 }
 
-// Begin begins the rest that an endpoint has asked for, or makes it longer. It reports whether the endpoint did not rest.
+// Begin starts the rest that an endpoint has asked for, or extends a running one. It reports whether it started one.
 func (r *Rests) Begin(endpoint Instance, span time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,7 +62,8 @@
 	return begins
 }
 
-// Answered ends the trial of an endpoint that has taken a request. A rest goes on: the request may have been sent before.
+// Answered ends the trial of an endpoint that has taken a request. It does not end a running rest, since the request
+// may have been sent before the rest.
 func (r *Rests) Answered(endpoint Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,8 +80,8 @@
 	return ok && r.clock().Before(known.until)
 }
 
-// Usable returns those of the endpoints that may be granted now, and when the first may be if none may. One that was just
-// granted after its rest is left out as long as others are left: its answer is awaited. The list is not modified.
+// Usable returns the endpoints that may be granted now, and the earliest end of a rest among the others. An endpoint
+// whose trial request is unanswered is left out while others are usable. The list is not modified.
 func (r *Rests) Usable(endpoints []*directory.Entry) (usable []*directory.Entry, next time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,7 +99,7 @@
 			if next.IsZero() || known.until.Before(next) {
 				next = known.until
 			}
-		case now.Sub(known.triedAt) < trialTime:
+		case now.Sub(known.triedAt) < trialTimeout:
 			tried = append(tried, e)
 		default:
 			usable = append(usable, e)
@@ -110,7 +111,7 @@
 	return usable, next
 }
 
-// Granted notes that a request was granted an endpoint: it is the trial of one that has rested.
+// Granted records that a request was granted an endpoint; after a rest, that request is its trial.
 func (r *Rests) Granted(id, version string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,7 +120,7 @@
 	}
 }
 
-// Resting returns the endpoints that rest, with the end of each rest.
+// Resting returns the end of the rest of each resting endpoint.
 func (r *Rests) Resting() map[string]time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,19 +134,19 @@
 	return resting
 }
 
-// Expire forgets the endpoints whose rest has been over for long. It is called about once a second.
+// Expire removes endpoints whose rest ended more than trialExpiry ago. It is called about once a second.
 func (r *Rests) Expire() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
 	for id, known := range r.byID {
-		if now.Sub(known.until) > trialLimit {
+		if now.Sub(known.until) > trialExpiry {
 			delete(r.byID, id)
 		}
 	}
 }
 
-// get returns the rest of an endpoint. The lock is held.
+// get returns the rest of an endpoint. The caller holds the lock.
 func (r *Rests) get(endpoint Instance) (*rest, bool) {
 	known, ok := r.byID[endpoint.ID]
 	return known, ok && known.version == endpoint.Version
--- a/internal/front/pushback/tally.go
+++ b/internal/front/pushback/tally.go
@@ -8,44 +8,45 @@
 )
 
 const (
-	// leastBad is the weight of what went badly below which it is forgotten.
-	leastBad = 0.05
-	// maxTallies bounds the tallies of one kind, some 50 B each: a faulty peer may name any endpoint.
+	// minBadWeight is the weight of bad requests below which a tally is removed.
+	minBadWeight = 0.05
+	// maxTallies bounds the tallies of one kind, of some 50 B each, since a faulty peer may send counts of any
+	// endpoints.
 	maxTallies = 4096
 )
 
-// tally is how many requests went badly and well lately, each with a weight that falls with its age.
+// tally counts recent bad (failed or rejected) and good requests, weighted by age.
 type tally struct {
 	bad, good float64
-	at        time.Time
+	decayedAt time.Time
 }
 
-// decay brings the weights to a time. Half is the time in which they fall by half.
-func (t *tally) decay(now time.Time, half time.Duration) {
-	if passed := now.Sub(t.at); passed > 0 {
-		factor := math.Exp2(-float64(passed) / float64(half))
+// decay reduces the weights to their values at now. HalfLife is the time in which they halve.
+func (t *tally) decay(now time.Time, halfLife time.Duration) {
+	if elapsed := now.Sub(t.decayedAt); elapsed > 0 {
+		factor := math.Exp2(-float64(elapsed) / float64(halfLife))
 		t.bad *= factor
 		t.good *= factor
 	}
-	t.at = now
+	t.decayedAt = now
 }
 
-// tallies holds the tallies of what goes badly at times: of what does not, none is kept. It is safe for concurrent use.
+// tallies holds a tally for each key with a recent bad request. It is safe for concurrent use.
 type tallies[K comparable] struct {
-	clock func() time.Time
-	half  time.Duration
+	clock    func() time.Time
+	halfLife time.Duration
 
 	mu    sync.Mutex
 	byKey map[K]*tally
-	// known is their number, so that a question costs nothing while all goes well.
-	known atomic.Int64
+	// size is the number of tallies, so that lookups cost nothing while there is none.
+	size atomic.Int64
 }
 
-func newTallies[K comparable](clock func() time.Time, half time.Duration) *tallies[K] {
-	return &tallies[K]{clock: clock, half: half, byKey: make(map[K]*tally)}
+func newTallies[K comparable](clock func() time.Time, halfLife time.Duration) *tallies[K] {
+	return &tallies[K]{clock: clock, halfLife: halfLife, byKey: make(map[K]*tally)}
 }
 
-// count counts requests. It reports whether that is worth knowing: what goes well where nothing went badly lately is not.
+// count counts requests. It returns false if there are only good requests and no tally: these are not recorded.
 func (t *tallies[K]) count(key K, bad, good uint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,19 +55,19 @@
 		if bad == 0 || len(t.byKey) >= maxTallies {
 			return false
 		}
-		counted = &tally{at: t.clock()}
+		counted = &tally{decayedAt: t.clock()}
 		t.byKey[key] = counted
-		t.known.Add(1)
+		t.size.Add(1)
 	}
-	counted.decay(t.clock(), t.half)
+	counted.decay(t.clock(), t.halfLife)
 	counted.bad += float64(bad)
 	counted.good += float64(good)
 	return true
 }
 
-// get returns a copy of a tally, brought to now.
+// get returns a copy of a tally with its current weights.
 func (t *tallies[K]) get(key K) (tally, bool) {
-	if t.known.Load() == 0 {
+	if t.size.Load() == 0 {
 		return tally{}, false
 	}
 	t.mu.Lock()
@@ -75,48 +76,48 @@
 	if !ok {
 		return tally{}, false
 	}
-	counted.decay(t.clock(), t.half)
+	counted.decay(t.clock(), t.halfLife)
 	return *counted, true
 }
 
-// all returns copies of all tallies, brought to now.
+// all returns copies of all tallies with their current weights.
 func (t *tallies[K]) all() map[K]tally {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock()
 	copies := make(map[K]tally, len(t.byKey))
 	for key, counted := range t.byKey {
-		counted.decay(now, t.half)
+		counted.decay(now, t.halfLife)
 		copies[key] = *counted
 	}
 	return copies
 }
 
-// forget forgets the tallies whose keys match.
-func (t *tallies[K]) forget(match func(K) bool) {
+// removeMatching removes the tallies whose keys match.
+func (t *tallies[K]) removeMatching(match func(K) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for key := range t.byKey {
 		if match(key) {
-			t.drop(key)
+			t.remove(key)
 		}
 	}
 }
 
-// expire forgets what has lost its weight.
+// expire removes tallies whose bad weight has decayed.
 func (t *tallies[K]) expire() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock()
 	for key, counted := range t.byKey {
-		if counted.decay(now, t.half); counted.bad < leastBad {
-			t.drop(key)
+		if counted.decay(now, t.halfLife); counted.bad < minBadWeight {
+			t.remove(key)
 		}
 	}
 }
 
-// drop forgets a tally. The lock is held.
-func (t *tallies[K]) drop(key K) {
+// remove removes a tally. The caller holds the lock.
+func (t *tallies[K]) remove(key K) {
 	delete(t.byKey, key)
-	t.known.Add(-1)
+	t.size.Add(-1)
 }
--- a/internal/front/pushback/tracker.go
+++ b/internal/front/pushback/tracker.go
@@ -14,15 +14,16 @@
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
 
-// Directory is where the endpoints are known.
+// Directory is the registry of endpoints.
 type Directory interface {
-	// SetLeaving notes that an endpoint has said that it leaves, and reports whether that was not known.
+	// SetLeaving records that an endpoint has reported that it is leaving. It returns false if that was recorded
+	// before.
 	SetLeaving(id, version string) bool
-	// SaidLeaving returns the starts of endpoints that have said that they leave, the version by ID.
+	// SaidLeaving returns the version of each endpoint that has reported that it is leaving, by ID.
 	SaidLeaving() map[string]string
 }
 
-// Peers are the other hosts. A message to them may be lost.
+// Peers reaches the other hosts. Messages may be lost.
 type Peers interface {
 	// Broadcast sends a message to all peers, SendTo to one.
 	Broadcast(kind envelope.Kind, message any)
@@ -33,7 +34,7 @@
 	Senders() []envelope.Sender
 }
 
-// Parts are what a tracker works with.
+// Parts are the dependencies of a Tracker.
 type Parts struct {
 	Directory  Directory
 	Rests      *Rests
@@ -43,64 +44,65 @@
 	Peers      Peers
 	Log        *logrus.Entry
 	Clock      func() time.Time
-	// Random returns numbers from 0 up to 1.
+	// Random returns a number in [0, 1).
 	Random func() float64
 }
 
-// Tracker takes what endpoints say of themselves, and lets peers know of those that leave, name a limit, or reject or fail
-// requests. It is safe for concurrent use.
+// Tracker records what endpoints report in their answers, and informs peers of endpoints that are leaving, name a
+// limit, or reject or fail requests. It is safe for concurrent use.
 type Tracker struct {
 	parts Parts
 
 	mu     sync.Mutex
 	outbox outbox
-	// news and counted wake Run: there is something new to announce, or counts to send.
-	news    chan struct{}
+	// updated wakes Run when there are updates to announce, counted when there are counts to send.
+	updated chan struct{}
 	counted chan struct{}
-	// malformed is set once a malformed limit was logged, so that a faulty endpoint does not fill the log.
-	malformed atomic.Bool
+	// hasLoggedMalformed is set after the first malformed limit was logged, so that a faulty endpoint does not flood
+	// the log.
+	hasLoggedMalformed atomic.Bool
 }
 
-// New returns a tracker that knows nothing.
+// New returns a tracker without records.
 func New(parts Parts) *Tracker {
-	return &Tracker{parts: parts, outbox: newOutbox(), news: make(chan struct{}, 1), counted: make(chan struct{}, 1)}
+	return &Tracker{parts: parts, outbox: newOutbox(), updated: make(chan struct{}, 1), counted: make(chan struct{}, 1)}
 }
 
-// Answer is what the head of an answer says of its endpoint.
+// Answer is what the head of an answer reports about its endpoint.
 type Answer struct {
 	Endpoint Instance
-	// Class is that of the request.
+	// Class is the class of the request.
 	Class  keys.Class
 	Signal Signal
 	// SentAt is when the request was sent.
 	SentAt time.Time
 }
 
-// Received takes what the head of an answer says of its endpoint. It does not block.
+// Received records what the head of an answer reports about its endpoint. It does not block.
 func (t *Tracker) Received(answer *Answer) {
 	endpoint, signal := answer.Endpoint, &answer.Signal
 	if signal.Leaving && t.setLeaving(endpoint, "the endpoint") {
 		t.announce(func(o *outbox) { o.leaving.Add(endpoint) })
 	}
-	t.receivedLimit(answer)
+	t.handleLimit(answer)
 	t.count(answer)
 	switch {
 	case signal.Rest > 0:
-		// The endpoint asks this host alone: others have their own answers.
+		// A rest applies to this host only: other hosts are asked in their own answers.
 		if t.parts.Rests.Begin(endpoint, signal.Rest) {
-			t.parts.Log.WithFields(logrus.Fields{"endpoint": endpoint.ID, "rest_ms": signal.Rest.Milliseconds()}).Info("endpoint wants rest")
+			t.parts.Log.WithFields(logrus.Fields{"endpoint": endpoint.ID, "rest_ms": signal.Rest.Milliseconds()}).Info("endpoint asked for a rest; it gets no requests until the rest ends")
 		}
 	case !signal.Rejected:
 		t.parts.Rests.Answered(endpoint)
 	}
 }
 
-// receivedLimit takes the limit that an answer names, or that it names none.
-func (t *Tracker) receivedLimit(answer *Answer) {
+// handleLimit records the limit that an answer names, or that it names none.
+func (t *Tracker) handleLimit(answer *Answer) {
 	endpoint, signal := answer.Endpoint, &answer.Signal
 	if signal.MalformedLimit != "" {
-		if !t.malformed.Swap(true) {
-			t.parts.Log.WithFields(logrus.Fields{"endpoint": endpoint.ID, "limit": signal.MalformedLimit}).Warn("endpoint names a limit that is none")
+		if !t.hasLoggedMalformed.Swap(true) {
+			t.parts.Log.WithFields(logrus.Fields{"endpoint": endpoint.ID, "limit": signal.MalformedLimit}).Warn("endpoint names a malformed limit; ignored")
 		}
 		return
 	}
@@ -109,60 +111,61 @@
 	}
 	t.logLimit(endpoint, signal.Limit, "the endpoint")
 	t.announce(func(o *outbox) {
-		o.limits.Add(limitNews{endpoint: endpoint, limit: signal.Limit, sentAt: answer.SentAt})
+		o.limits.Add(limitUpdate{endpoint: endpoint, limit: signal.Limit, sentAt: answer.SentAt})
 	})
 }
 
-// announce adds what is announced to peers from now on.
+// announce adds an update to the outbox and wakes Run.
 func (t *Tracker) announce(add func(*outbox)) {
 	t.mu.Lock()
 	add(&t.outbox)
 	t.mu.Unlock()
-	lifetime.Wake(t.news)
+	lifetime.Wake(t.updated)
 }
 
 // logLimit logs a limit that has changed.
 func (t *Tracker) logLimit(endpoint Instance, limit Limit, from string) {
 	fields := logrus.Fields{"endpoint": endpoint.ID, "version": endpoint.Version, "from": from}
 	if !limit.IsSet {
-		t.parts.Log.WithFields(fields).Info("endpoint names no limit any more")
+		t.parts.Log.WithFields(fields).Info("endpoint no longer names a limit; requests to it need no permit")
 		return
 	}
 	fields["per_second"] = limit.PerSecond
 	t.parts.Log.WithFields(fields).Info("endpoint names a limit")
 }
 
-// count counts a request that an endpoint has rejected, failed or answered. A rejected one says nothing of failures.
+// count counts a request that an endpoint has rejected, failed or answered. A rejected one does not count in
+// Failures.
 func (t *Tracker) count(answer *Answer) {
 	key := keys.OfEndpoint(answer.Endpoint.ID)
-	work := EndpointClass{Endpoint: key, Class: answer.Class}
-	rejected, taken := oneOf(answer.Signal.Rejected)
-	failed, answered := oneOf(answer.Signal.Failed)
-	isNews := t.parts.Rejections.Count(key, rejected, taken)
-	isFailure := !answer.Signal.Rejected && t.parts.Failures.Count(work, failed, answered)
-	if !isNews && !isFailure {
+	class := EndpointClass{Endpoint: key, Class: answer.Class}
+	rejected, taken := countOf(answer.Signal.Rejected)
+	failed, answered := countOf(answer.Signal.Failed)
+	isRejectionUpdate := t.parts.Rejections.Count(key, rejected, taken)
+	isFailureUpdate := !answer.Signal.Rejected && t.parts.Failures.Count(class, failed, answered)
+	if !isRejectionUpdate && !isFailureUpdate {
 		return
 	}
 	t.mu.Lock()
-	if isNews {
+	if isRejectionUpdate {
 		t.outbox.rejected.add(key, rejected, taken)
 	}
-	if isFailure {
-		t.outbox.failed.add(work, failed, answered)
+	if isFailureUpdate {
+		t.outbox.failed.add(class, failed, answered)
 	}
 	t.mu.Unlock()
 	lifetime.Wake(t.counted)
 }
 
-// oneOf returns one request that went badly, or one that went well.
-func oneOf(isBad bool) (bad, good uint) {
+// countOf returns the counts of one bad or one good request.
+func countOf(isBad bool) (bad, good uint) {
 	if isBad {
 		return 1, 0
 	}
 	return 0, 1
 }
 
-// ReceivedLeaving handles a peer's Leaving, in CBOR.
+// ReceivedLeaving handles a peer's Leaving, encoded as CBOR.
 func (t *Tracker) ReceivedLeaving(peer string, body []byte) {
 	var message Leaving
 	if !t.decode(peer, body, &message) {
@@ -173,7 +176,7 @@
 	}
 }
 
-// ReceivedLimits handles a peer's Limited, in CBOR.
+// ReceivedLimits handles a peer's Limited, encoded as CBOR.
 func (t *Tracker) ReceivedLimits(peer string, body []byte) {
 	var message Limited
 	if !t.decode(peer, body, &message) {
@@ -187,67 +190,69 @@
 	}
 }
 
-// Joined handles a host that has joined. It learns what endpoints have said before it joined from a few hosts.
+// Joined handles a host that has joined: a few hosts send it what endpoints reported before.
 func (t *Tracker) Joined(host envelope.Sender) {
-	if t.greets(host) {
-		t.announce(func(o *outbox) { o.newcomers.Add(host) })
+	if t.isStateSender(host) {
+		t.announce(func(o *outbox) { o.joined.Add(host) })
 	}
 }
 
-// greets reports whether this host is one of the few that a host which has joined learns from.
-func (t *Tracker) greets(newcomer envelope.Sender) bool {
+// isStateSender reports whether this host is among the stateSenders hosts that send the state to a host that has
+// joined.
+func (t *Tracker) isStateSender(joined envelope.Sender) bool {
 	hosts := t.parts.Peers.Senders()
-	own := greeterWeight(hosts[0], newcomer)
+	own := stateSenderWeight(hosts[0], joined)
 	before := 0
 	for _, host := range hosts[1:] {
-		if host != newcomer && greeterWeight(host, newcomer) > own {
+		if host != joined && stateSenderWeight(host, joined) > own {
 			before++
 		}
 	}
-	return before < greeters
+	return before < stateSenders
 }
 
-// greeterWeight orders the hosts that a newcomer may learn from, for each newcomer in another way.
-func greeterWeight(host, newcomer envelope.Sender) uint64 {
-	return xxhash.Sum64String(host.Host + "\x00" + newcomer.Host)
+// stateSenderWeight orders the hosts that may send the state to a host that has joined. The order differs for each
+// joined host.
+func stateSenderWeight(host, joined envelope.Sender) uint64 {
+	return xxhash.Sum64String(host.Host + "\x00" + joined.Host)
 }
 
-// setLeaving notes that an endpoint leaves, and reports whether that was not known.
+// setLeaving records that an endpoint is leaving, and returns false if that was recorded before.
 func (t *Tracker) setLeaving(endpoint Instance, from string) bool {
 	if !t.parts.Directory.SetLeaving(endpoint.ID, endpoint.Version) {
 		return false
 	}
-	t.parts.Log.WithFields(logrus.Fields{"endpoint": endpoint.ID, "version": endpoint.Version, "from": from}).Info("endpoint says that it leaves")
+	t.parts.Log.WithFields(logrus.Fields{"endpoint": endpoint.ID, "version": endpoint.Version, "from": from}).Info("endpoint reports that it is leaving; it gets no new requests")
 	return true
 }
 
-// ReceivedRejections handles a peer's Rejected, in CBOR.
+// ReceivedRejections handles a peer's Rejected, encoded as CBOR.
 func (t *Tracker) ReceivedRejections(peer string, body []byte) {
 	var message Rejected
 	if !t.decode(peer, body, &message) {
 		return
 	}
 	for _, r := range message.Endpoints {
-		t.parts.Rejections.Count(r.Endpoint, min(r.Rejected, mostCounted), min(r.Taken, mostCounted))
+		t.parts.Rejections.Count(r.Endpoint, min(r.Rejected, maxReportedCount), min(r.Taken, maxReportedCount))
 	}
 }
 
-// ReceivedFailures handles a peer's Failed, in CBOR.
+// ReceivedFailures handles a peer's Failed, encoded as CBOR.
 func (t *Tracker) ReceivedFailures(peer string, body []byte) {
 	var message Failed
 	if !t.decode(peer, body, &message) {
 		return
 	}
 	for _, c := range message.Counts {
-		t.parts.Failures.Count(c.Work, min(c.Failed, mostCounted), min(c.Answered, mostCounted))
+		t.parts.Failures.Count(c.Work, min(c.Failed, maxReportedCount), min(c.Answered, maxReportedCount))
 	}
 }
 
-// decode decodes a peer's message, and reports whether it can be.
+// decode decodes a peer's message, and returns false if it can't.
 func (t *Tracker) decode(peer string, body []byte, message any) bool {
 	err := cbor.Unmarshal(body, message)
 	if err != nil {
-		t.parts.Log.WithError(err).WithField("from", peer).Warn("a peer's message can't be decoded")
+		t.parts.Log.WithError(err).WithField("from", peer).Warn("peer's message can't be decoded; dropped")
 	}
 	return err == nil
 }
--- a/internal/front/pushback/tracker_test.go
+++ b/internal/front/pushback/tracker_test.go
@@ -20,17 +20,17 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// peers keep what is broadcast, and what is sent to one of them.
+// peers records the messages that are broadcast, and those that are sent to one peer.
 type peers struct {
 	leaving  chan *Leaving
 	rejected chan *Rejected
 	limited  chan *Limited
 	failed   chan *Failed
-	greeted  chan any
+	sentTo   chan any
 }
 
 func newPeers() peers {
-	return peers{leaving: make(chan *Leaving), rejected: make(chan *Rejected), limited: make(chan *Limited), failed: make(chan *Failed), greeted: make(chan any)}
+	return peers{leaving: make(chan *Leaving), rejected: make(chan *Rejected), limited: make(chan *Limited), failed: make(chan *Failed), sentTo: make(chan any)}
 }
 
 func (p peers) Broadcast(_ envelope.Kind, message any) {
@@ -46,7 +46,7 @@
 	}
 }
 
-func (p peers) SendTo(_ string, _ envelope.Kind, message any) { p.greeted <- message }
+func (p peers) SendTo(_ string, _ envelope.Kind, message any) { p.sentTo <- message }
 func (p peers) Hosts() int                                    { return 2 }
 func (p peers) Senders() []envelope.Sender                    { return []envelope.Sender{{Host: "self"}, {Host: "other"}} }
 
@@ -88,9 +88,9 @@
 
 var instance = Instance{ID: "a", Version: "v1"}
 
-// TestPeersLearnThatAnEndpointLeaves has two hosts: the one that an endpoint answers lets the other know, often enough for
-// a datagram to be lost, and that one passes nothing on.
-func TestPeersLearnThatAnEndpointLeaves(t *testing.T) {
+// TestLeavingIsAnnouncedToPeers checks that the host that an endpoint answers announces that the endpoint is leaving,
+// often enough for a datagram to be lost, and that the host that receives the announcement does not forward it.
+func TestLeavingIsAnnouncedToPeers(t *testing.T) {
 	c := qt.New(t)
 	p := newPeers()
 	first, known := newTracker(c, p)
@@ -111,14 +111,15 @@
 	c.Check(knownToo.Serving("llm"), qt.HasLen, 1)
 }
 
-// TestPeersLearnWhatAnEndpointRejects has hosts count what an endpoint rejects and takes at the other, once.
-func TestPeersLearnWhatAnEndpointRejects(t *testing.T) {
+// TestRejectionsAreSentToPeers checks that requests that an endpoint rejects and takes at one host are counted once
+// at the other.
+func TestRejectionsAreSentToPeers(t *testing.T) {
 	c := qt.New(t)
 	p := newPeers()
 	first, _ := newTracker(c, p)
 	second, _ := newTracker(c, newPeers())
 	first.Received(&Answer{Endpoint: instance, Signal: Signal{}, SentAt: time.Time{}})
-	c.Check(first.outbox.rejected, qt.HasLen, 0, qt.Commentf("what takes all is no news"))
+	c.Check(first.outbox.rejected, qt.HasLen, 0, qt.Commentf("an endpoint that rejects nothing is not reported"))
 	for range 3 {
 		first.Received(&Answer{Endpoint: instance, Signal: Signal{Rejected: true}, SentAt: time.Time{}})
 	}
@@ -131,15 +132,16 @@
 	c.Check(second.outbox.rejected, qt.HasLen, 0)
 	first.Received(&Answer{Endpoint: instance, Signal: Signal{}, SentAt: time.Time{}})
 	c.Check((<-p.rejected).Endpoints, qt.DeepEquals, []RejectedCount{{Endpoint: keys.OfEndpoint("a"), Taken: 1}})
-	// A message that is faulty weighs no more than many requests.
+	// A faulty message has no more weight than maxReportedCount requests.
 	second.ReceivedRejections("first", encode(c, &Rejected{Endpoints: []RejectedCount{{Endpoint: 7, Rejected: math.MaxUint}}}))
-	second.ReceivedRejections("first", encode(c, &Rejected{Endpoints: []RejectedCount{{Endpoint: 7, Taken: mostCounted}}}))
+	second.ReceivedRejections("first", encode(c, &Rejected{Endpoints: []RejectedCount{{Endpoint: 7, Taken: maxReportedCount}}}))
 	c.Check(second.parts.Rejections.Shares()[7] < 0.51, qt.IsTrue)
 	second.ReceivedRejections("first", []byte("no message"))
 }
 
-// TestPeersLearnWhatAnEndpointFails has hosts count what an endpoint fails and answers of a class at the other, once.
-func TestPeersLearnWhatAnEndpointFails(t *testing.T) {
+// TestFailuresAreSentToPeers checks that requests of a class that an endpoint fails and answers at one host are
+// counted once at the other.
+func TestFailuresAreSentToPeers(t *testing.T) {
 	c := qt.New(t)
 	p := newPeers()
 	first, _ := newTracker(c, p)
@@ -161,19 +163,19 @@
 	second.ReceivedFailures("first", []byte("no message"))
 }
 
-// TestGoldenFailed holds the encoded form of failures.
+// TestGoldenFailed pins the encoded form, which hosts of other versions read.
 func TestGoldenFailed(t *testing.T) {
 	golden.Message(t, "failed", &Failed{Counts: []FailedCount{{Work: EndpointClass{Endpoint: 1, Class: 2}, Failed: 3, Answered: 4}}})
 }
 
-// TestGoldenLeaving holds the encoded form of the message: hosts of other versions read it.
+// TestGoldenLeaving pins the encoded form, which hosts of other versions read.
 func TestGoldenLeaving(t *testing.T) {
 	golden.Message(t, "leaving", &Leaving{Endpoints: []Instance{{ID: "a", Version: "v1"}, {ID: "b", Version: "v1 of 2"}}})
 }
 
-// TestPeersLearnALimit has a host let the other know of a limit, often enough for a datagram to be lost, and of its end; the
-// other passes nothing on.
-func TestPeersLearnALimit(t *testing.T) {
+// TestLimitsAreAnnouncedToPeers checks that a host announces a limit and its end, often enough for a datagram to be
+// lost, and that the host that receives the announcement does not forward it.
+func TestLimitsAreAnnouncedToPeers(t *testing.T) {
 	c := qt.New(t)
 	p := newPeers()
 	first, _ := newTracker(c, p)
@@ -188,12 +190,13 @@
 	}
 	c.Check(second.outbox.isEmpty(), qt.IsTrue)
 	first.Received(&Answer{Endpoint: instance, Signal: Signal{MalformedLimit: "few"}, SentAt: time.Now()})
-	c.Check(first.parts.Limits.Any(), qt.IsTrue, qt.Commentf("the end of the limit is kept"))
+	c.Check(first.parts.Limits.Any(), qt.IsTrue, qt.Commentf("the end of the limit should still be recorded"))
 	second.ReceivedLimits("first", []byte("no message"))
 }
 
-// TestANewcomerLearnsWhatEndpointsHaveSaid has a host join after endpoints have said that they leave, or named a limit.
-func TestANewcomerLearnsWhatEndpointsHaveSaid(t *testing.T) {
+// TestJoinedHostReceivesLeavingAndLimits has a host join after endpoints have reported that they are leaving, or
+// named a limit: it must be sent both.
+func TestJoinedHostReceivesLeavingAndLimits(t *testing.T) {
 	c := qt.New(t)
 	p := newPeers()
 	first, known := newTracker(c, p)
@@ -202,13 +205,14 @@
 	run(c, first)
 	first.Joined(envelope.Sender{Host: "newcomer"})
 	for range 1 + announceRepeats {
-		c.Check((<-p.greeted).(*Leaving).Endpoints, qt.DeepEquals, []Instance{{ID: "b", Version: "v1"}})
-		c.Check((<-p.greeted).(*Limited).Notices[0].Limit, qt.Equals, perSecond(2))
+		c.Check((<-p.sentTo).(*Leaving).Endpoints, qt.DeepEquals, []Instance{{ID: "b", Version: "v1"}})
+		c.Check((<-p.sentTo).(*Limited).Notices[0].Limit, qt.Equals, perSecond(2))
 	}
 }
 
-// TestFewHostsGreetANewcomer has as many hosts greet each newcomer as there are to be, and not always the same.
-func TestFewHostsGreetANewcomer(t *testing.T) {
+// TestFewHostsSendStateToJoinedHost checks that exactly stateSenders hosts send the state to each joined host, and
+// that the work is spread over the hosts.
+func TestFewHostsSendStateToJoinedHost(t *testing.T) {
 	c := qt.New(t)
 	greeted := make(map[string]int)
 	for newcomer := range 50 {
@@ -221,17 +225,17 @@
 				}
 			}
 			tracker := New(Parts{Peers: hosts})
-			if tracker.greets(envelope.Sender{Host: "newcomer-" + strconv.Itoa(newcomer)}) {
+			if tracker.isStateSender(envelope.Sender{Host: "newcomer-" + strconv.Itoa(newcomer)}) {
 				count++
 				greeted[hosts[0].Host]++
 			}
 		}
-		c.Check(count, qt.Equals, greeters)
+		c.Check(count, qt.Equals, stateSenders)
 	}
 	c.Check(len(greeted) > 15, qt.IsTrue)
 }
 
-// senders are hosts that are sent nothing.
+// senders are live hosts that receive no messages.
 type senders []envelope.Sender
 
 func (s senders) Broadcast(envelope.Kind, any)      {}
@@ -239,35 +243,35 @@
 func (s senders) Hosts() int                        { return len(s) }
 func (s senders) Senders() []envelope.Sender        { return s }
 
-// TestGoldenLimited holds the encoded form of limits.
+// TestGoldenLimited pins the encoded form, which hosts of other versions read.
 func TestGoldenLimited(t *testing.T) {
 	golden.Message(t, "limited", &Limited{Notices: []LimitNotice{
 		{Endpoint: instance, Limit: perSecond(1.5), Age: time.Second}, {Endpoint: Instance{ID: "b", Version: "v1"}},
 	}})
 }
 
-// TestGoldenRejected does so for the other.
+// TestGoldenRejected pins the encoded form, which hosts of other versions read.
 func TestGoldenRejected(t *testing.T) {
 	golden.Message(t, "rejected", &Rejected{Endpoints: []RejectedCount{{Endpoint: 1, Rejected: 2, Taken: 3}, {Endpoint: 4, Rejected: 5}}})
 }
 
-// TestMessageBytes holds the largest messages to well below the datagram that every host reads (16 KB).
+// TestMessageBytes keeps the largest messages well below the size of a datagram that every host can read (16 KB).
 func TestMessageBytes(t *testing.T) {
 	var leaving Leaving
-	for range mostLeaving {
+	for range maxLeavingPerMessage {
 		leaving.Endpoints = append(leaving.Endpoints, Instance{ID: strings.Repeat("i", 32), Version: strings.Repeat("v", 24)})
 	}
 	var rejected Rejected
-	for range mostCounts {
-		rejected.Endpoints = append(rejected.Endpoints, RejectedCount{Endpoint: math.MaxUint32, Rejected: mostCounted, Taken: mostCounted})
+	for range maxRejectionsPerMessage {
+		rejected.Endpoints = append(rejected.Endpoints, RejectedCount{Endpoint: math.MaxUint32, Rejected: maxReportedCount, Taken: maxReportedCount})
 	}
 	var limited Limited
-	for _, endpoint := range leaving.Endpoints[:mostLimits] {
+	for _, endpoint := range leaving.Endpoints[:maxLimitsPerMessage] {
 		limited.Notices = append(limited.Notices, LimitNotice{Endpoint: endpoint, Limit: perSecond(1e6 / 3), Age: time.Hour})
 	}
 	var failed Failed
-	for range mostFailures {
-		failed.Counts = append(failed.Counts, FailedCount{Work: EndpointClass{Endpoint: math.MaxUint32, Class: math.MaxUint32}, Failed: mostCounted, Answered: mostCounted})
+	for range maxFailuresPerMessage {
+		failed.Counts = append(failed.Counts, FailedCount{Work: EndpointClass{Endpoint: math.MaxUint32, Class: math.MaxUint32}, Failed: maxReportedCount, Answered: maxReportedCount})
 	}
 	for name, message := range map[string]any{"failed": &failed, "leaving": &leaving, "rejected": &rejected, "limited": &limited} {
 		t.Run(name, func(t *testing.T) {
