--- a/internal/front/aggregate/choice.go
+++ b/internal/front/aggregate/choice.go
@@ -3,37 +3,37 @@
 import "time"
 
 const (
-	// sumTimeout is how long a host waits for a sum before it takes the next aggregator: three are lost or late by
-	// then.
+	// sumTimeout is how long a host waits for a sum before it switches to the next aggregator. By then several sums
+	// in a row are lost or late.
 	sumTimeout = 5 * Interval
-	// avoidTime is how long an aggregator that sent no sum is not asked again: longer than it takes to find several
-	// more of them silent, and about as long as it takes to drop a dead one from the members of a fleet of 300.
+	// avoidTime is how long an aggregator that sent no sum is not tried again. It is longer than finding several more
+	// of them unresponsive takes, and about as long as gossip takes to drop a crashed host from a fleet of 300.
 	avoidTime = 10 * time.Second
 )
 
 // Choice is a host's choice of its aggregators. The zero value has chosen none.
 type Choice struct {
 	primary string
-	// receivedAt is when the primary sent its last sum, or was chosen.
+	// receivedAt is when the last sum of the primary arrived, or when it was chosen.
 	receivedAt time.Time
-	// avoided are aggregators that sent no sum, until the given time.
+	// avoided holds the aggregators that sent no sum, and the time until which each is avoided.
 	avoided map[string]time.Time
 }
 
-// Primary returns the aggregator whose sums this host uses, or nothing if none was chosen.
+// Primary returns the aggregator whose sums this host uses, or an empty string if none was chosen.
 func (c *Choice) Primary() string { return c.primary }
 
-// Received notes a sum that an aggregator sent.
+// Received records the arrival of a sum from an aggregator.
 func (c *Choice) Received(now time.Time, aggregator string) {
 	if aggregator == c.primary {
 		c.receivedAt = now
 	}
 }
 
-// Pick returns the primary aggregator, whose sums this host uses, and the backup, which is sent this host's
-// work as well, so that its sums are whole at once when it has to take over. Ranked are the hosts of the zone
-// in an order that all share; self is this host, which never waits for itself. The backup is empty if there
-// is no second host.
+// Pick returns the primary aggregator, whose sums this host uses, and the backup. The backup is sent this host's work
+// as well, so that its sums are complete when it takes over. Ranked are the hosts of the zone in an order that all
+// hosts share. Self is this host, which never waits for its own sum. The backup is empty if no second host is
+// available.
 func (c *Choice) Pick(now time.Time, self string, ranked []string) (primary, backup string) {
 	if c.primary != "" && c.primary != self && now.Sub(c.receivedAt) > sumTimeout {
 		if c.avoided == nil {
@@ -53,7 +53,7 @@
 		}
 	}
 	if primary == "" {
-		// All are avoided, which can't last: this host adds up what it has.
+		// All hosts are avoided, which does not last: this host adds up the work that it has received.
 		primary = self
 	}
 	if primary != c.primary {
--- a/internal/front/aggregate/holders.go
+++ b/internal/front/aggregate/holders.go
@@ -7,18 +7,19 @@
 )
 
 const (
-	// maxHolders bounds the holders in one message: 4.4 KB, so that it stays below 8 KB with 320 endpoints;
-	// what is left goes with the next one. At 1,600 a second, all are sent at once when a fleet of some hundred
-	// hosts starts and reads 700 prefixes a second; a limit of 256 a second kept them back for up to 20 s.
+	// maxHolders bounds the holders in one message to 4.4 KB, so that the message stays below 8 KB with 320
+	// endpoints; the remaining holders go into the next message. This allows 1,600 holders a second, enough for a
+	// starting fleet of some hundred hosts that reads 700 prefixes a second. A limit of 256 a second delayed them
+	// by up to 20 s.
 	maxHolders = 400
-	// holderQuiet is how long a holder that was received again is not sent again: its first messages have arrived by
-	// then or never will; one that is lost costs one reading of a prefix.
-	holderQuiet = 5 * time.Second
+	// holderResendInterval is how long a holder that is received again is not sent again. By then its first messages
+	// have arrived or are lost; a lost one costs one more reading of a prefix.
+	holderResendInterval = 5 * time.Second
 )
 
-// holderQueue holds the holders that are still to be sent, in their order.
+// holderQueue holds the holders that are still to be sent, in order of arrival.
 type holderQueue struct {
-	// addedAt is when each holder was last added.
+	// addedAt is when each holder was last queued.
 	addedAt map[placement.Holder]time.Time
 	waiting []placement.Holder
 }
@@ -27,10 +28,10 @@
 	return holderQueue{addedAt: make(map[placement.Holder]time.Time)}
 }
 
-// add queues holders that were not added lately.
+// add queues holders, except those queued within holderResendInterval.
 func (q *holderQueue) add(now time.Time, holders []placement.Holder) {
 	for _, h := range holders {
-		if at, known := q.addedAt[h]; known && now.Sub(at) < holderQuiet {
+		if at, known := q.addedAt[h]; known && now.Sub(at) < holderResendInterval {
 			continue
 		}
 		q.addedAt[h] = now
@@ -38,10 +39,10 @@
 	}
 }
 
-// next returns the holders of the next message.
+// next returns the holders for the next message.
 func (q *holderQueue) next(now time.Time) []placement.Holder {
 	for h, at := range q.addedAt {
-		if now.Sub(at) >= holderQuiet {
+		if now.Sub(at) >= holderResendInterval {
 			delete(q.addedAt, h)
 		}
 	}
--- a/internal/front/announce/announce.go
+++ b/internal/front/announce/announce.go
@@ -1,6 +1,8 @@
-// Package announce keeps what a host of oxbowslip-front lets its peers know a number of times, since a datagram may be lost.
+// Package announce keeps the updates that a host of oxbowslip-front sends to its peers several times, since datagrams
+// may be lost.
 //
-// It owns the list of what is still to be sent. Its owner decides when, and locks it.
+// It owns the list of updates that are still to be sent. The owner of a list decides when to send them, and locks the
+// list.
 package announce
 
 // List holds values that are still to be announced, each a number of times. It is not safe for concurrent use.
@@ -9,13 +11,13 @@
 	items   []item[T]
 }
 
-// item is a value with the number of its announcements that are left.
+// item is a value with the number of announcements that are left.
 type item[T any] struct {
 	value T
 	left  int
 }
 
-// New returns an empty list of values that are announced once and a number of times more.
+// New returns an empty list. Its values are announced once and then repeated a number of times.
 func New[T any](repeats int) *List[T] { return &List[T]{repeats: repeats} }
 
 // Add adds a value to announce.
@@ -23,20 +25,20 @@
 	l.items = append(l.items, item[T]{value: value, left: 1 + l.repeats})
 }
 
-// Unsent returns the values that were not announced yet, and counts them as announced once.
+// Unsent returns the values that have not been announced yet, and counts them as announced once.
 func (l *List[T]) Unsent() []T {
 	return l.take(func(i *item[T]) bool { return i.left > l.repeats })
 }
 
-// All returns all values, and counts them as announced once more.
+// All returns all values, and counts each as announced once more.
 func (l *List[T]) All() []T {
 	return l.take(func(*item[T]) bool { return true })
 }
 
-// IsEmpty reports whether nothing is left to announce.
+// IsEmpty reports whether no announcement is left.
 func (l *List[T]) IsEmpty() bool { return len(l.items) == 0 }
 
-// take returns the values that are due, and drops those that were announced often enough.
+// take returns the values that are due, and removes those that have no announcements left.
 func (l *List[T]) take(isDue func(*item[T]) bool) []T {
 	var values []T
 	left := l.items[:0]
--- a/internal/front/announce/announce_test.go
+++ b/internal/front/announce/announce_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestList announces each value three times, the first time on its own.
+// TestList announces each value three times, the first time through Unsent.
 func TestList(t *testing.T) {
 	c := qt.New(t)
 	l := New[string](2)
