--- a/internal/front/aggregate/choice.go
+++ b/internal/front/aggregate/choice.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// sumTimeout is how long a host waits for a sum before it switches to the next aggregator. By then several sums
-	// in a row are lost or late.
+	// sumTimeout is how long a host waits for a sum before it switches to the next aggregator. By then three sums are
+	// lost or late.
 	sumTimeout = 5 * Interval
 	// avoidTime is how long an aggregator that sent no sum is not tried again. It is longer than finding several more
 	// of them unresponsive takes, and about as long as gossip takes to drop a crashed host from a fleet of 300.
--- a/internal/front/poison/report.go
+++ b/internal/front/poison/report.go
@@ -110,12 +110,12 @@
 // killed together and see a crash before they know their places would have to prove a verdict again.
 func (d *Detector) syncStore(ctx context.Context) {
 	loaded := false
-	savedIn := d.parts.Era()
-	look := time.NewTicker(storeInterval)
-	defer look.Stop()
+	savedEra := d.parts.Era()
+	ticker := time.NewTicker(storeInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-look.C:
+		case <-ticker.C:
 		case <-d.storeWake:
 		case <-ctx.Done():
 			return
@@ -123,8 +123,8 @@
 		if !loaded && (d.hasSeenCrash() || d.isAnnouncer()) {
 			loaded = d.loadVerdicts(ctx)
 		}
-		if newest := d.parts.Era(); newest > savedIn && d.isAnnouncer() {
-			savedIn = newest
+		if newest := d.parts.Era(); newest > savedEra && d.isAnnouncer() {
+			savedEra = newest
 			d.requeueVerdicts()
 		}
 		d.saveVerdicts(ctx)
@@ -171,7 +171,7 @@
 // saveVerdicts writes the verdicts that this host has found to the store, and removes the outdated ones.
 func (d *Detector) saveVerdicts(ctx context.Context) {
 	d.mu.Lock()
-	found, over := len(d.unsaved), len(d.outdated)
+	found, removed := len(d.unsaved), len(d.outdated)
 	// A request whose state has changed in between is written only as it is now: either poison or not.
 	verdicts := slices.DeleteFunc(slices.Clone(d.unsaved), func(v Verdict) bool { return !d.table.IsPoison(v.Request) })
 	outdated := slices.DeleteFunc(slices.Clone(d.outdated), d.table.IsPoison)
@@ -184,5 +184,5 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.unsaved, d.outdated = d.unsaved[found:], d.outdated[over:]
+	d.unsaved, d.outdated = d.unsaved[found:], d.outdated[removed:]
 }
--- a/internal/front/poison/table_test.go
+++ b/internal/front/poison/table_test.go
@@ -23,14 +23,14 @@
 }
 
 func waitingCrash(endpoint keys.Endpoint, seconds float64) Crash {
-	end := begunCrash(endpoint, seconds)
-	end.Begun = false
-	return end
+	crash := begunCrash(endpoint, seconds)
+	crash.Begun = false
+	return crash
 }
 
 func TestVerdicts(t *testing.T) {
 	tests := map[string]struct {
-		ends []Crash
+		crashes []Crash
 		// answered is the number of crashes after which the request is answered; 0 means never.
 		answered int
 		want     bool
@@ -51,10 +51,10 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			table := NewTable()
-			for n, end := range test.ends {
-				table.RecordCrash(poisonRequest, end)
+			for n, crash := range test.crashes {
+				table.RecordCrash(poisonRequest, crash)
 				if n+1 == test.answered {
-					table.RecordAnswer(end.At, poisonRequest)
+					table.RecordAnswer(crash.At, poisonRequest)
 				}
 			}
 			qt.Check(t, table.IsPoison(poisonRequest), qt.Equals, test.want)
--- a/internal/front/pushback/limits.go
+++ b/internal/front/pushback/limits.go
@@ -71,8 +71,8 @@
 }
 
 // Limits holds the limits that endpoints have named, each for one instance of its endpoint. Answers may arrive out of
-// order: a stricter limit takes effect immediately, while a looser one, or none, takes effect only if its request was
-// sent after the stricter limit was named. Limits is safe for concurrent use.
+// order: a stricter limit takes effect immediately, while a looser one, or none, takes effect only if the request of
+// the answer that names it was sent after the stricter limit was named. Limits is safe for concurrent use.
 type Limits struct {
 	clock func() time.Time
 
--- a/internal/front/pushback/tracker_test.go
+++ b/internal/front/pushback/tracker_test.go
@@ -93,22 +93,22 @@
 func TestLeavingIsAnnouncedToPeers(t *testing.T) {
 	c := qt.New(t)
 	p := newPeers()
-	first, known := newTracker(c, p)
-	second, knownToo := newTracker(c, newPeers())
+	first, firstDirectory := newTracker(c, p)
+	second, secondDirectory := newTracker(c, newPeers())
 	run(c, first)
 	first.Received(&Answer{Endpoint: instance, Signal: Signal{Leaving: true}, SentAt: time.Time{}})
-	c.Check(known.Serving("llm"), qt.HasLen, 1)
+	c.Check(firstDirectory.Serving("llm"), qt.HasLen, 1)
 	for range 1 + announceRepeats {
 		message := <-p.leaving
 		c.Check(message.Endpoints, qt.DeepEquals, []Instance{instance})
 		second.ReceivedLeaving("first", encode(c, message))
 	}
 	first.Received(&Answer{Endpoint: instance, Signal: Signal{Leaving: true}, SentAt: time.Time{}})
-	c.Check(knownToo.Leaving("llm"), qt.HasLen, 1)
+	c.Check(secondDirectory.Leaving("llm"), qt.HasLen, 1)
 	c.Check(first.outbox.leaving.IsEmpty(), qt.IsTrue)
 	c.Check(second.outbox.leaving.IsEmpty(), qt.IsTrue)
 	second.ReceivedLeaving("first", []byte("no message"))
-	c.Check(knownToo.Serving("llm"), qt.HasLen, 1)
+	c.Check(secondDirectory.Serving("llm"), qt.HasLen, 1)
 }
 
 // TestRejectionsAreSentToPeers checks that requests that an endpoint rejects and takes at one host are counted once
@@ -146,7 +146,7 @@
 	p := newPeers()
 	first, _ := newTracker(c, p)
 	second, _ := newTracker(c, newPeers())
-	work := EndpointClass{Endpoint: keys.OfEndpoint("a"), Class: 7}
+	class := EndpointClass{Endpoint: keys.OfEndpoint("a"), Class: 7}
 	for range 3 {
 		first.Received(&Answer{Endpoint: instance, Class: 7, Signal: Signal{Failed: true}})
 	}
@@ -156,9 +156,9 @@
 	run(c, first)
 	<-p.rejected
 	message := <-p.failed
-	c.Check(message.Counts, qt.DeepEquals, []FailedCount{{Work: work, Failed: 3, Answered: 1}})
+	c.Check(message.Counts, qt.DeepEquals, []FailedCount{{Work: class, Failed: 3, Answered: 1}})
 	second.ReceivedFailures("first", encode(c, message))
-	c.Check(second.parts.Failures.WorstExcess(work.Endpoint, 9) > 0.2, qt.IsTrue)
+	c.Check(second.parts.Failures.WorstExcess(class.Endpoint, 9) > 0.2, qt.IsTrue)
 	c.Check(second.outbox.failed, qt.HasLen, 0)
 	second.ReceivedFailures("first", []byte("no message"))
 }
@@ -199,8 +199,8 @@
 func TestJoinedHostReceivesLeavingAndLimits(t *testing.T) {
 	c := qt.New(t)
 	p := newPeers()
-	first, known := newTracker(c, p)
-	known.SetLeaving("b", "v1")
+	first, firstDirectory := newTracker(c, p)
+	firstDirectory.SetLeaving("b", "v1")
 	first.parts.Limits.Note(instance, perSecond(2), time.Now())
 	run(c, first)
 	first.Joined(envelope.Sender{Host: "newcomer"})
