--- a/internal/front/fx.go
+++ b/internal/front/fx.go
@@ -238,8 +238,8 @@
 		},
 		Host: sync, Network: p.Network, Log: logging.Part(p.Log, "peers"), Clock: p.Clock, Random: p.Random, Sent: p.Counters.SentToPeers,
 	})
-	g.Handle(envelope.KindPermitAsk, p.Limiter.ReceivedAsk)
-	g.Handle(envelope.KindPermitReply, p.Limiter.ReceivedReply)
+	g.Handle(envelope.KindPermitAsk, p.Limiter.HandleAsk)
+	g.Handle(envelope.KindPermitReply, p.Limiter.HandleReply)
 	p.Late.gossip.Store(g)
 	p.Late.sync.Store(sync)
 	return g
--- a/internal/front/ratelimit/limiter.go
+++ b/internal/front/ratelimit/limiter.go
@@ -297,8 +297,8 @@
 	l.unresponsive[lender] = s
 }
 
-// ReceivedAsk handles a peer's Ask, encoded as CBOR.
-func (l *Limiter) ReceivedAsk(from envelope.Sender, body []byte) {
+// HandleAsk handles a peer's Ask, encoded as CBOR.
+func (l *Limiter) HandleAsk(from envelope.Sender, body []byte) {
 	var ask Ask
 	if !l.decode(from, body, &ask) {
 		return
@@ -319,8 +319,8 @@
 	l.parts.Peers.SendTo(host, envelope.KindPermitReply, reply)
 }
 
-// ReceivedReply handles a peer's Reply, encoded as CBOR.
-func (l *Limiter) ReceivedReply(from envelope.Sender, body []byte) {
+// HandleReply handles a peer's Reply, encoded as CBOR.
+func (l *Limiter) HandleReply(from envelope.Sender, body []byte) {
 	var reply Reply
 	if l.decode(from, body, &reply) {
 		l.deliverReply(&reply)
