--- a/internal/front/fx.go
+++ b/internal/front/fx.go
@@ -330,10 +330,10 @@
 		Directory: p.Directory, Rests: p.Rests, Rejections: p.Rejections, Failures: p.Failures, Limits: p.Limits, Peers: p.Gossip,
 		Log: logging.Part(p.Log, "endpoints"), Clock: p.Clock, Random: p.Random,
 	})
-	p.Gossip.Handle(envelope.KindLeaving, func(from envelope.Sender, body []byte) { tracker.ReceivedLeaving(from.Host, body) })
-	p.Gossip.Handle(envelope.KindRejections, func(from envelope.Sender, body []byte) { tracker.ReceivedRejections(from.Host, body) })
-	p.Gossip.Handle(envelope.KindFailures, func(from envelope.Sender, body []byte) { tracker.ReceivedFailures(from.Host, body) })
-	p.Gossip.Handle(envelope.KindLimits, func(from envelope.Sender, body []byte) { tracker.ReceivedLimits(from.Host, body) })
+	p.Gossip.Handle(envelope.KindLeaving, func(from envelope.Sender, body []byte) { tracker.HandleLeaving(from.Host, body) })
+	p.Gossip.Handle(envelope.KindRejections, func(from envelope.Sender, body []byte) { tracker.HandleRejections(from.Host, body) })
+	p.Gossip.Handle(envelope.KindFailures, func(from envelope.Sender, body []byte) { tracker.HandleFailures(from.Host, body) })
+	p.Gossip.Handle(envelope.KindLimits, func(from envelope.Sender, body []byte) { tracker.HandleLimits(from.Host, body) })
 	p.Gossip.OnJoin(tracker.Joined)
 	return tracker
 }
--- a/internal/front/pushback/rests.go
+++ b/internal/front/pushback/rests.go
@@ -62,9 +62,9 @@
 	return begins
 }
 
-// Answered ends the trial of an endpoint that has taken a request. It does not end a running rest, since the request
+// EndTrial ends the trial of an endpoint that has taken a request. It does not end a running rest, since the request
 // may have been sent before the rest.
-func (r *Rests) Answered(endpoint Instance) {
+func (r *Rests) EndTrial(endpoint Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if known, ok := r.get(endpoint); ok && !r.clock().Before(known.until) {
@@ -111,8 +111,8 @@
 	return usable, next
 }
 
-// Granted records that a request was granted an endpoint; after a rest, that request is its trial.
-func (r *Rests) Granted(id, version string) {
+// RecordGrant records that a request was granted an endpoint; after a rest, that request is its trial.
+func (r *Rests) RecordGrant(id, version string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if known, ok := r.get(Instance{ID: id, Version: version}); ok {
--- a/internal/front/pushback/rests_test.go
+++ b/internal/front/pushback/rests_test.go
@@ -50,7 +50,7 @@
 	r.now = r.now.Add(time.Second)
 	// A shorter rest, and the answer to a request that was sent before the rest, change nothing.
 	c.Check(r.rests.Begin(resting, time.Second), qt.IsFalse)
-	r.rests.Answered(resting)
+	r.rests.EndTrial(resting)
 	r.now = r.now.Add(2*time.Second - 1)
 	c.Check(r.rests.IsResting(resting), qt.IsTrue)
 	alone, next := r.rests.Usable(r.list[:1])
@@ -67,7 +67,7 @@
 		want string
 	}{
 		"the trial is unanswered":               {func(*restsFixture) {}, "b"},
-		"the trial is answered":                 {func(r *restsFixture) { r.rests.Answered(resting) }, "ab"},
+		"the trial is answered":                 {func(r *restsFixture) { r.rests.EndTrial(resting) }, "ab"},
 		"the trial is rejected with a new rest": {func(r *restsFixture) { r.rests.Begin(resting, 3*time.Second) }, "b"},
 		"the trial times out":                   {func(r *restsFixture) { r.now = r.now.Add(trialTimeout) }, "ab"},
 		"the record expires":                    {func(r *restsFixture) { r.now = r.now.Add(trialExpiry + 1); r.rests.Expire() }, "ab"},
@@ -78,7 +78,7 @@
 			c := qt.New(t)
 			r := newRestsFixture(c, 0)
 			r.now = r.now.Add(3 * time.Second)
-			r.rests.Granted("a", "v1")
+			r.rests.RecordGrant("a", "v1")
 			c.Check(r.usable(), qt.Equals, "b")
 			c.Check(r.usable(r.list[0]), qt.Equals, "a", qt.Commentf("no other endpoint is usable"))
 			test.then(r)
--- a/internal/front/pushback/tracker.go
+++ b/internal/front/pushback/tracker.go
@@ -78,8 +78,8 @@
 	SentAt time.Time
 }
 
-// Received records what the head of an answer reports about its endpoint. It does not block.
-func (t *Tracker) Received(answer *Answer) {
+// HandleAnswer records what the head of an answer reports about its endpoint. It does not block.
+func (t *Tracker) HandleAnswer(answer *Answer) {
 	endpoint, signal := answer.Endpoint, &answer.Signal
 	if signal.Leaving && t.setLeaving(endpoint, "the endpoint") {
 		t.announce(func(o *outbox) { o.leaving.Add(endpoint) })
@@ -93,7 +93,7 @@
 			t.parts.Log.WithFields(logrus.Fields{"endpoint": endpoint.ID, "rest_ms": signal.Rest.Milliseconds()}).Info("endpoint asked for a rest; it gets no requests until the rest ends")
 		}
 	case !signal.Rejected:
-		t.parts.Rests.Answered(endpoint)
+		t.parts.Rests.EndTrial(endpoint)
 	}
 }
 
@@ -106,7 +106,7 @@
 		}
 		return
 	}
-	if !t.parts.Limits.Note(endpoint, signal.Limit, answer.SentAt) {
+	if !t.parts.Limits.Record(endpoint, signal.Limit, answer.SentAt) {
 		return
 	}
 	t.logLimit(endpoint, signal.Limit, "the endpoint")
@@ -165,8 +165,8 @@
 	return 0, 1
 }
 
-// ReceivedLeaving handles a peer's Leaving, encoded as CBOR.
-func (t *Tracker) ReceivedLeaving(peer string, body []byte) {
+// HandleLeaving handles a peer's Leaving, encoded as CBOR.
+func (t *Tracker) HandleLeaving(peer string, body []byte) {
 	var message Leaving
 	if !t.decode(peer, body, &message) {
 		return
@@ -176,15 +176,15 @@
 	}
 }
 
-// ReceivedLimits handles a peer's Limited, encoded as CBOR.
-func (t *Tracker) ReceivedLimits(peer string, body []byte) {
+// HandleLimits handles a peer's Limited, encoded as CBOR.
+func (t *Tracker) HandleLimits(peer string, body []byte) {
 	var message Limited
 	if !t.decode(peer, body, &message) {
 		return
 	}
 	now := t.parts.Clock()
 	for _, notice := range message.Notices {
-		if t.parts.Limits.Note(notice.Endpoint, notice.Limit, now.Add(-notice.Age)) {
+		if t.parts.Limits.Record(notice.Endpoint, notice.Limit, now.Add(-notice.Age)) {
 			t.logLimit(notice.Endpoint, notice.Limit, peer)
 		}
 	}
@@ -226,8 +226,8 @@
 	return true
 }
 
-// ReceivedRejections handles a peer's Rejected, encoded as CBOR.
-func (t *Tracker) ReceivedRejections(peer string, body []byte) {
+// HandleRejections handles a peer's Rejected, encoded as CBOR.
+func (t *Tracker) HandleRejections(peer string, body []byte) {
 	var message Rejected
 	if !t.decode(peer, body, &message) {
 		return
@@ -237,8 +237,8 @@
 	}
 }
 
-// ReceivedFailures handles a peer's Failed, encoded as CBOR.
-func (t *Tracker) ReceivedFailures(peer string, body []byte) {
+// HandleFailures handles a peer's Failed, encoded as CBOR.
+func (t *Tracker) HandleFailures(peer string, body []byte) {
 	var message Failed
 	if !t.decode(peer, body, &message) {
 		return
--- a/internal/front/pushback/tracker_test.go
+++ b/internal/front/pushback/tracker_test.go
@@ -96,18 +96,18 @@
 	first, firstDirectory := newTracker(c, p)
 	second, secondDirectory := newTracker(c, newPeers())
 	run(c, first)
-	first.Received(&Answer{Endpoint: instance, Signal: Signal{Leaving: true}, SentAt: time.Time{}})
+	first.HandleAnswer(&Answer{Endpoint: instance, Signal: Signal{Leaving: true}, SentAt: time.Time{}})
 	c.Check(firstDirectory.Serving("llm"), qt.HasLen, 1)
 	for range 1 + announceRepeats {
 		message := <-p.leaving
 		c.Check(message.Endpoints, qt.DeepEquals, []Instance{instance})
-		second.ReceivedLeaving("first", encode(c, message))
+		second.HandleLeaving("first", encode(c, message))
 	}
-	first.Received(&Answer{Endpoint: instance, Signal: Signal{Leaving: true}, SentAt: time.Time{}})
+	first.HandleAnswer(&Answer{Endpoint: instance, Signal: Signal{Leaving: true}, SentAt: time.Time{}})
 	c.Check(secondDirectory.Leaving("llm"), qt.HasLen, 1)
 	c.Check(first.outbox.leaving.IsEmpty(), qt.IsTrue)
 	c.Check(second.outbox.leaving.IsEmpty(), qt.IsTrue)
-	second.ReceivedLeaving("first", []byte("no message"))
+	second.HandleLeaving("first", []byte("no message"))
 	c.Check(secondDirectory.Serving("llm"), qt.HasLen, 1)
 }
 
@@ -118,25 +118,25 @@
 	p := newPeers()
 	first, _ := newTracker(c, p)
 	second, _ := newTracker(c, newPeers())
-	first.Received(&Answer{Endpoint: instance, Signal: Signal{}, SentAt: time.Time{}})
+	first.HandleAnswer(&Answer{Endpoint: instance, Signal: Signal{}, SentAt: time.Time{}})
 	c.Check(first.outbox.rejected, qt.HasLen, 0, qt.Commentf("an endpoint that rejects nothing is not reported"))
 	for range 3 {
-		first.Received(&Answer{Endpoint: instance, Signal: Signal{Rejected: true}, SentAt: time.Time{}})
+		first.HandleAnswer(&Answer{Endpoint: instance, Signal: Signal{Rejected: true}, SentAt: time.Time{}})
 	}
-	first.Received(&Answer{Endpoint: instance, Signal: Signal{}, SentAt: time.Time{}})
+	first.HandleAnswer(&Answer{Endpoint: instance, Signal: Signal{}, SentAt: time.Time{}})
 	run(c, first)
 	message := <-p.rejected
 	c.Check(message.Endpoints, qt.DeepEquals, []RejectedCount{{Endpoint: keys.OfEndpoint("a"), Rejected: 3, Taken: 1}})
-	second.ReceivedRejections("first", encode(c, message))
+	second.HandleRejections("first", encode(c, message))
 	c.Check(second.parts.Rejections.Shares(), qt.DeepEquals, first.parts.Rejections.Shares())
 	c.Check(second.outbox.rejected, qt.HasLen, 0)
-	first.Received(&Answer{Endpoint: instance, Signal: Signal{}, SentAt: time.Time{}})
+	first.HandleAnswer(&Answer{Endpoint: instance, Signal: Signal{}, SentAt: time.Time{}})
 	c.Check((<-p.rejected).Endpoints, qt.DeepEquals, []RejectedCount{{Endpoint: keys.OfEndpoint("a"), Taken: 1}})
 	// A faulty message has no more weight than maxReportedCount requests.
-	second.ReceivedRejections("first", encode(c, &Rejected{Endpoints: []RejectedCount{{Endpoint: 7, Rejected: math.MaxUint}}}))
-	second.ReceivedRejections("first", encode(c, &Rejected{Endpoints: []RejectedCount{{Endpoint: 7, Taken: maxReportedCount}}}))
+	second.HandleRejections("first", encode(c, &Rejected{Endpoints: []RejectedCount{{Endpoint: 7, Rejected: math.MaxUint}}}))
+	second.HandleRejections("first", encode(c, &Rejected{Endpoints: []RejectedCount{{Endpoint: 7, Taken: maxReportedCount}}}))
 	c.Check(second.parts.Rejections.Shares()[7] < 0.51, qt.IsTrue)
-	second.ReceivedRejections("first", []byte("no message"))
+	second.HandleRejections("first", []byte("no message"))
 }
 
 // TestFailuresAreSentToPeers checks that requests of a class that an endpoint fails and answers at one host are
@@ -148,19 +148,19 @@
 	second, _ := newTracker(c, newPeers())
 	class := EndpointClass{Endpoint: keys.OfEndpoint("a"), Class: 7}
 	for range 3 {
-		first.Received(&Answer{Endpoint: instance, Class: 7, Signal: Signal{Failed: true}})
+		first.HandleAnswer(&Answer{Endpoint: instance, Class: 7, Signal: Signal{Failed: true}})
 	}
-	first.Received(&Answer{Endpoint: instance, Class: 7})
-	first.Received(&Answer{Endpoint: instance, Class: 7, Signal: Signal{Rejected: true}})
-	first.Received(&Answer{Endpoint: instance, Class: 8})
+	first.HandleAnswer(&Answer{Endpoint: instance, Class: 7})
+	first.HandleAnswer(&Answer{Endpoint: instance, Class: 7, Signal: Signal{Rejected: true}})
+	first.HandleAnswer(&Answer{Endpoint: instance, Class: 8})
 	run(c, first)
 	<-p.rejected
 	message := <-p.failed
 	c.Check(message.Counts, qt.DeepEquals, []FailedCount{{Work: class, Failed: 3, Answered: 1}})
-	second.ReceivedFailures("first", encode(c, message))
+	second.HandleFailures("first", encode(c, message))
 	c.Check(second.parts.Failures.WorstExcess(class.Endpoint, 9) > 0.2, qt.IsTrue)
 	c.Check(second.outbox.failed, qt.HasLen, 0)
-	second.ReceivedFailures("first", []byte("no message"))
+	second.HandleFailures("first", []byte("no message"))
 }
 
 // TestGoldenFailed pins the encoded form, which hosts of other versions read.
@@ -182,16 +182,16 @@
 	second, _ := newTracker(c, newPeers())
 	run(c, first)
 	for _, limit := range []Limit{perSecond(2), {}} {
-		first.Received(&Answer{Endpoint: instance, Signal: Signal{Limit: limit}, SentAt: time.Now()})
+		first.HandleAnswer(&Answer{Endpoint: instance, Signal: Signal{Limit: limit}, SentAt: time.Now()})
 		for range 1 + announceRepeats {
-			second.ReceivedLimits("first", encode(c, <-p.limited))
+			second.HandleLimits("first", encode(c, <-p.limited))
 			c.Check(second.parts.Limits.Get(instance), qt.Equals, limit)
 		}
 	}
 	c.Check(second.outbox.isEmpty(), qt.IsTrue)
-	first.Received(&Answer{Endpoint: instance, Signal: Signal{MalformedLimit: "few"}, SentAt: time.Now()})
+	first.HandleAnswer(&Answer{Endpoint: instance, Signal: Signal{MalformedLimit: "few"}, SentAt: time.Now()})
 	c.Check(first.parts.Limits.Any(), qt.IsTrue, qt.Commentf("the end of the limit should still be recorded"))
-	second.ReceivedLimits("first", []byte("no message"))
+	second.HandleLimits("first", []byte("no message"))
 }
 
 // TestJoinedHostReceivesLeavingAndLimits has a host join after endpoints have reported that they are leaving, or
@@ -201,7 +201,7 @@
 	p := newPeers()
 	first, firstDirectory := newTracker(c, p)
 	firstDirectory.SetLeaving("b", "v1")
-	first.parts.Limits.Note(instance, perSecond(2), time.Now())
+	first.parts.Limits.Record(instance, perSecond(2), time.Now())
 	run(c, first)
 	first.Joined(envelope.Sender{Host: "newcomer"})
 	for range 1 + announceRepeats {
--- a/internal/front/ratelimit/limiter_test.go
+++ b/internal/front/ratelimit/limiter_test.go
@@ -83,7 +83,7 @@
 // setLimitAtAll has all hosts learn a limit.
 func (n *network) setLimitAtAll(perSecond float64) {
 	for _, h := range n.hosts {
-		h.limits.Note(limited, notice(perSecond).Limit, n.clock())
+		h.limits.Record(limited, notice(perSecond).Limit, n.clock())
 	}
 }
 
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -62,8 +62,8 @@
 
 // Signals takes what endpoints say of themselves. Its methods must not block.
 type Signals interface {
-	// Received is called with what the head of an answer says.
-	Received(answer *pushback.Answer)
+	// HandleAnswer is called with what the head of an answer says.
+	HandleAnswer(answer *pushback.Answer)
 }
 
 // Clock is the host's clock.
