--- a/internal/front/fx.go
+++ b/internal/front/fx.go
@@ -306,7 +306,7 @@
 	detector := poison.New(poison.Parts{
 		Peers: p.Gossip, Prober: p.Client, Store: p.Deployment.Poison, StoreTime: storeTime, Era: p.Freshness.Era, Log: logging.Part(p.Log, "poison"), Clock: p.Clock, Random: p.Random,
 	})
-	p.Gossip.Handle(envelope.KindPoison, detector.Received)
+	p.Gossip.Handle(envelope.KindPoison, detector.HandleReport)
 	return detector
 }
 
--- a/internal/front/poison/detector.go
+++ b/internal/front/poison/detector.go
@@ -164,8 +164,8 @@
 	d.evidenceChanged()
 }
 
-// Received handles a peer's Report, encoded as CBOR.
-func (d *Detector) Received(from envelope.Sender, body []byte) {
+// HandleReport handles a peer's Report, encoded as CBOR.
+func (d *Detector) HandleReport(from envelope.Sender, body []byte) {
 	var r Report
 	if err := cbor.Unmarshal(body, &r); err != nil {
 		d.parts.Log.WithError(err).WithField("peer", from.Host).Warn("peer's report can't be decoded; dropped")
--- a/internal/front/poison/detector_test.go
+++ b/internal/front/poison/detector_test.go
@@ -122,7 +122,7 @@
 	defer f.mu.Unlock()
 	for _, other := range f.hosts {
 		if other != h && !h.isolated && !other.isolated && f.random.Float64() >= f.loss {
-			go other.Received(envelope.Sender{Host: fmt.Sprint(h.place)}, body)
+			go other.HandleReport(envelope.Sender{Host: fmt.Sprint(h.place)}, body)
 		}
 	}
 }
@@ -136,7 +136,7 @@
 	defer f.mu.Unlock()
 	for _, other := range f.hosts {
 		if fmt.Sprint(other.place) == name && !h.isolated && !other.isolated {
-			go other.Received(envelope.Sender{Host: fmt.Sprint(h.place)}, body)
+			go other.HandleReport(envelope.Sender{Host: fmt.Sprint(h.place)}, body)
 		}
 	}
 }
--- a/internal/front/poison/messages_test.go
+++ b/internal/front/poison/messages_test.go
@@ -65,7 +65,7 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		d := newTestDetector(t)
-		d.Received(testSender, data)
+		d.HandleReport(testSender, data)
 		d.expire()
 		d.RecordAnswer(1)
 		d.sendReport()
