--- a/internal/front/aggregate/aggregate_test.go
+++ b/internal/front/aggregate/aggregate_test.go
@@ -163,7 +163,7 @@
 			// again.
 			for now := start; now.Before(start.Add(avoidTime / 2)); now = now.Add(Interval) {
 				if primary, backup = choice.Pick(now, "self", test.ranked); !test.unresponsive[primary] {
-					choice.Received(now, primary)
+					choice.RecordSum(now, primary)
 				}
 			}
 			c.Check(primary, qt.Equals, test.primary)
--- a/internal/front/aggregate/choice.go
+++ b/internal/front/aggregate/choice.go
@@ -23,8 +23,8 @@
 // Primary returns the aggregator whose sums this host uses, or an empty string if none was chosen.
 func (c *Choice) Primary() string { return c.primary }
 
-// Received records the arrival of a sum from an aggregator.
-func (c *Choice) Received(now time.Time, aggregator string) {
+// RecordSum records the arrival of a sum from an aggregator.
+func (c *Choice) RecordSum(now time.Time, aggregator string) {
 	if aggregator == c.primary {
 		c.receivedAt = now
 	}
