--- a/internal/front/pushback/limits.go
+++ b/internal/front/pushback/limits.go
@@ -87,7 +87,7 @@
 	return &Limits{clock: clock, byID: make(map[string]*knownLimit)}
 }
 
-// Record records the limit that an answer names, or that it names none. SentAt is when the answered request was sent.
+// Record stores the limit that an answer names, or that it names none. SentAt is when the answered request was sent.
 // It reports whether the endpoint's limit changed.
 func (l *Limits) Record(endpoint Instance, limit Limit, sentAt time.Time) bool {
 	if (!limit.IsSet && !l.Any()) || !limit.isValid() {
