--- a/internal/front/aggregate/aggregate.go
+++ b/internal/front/aggregate/aggregate.go
@@ -30,14 +30,14 @@
 // Work is the work of one host, or the sum over several hosts.
 type Work struct {
 	Loads   map[keys.Endpoint]placement.Load
-	Engines placement.Observed
+	Engines placement.EngineReports
 	// Holders are the endpoints to which prefixes were sent recently.
 	Holders []placement.Holder
 }
 
 // newWork returns the work of no hosts.
 func newWork() Work {
-	return Work{Loads: make(map[keys.Endpoint]placement.Load), Engines: make(placement.Observed)}
+	return Work{Loads: make(map[keys.Endpoint]placement.Load), Engines: make(placement.EngineReports)}
 }
 
 // add adds the loads and the engine observations of other; it leaves the holders as they are.
