--- a/internal/front/poison/detector_test.go
+++ b/internal/front/poison/detector_test.go
@@ -157,8 +157,8 @@
 	return order
 }
 
-// Ended implements Prober for all hosts.
-func (f *fleet) Ended(_ context.Context, address string) (bool, error) {
+// HasExited implements Prober for all hosts.
+func (f *fleet) HasExited(_ context.Context, address string) (bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.unresponsive[address] {
