--- a/internal/front/gossip/bounds_test.go
+++ b/internal/front/gossip/bounds_test.go
@@ -34,7 +34,7 @@
 // noReadersAge is the bound with all readers unresponsive, if the store answers only the last of the other hosts to
 // ask.
 func noReadersAge(hosts int) time.Duration {
-	return freshness.AskAfter + freshness.AskDelay(hosts-1) + follow.DutyCheck + usualStoreLatency + usualNetworkLatency
+	return freshness.AskAfter + freshness.AskDelay(hosts-1) + follow.DutyCheckInterval + usualStoreLatency + usualNetworkLatency
 }
 
 // deadConnectionsAge is the bound if all connections to the store get no more answers, and new ones work. The first
--- a/internal/front/gossip/fetch.go
+++ b/internal/front/gossip/fetch.go
@@ -17,7 +17,7 @@
 // syncWith starts a fetch of each topic of which a member has a newer revision.
 func (g *Gossip) syncWith(member Member) {
 	own := g.parts.Host.Revisions()
-	for t := range freshness.Topics {
+	for t := range freshness.NumTopics {
 		if isBehind(t, own, &member) && g.beginFetch(t) {
 			go g.syncTopic(t, member, own)
 		}
@@ -74,7 +74,7 @@
 func (g *Gossip) pollWhenStale(done <-chan struct{}) {
 	ticker := time.NewTicker(pollCheckInterval)
 	defer ticker.Stop()
-	var polledAt [freshness.Topics]time.Time
+	var polledAt [freshness.NumTopics]time.Time
 	for {
 		select {
 		case <-ticker.C:
@@ -83,7 +83,7 @@
 		}
 		before := g.Order().Before
 		now := g.parts.Clock()
-		for t := range freshness.Topics {
+		for t := range freshness.NumTopics {
 			if now.Sub(polledAt[t]) >= pollInterval && g.parts.Host.MustAsk(t, before) && g.beginFetch(t) {
 				polledAt[t] = now
 				go g.poll(t)
--- a/internal/front/gossip/gossip.go
+++ b/internal/front/gossip/gossip.go
@@ -147,7 +147,7 @@
 	reports      uint64
 	leaving      bool
 	// fetching is set for the topics that are being fetched.
-	fetching [freshness.Topics]bool
+	fetching [freshness.NumTopics]bool
 	sharing  workSharing
 }
 
--- a/internal/front/pushback/outbox.go
+++ b/internal/front/pushback/outbox.go
@@ -146,7 +146,7 @@
 // sendState sends the leaving endpoints and all limits to a host that has joined.
 func (t *Tracker) sendState(joined envelope.Sender) {
 	var leaving []Instance
-	for id, version := range t.parts.Directory.SaidLeaving() {
+	for id, version := range t.parts.Directory.ReportedLeaving() {
 		leaving = append(leaving, Instance{ID: id, Version: version})
 	}
 	var limits []LimitNotice
--- a/internal/front/pushback/tracker.go
+++ b/internal/front/pushback/tracker.go
@@ -19,8 +19,8 @@
 	// SetLeaving records that an endpoint has reported that it is leaving. It returns false if that was recorded
 	// before.
 	SetLeaving(id, version string) bool
-	// SaidLeaving returns the version of each endpoint that has reported that it is leaving, by ID.
-	SaidLeaving() map[string]string
+	// ReportedLeaving returns the version of each endpoint that has reported that it is leaving, by ID.
+	ReportedLeaving() map[string]string
 }
 
 // Peers reaches the other hosts. Messages may be lost.
