--- a/internal/front/followers.go
+++ b/internal/front/followers.go
@@ -41,7 +41,7 @@
 // answered returns what notes an answer for a topic and confirms it to peers.
 func (p *followerParts) answered(topic freshness.Topic) func(freshness.Answer) {
 	return func(answer freshness.Answer) {
-		p.Freshness.Answered(topic, answer)
+		p.Freshness.RecordAnswer(topic, answer)
 		p.Late.confirm()
 	}
 }
--- a/internal/front/freshness/freshness.go
+++ b/internal/front/freshness/freshness.go
@@ -105,9 +105,9 @@
 	return &State{parts: parts, started: now, store: storeClock{epoch: now}}
 }
 
-// Answered notes that the store has answered this host's call for a topic, and that the host has
+// RecordAnswer notes that the store has answered this host's call for a topic, and that the host has
 // put in force what the answer brought. An answer of an earlier era than is known counts for nothing.
-func (s *State) Answered(topic Topic, answer Answer) {
+func (s *State) RecordAnswer(topic Topic, answer Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.enter(era.Of(answer.Revision))
@@ -132,9 +132,9 @@
 	s.era, s.store = newest, storeClock{epoch: s.store.epoch}
 }
 
-// Confirmed notes the confirmation of a peer, which arrived just now. What the host lacks of it is confirmed once
+// RecordConfirmation notes the confirmation of a peer, which arrived just now. What the host lacks of it is confirmed once
 // the host has it.
-func (s *State) Confirmed(topic Topic, c Confirmation) {
+func (s *State) RecordConfirmation(topic Topic, c Confirmation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.enter(era.Of(c.Revision))
@@ -172,8 +172,8 @@
 	t.revision = max(t.revision, revision)
 }
 
-// Own returns what this host can confirm to others of a topic, or false if it knows of no confirmation.
-func (s *State) Own(topic Topic) (Confirmation, bool) {
+// OwnConfirmation returns what this host can confirm to others of a topic, or false if it knows of no confirmation.
+func (s *State) OwnConfirmation(topic Topic) (Confirmation, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := &s.topics[topic]
--- a/internal/front/freshness/freshness_test.go
+++ b/internal/front/freshness/freshness_test.go
@@ -61,7 +61,7 @@
 		t.Run(name, func(t *testing.T) {
 			state, now := newState()
 			for _, a := range test.answers {
-				state.Answered(Settings, a)
+				state.RecordAnswer(Settings, a)
 			}
 			*now = began.Add(test.at)
 			qt.Check(t, state.Age(Settings), qt.Equals, test.want)
@@ -76,7 +76,7 @@
 	state, now := newState()
 	for second := range 600 {
 		at := time.Duration(second) * time.Second
-		state.Answered(Settings, Answer{At: StoreTime(at), Sent: began.Add(at + at/1000 - 2*time.Second), Received: began.Add(at + at/1000)})
+		state.RecordAnswer(Settings, Answer{At: StoreTime(at), Sent: began.Add(at + at/1000 - 2*time.Second), Received: began.Add(at + at/1000)})
 		*now = began.Add(at + at/1000)
 		qt.Assert(t, state.Age(Settings) <= 2*clockWindow/1000, qt.IsTrue, qt.Commentf("%s after %s", state.Age(Settings), at))
 	}
@@ -102,7 +102,7 @@
 
 // hear takes a peer's confirmation of the settings.
 func (h *host) confirm(newest uint64, asOf time.Duration) {
-	h.Confirmed(Settings, Confirmation{Newest: newest, Revision: newest * 10, AsOf: StoreTime(asOf)})
+	h.RecordConfirmation(Settings, Confirmation{Newest: newest, Revision: newest * 10, AsOf: StoreTime(asOf)})
 }
 
 // TestAgesAcrossARestoreOfTheStore has the store come back with a clock of its own, which says less than before.
@@ -112,17 +112,17 @@
 	c.Assert(err, qt.IsNil)
 	h := newHost(50)
 	for topic := range Topics {
-		h.Answered(topic, Answer{Revision: 50, At: StoreTime(70 * time.Second), Sent: began, Received: began})
+		h.RecordAnswer(topic, Answer{Revision: 50, At: StoreTime(70 * time.Second), Sent: began, Received: began})
 	}
 	h.at(2 * time.Second)
-	h.Answered(Settings, Answer{Revision: restored, At: StoreTime(time.Second), Sent: *h.now, Received: *h.now})
+	h.RecordAnswer(Settings, Answer{Revision: restored, At: StoreTime(time.Second), Sent: *h.now, Received: *h.now})
 	h.at(3 * time.Second)
 	c.Check(h.Age(Settings), qt.Equals, time.Second)
 	c.Check(h.Age(Endpoints), qt.Equals, 3*time.Second, qt.Commentf("nothing is confirmed in the new era"))
-	h.Confirmed(Endpoints, Confirmation{Newest: 50, Revision: 60, AsOf: StoreTime(73 * time.Second)})
+	h.RecordConfirmation(Endpoints, Confirmation{Newest: 50, Revision: 60, AsOf: StoreTime(73 * time.Second)})
 	c.Check(h.Age(Endpoints), qt.Equals, 3*time.Second, qt.Commentf("a confirmation of before does not count"))
 	c.Check(h.MustAsk(Endpoints, 0), qt.IsTrue)
-	h.Confirmed(Endpoints, Confirmation{Newest: 50, Revision: restored, AsOf: StoreTime(2 * time.Second)})
+	h.RecordConfirmation(Endpoints, Confirmation{Newest: 50, Revision: restored, AsOf: StoreTime(2 * time.Second)})
 	c.Check(h.Age(Endpoints), qt.Equals, time.Duration(0))
 	c.Check(h.Revision(Endpoints), qt.Equals, restored)
 }
@@ -134,8 +134,8 @@
 	c.Assert(err, qt.IsNil)
 	h := newHost(50)
 	h.at(2 * time.Second)
-	h.Confirmed(Settings, Confirmation{Newest: 50, Revision: restored, AsOf: StoreTime(time.Second)})
-	h.Answered(Settings, Answer{Revision: 50, At: StoreTime(time.Hour), Sent: began, Received: *h.now})
+	h.RecordConfirmation(Settings, Confirmation{Newest: 50, Revision: restored, AsOf: StoreTime(time.Second)})
+	h.RecordAnswer(Settings, Answer{Revision: 50, At: StoreTime(time.Hour), Sent: began, Received: *h.now})
 	h.at(3 * time.Second)
 	c.Check(h.Age(Settings), qt.Equals, time.Second)
 	c.Check(h.Age(Endpoints), qt.Equals, Unknown)
@@ -192,7 +192,7 @@
 			test.play(h)
 			qt.Check(t, h.Age(Settings), qt.Equals, test.age)
 			qt.Check(t, h.Revision(Settings), qt.Equals, test.revision)
-			own, known := h.Own(Settings)
+			own, known := h.OwnConfirmation(Settings)
 			qt.Check(t, known, qt.Equals, test.age != Unknown)
 			qt.Check(t, own.Newest, qt.Equals, h.has)
 			qt.Check(t, own.Revision, qt.Equals, test.revision)
@@ -235,7 +235,7 @@
 				h := newHost(5)
 				since := time.Duration(begins) * 50 * ms
 				h.at(since)
-				h.Answered(Settings, answer(70*time.Second+since, since, since))
+				h.RecordAnswer(Settings, answer(70*time.Second+since, since, since))
 				hold := h.Hold(before, readers)
 				qt.Check(t, hold >= leastHold && hold < period+leastHold, qt.IsTrue, qt.Commentf("%s", hold))
 				qt.Check(t, (70*time.Second+since+hold)%period, qt.Equals, time.Duration(before%Readers)*Phase%period)
--- a/internal/front/peersync/freshness.go
+++ b/internal/front/peersync/freshness.go
@@ -11,7 +11,7 @@
 func (s *Sync) Confirmations() []gossip.TopicConfirmation {
 	confirmations := make([]gossip.TopicConfirmation, freshness.Topics)
 	for topic := range freshness.Topics {
-		own, ok := s.parts.Freshness.Own(topic)
+		own, ok := s.parts.Freshness.OwnConfirmation(topic)
 		if !ok {
 			return nil
 		}
@@ -31,7 +31,7 @@
 func (s *Sync) Confirmed(topics []gossip.TopicConfirmation) {
 	for topic := range min(len(topics), int(freshness.Topics)) {
 		c := &topics[topic]
-		s.parts.Freshness.Confirmed(freshness.Topic(topic), freshness.Confirmation{
+		s.parts.Freshness.RecordConfirmation(freshness.Topic(topic), freshness.Confirmation{
 			Newest: c.Newest, Revision: c.Revision, AsOf: freshness.StoreTime(time.Duration(c.AsOf) * time.Millisecond),
 		})
 	}
