--- a/internal/front/peersync/endpoints.go
+++ b/internal/front/peersync/endpoints.go
@@ -325,7 +325,7 @@
 	if err != nil {
 		return nil, merry.Wrap(err)
 	}
-	return pack.Patch(nil, data)
+	return pack.Compress(nil, data)
 }
 
 func decompressEntries(compressed []byte) ([]directory.Entry, error) {
@@ -342,7 +342,7 @@
 
 // decompressChanges returns the changes that compressChanges has compressed.
 func decompressChanges(compressed []byte) ([]directory.Change, error) {
-	data, err := pack.Apply(nil, compressed)
+	data, err := pack.Decompress(nil, compressed)
 	if err != nil {
 		return nil, err
 	}
