--- a/internal/front/followers.go
+++ b/internal/front/followers.go
@@ -62,7 +62,7 @@
 	}
 	before := order.Before
 	if !g.Settled() {
-		if state.Age(topic) == freshness.Unknown {
+		if state.Age(topic) == freshness.UnknownAge {
 			return follow.Duty{Call: true}
 		}
 		before = order.Hosts
--- a/internal/front/freshness/freshness_test.go
+++ b/internal/front/freshness/freshness_test.go
@@ -18,7 +18,7 @@
 func newState() (*State, *time.Time) {
 	now := began
 	has := func(Topic) uint64 { return 5 }
-	return New(Parts{Clock: func() time.Time { return now }, Has: has, Newest: has}), &now
+	return New(Parts{Clock: func() time.Time { return now }, KnownRevision: has, Newest: has}), &now
 }
 
 // answer is one of a store whose clock showed at, sent for and received some time after the start.
@@ -33,7 +33,7 @@
 		at   time.Duration
 		want time.Duration
 	}{
-		"nothing is confirmed": {nil, time.Second, Unknown},
+		"nothing is confirmed": {nil, time.Second, UnknownAge},
 		"an answer that was on its way for no time": {
 			[]Answer{answer(70*time.Second, 0, 0)}, time.Second, time.Second,
 		},
@@ -65,7 +65,7 @@
 			}
 			*now = began.Add(test.at)
 			qt.Check(t, state.Age(Settings), qt.Equals, test.want)
-			qt.Check(t, state.Age(Endpoints), qt.Equals, Unknown, qt.Commentf("nothing was said of the other topic"))
+			qt.Check(t, state.Age(Endpoints), qt.Equals, UnknownAge, qt.Commentf("nothing was said of the other topic"))
 		})
 	}
 }
@@ -93,7 +93,7 @@
 	now := began
 	h := &host{now: &now, has: has}
 	own := func(Topic) uint64 { return h.has }
-	h.State = New(Parts{Clock: func() time.Time { return now }, Has: own, Newest: own})
+	h.State = New(Parts{Clock: func() time.Time { return now }, KnownRevision: own, Newest: own})
 	return h
 }
 
@@ -111,7 +111,7 @@
 	restored, err := era.Revision(1, 4)
 	c.Assert(err, qt.IsNil)
 	h := newHost(50)
-	for topic := range Topics {
+	for topic := range NumTopics {
 		h.RecordAnswer(topic, Answer{Revision: 50, At: StoreTime(70 * time.Second), Sent: began, Received: began})
 	}
 	h.at(2 * time.Second)
@@ -138,7 +138,7 @@
 	h.RecordAnswer(Settings, Answer{Revision: 50, At: StoreTime(time.Hour), Sent: began, Received: *h.now})
 	h.at(3 * time.Second)
 	c.Check(h.Age(Settings), qt.Equals, time.Second)
-	c.Check(h.Age(Endpoints), qt.Equals, Unknown)
+	c.Check(h.Age(Endpoints), qt.Equals, UnknownAge)
 }
 
 func TestConfirmationsOfPeers(t *testing.T) {
@@ -184,7 +184,7 @@
 			h.confirm(5, 71*time.Second)
 			h.confirm(5, 72*time.Second)
 		}, 8 * time.Second, 50},
-		"none at all": {func(h *host) { h.at(time.Minute) }, Unknown, 0},
+		"none at all": {func(h *host) { h.at(time.Minute) }, UnknownAge, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -193,7 +193,7 @@
 			qt.Check(t, h.Age(Settings), qt.Equals, test.age)
 			qt.Check(t, h.Revision(Settings), qt.Equals, test.revision)
 			own, known := h.OwnConfirmation(Settings)
-			qt.Check(t, known, qt.Equals, test.age != Unknown)
+			qt.Check(t, known, qt.Equals, test.age != UnknownAge)
 			qt.Check(t, own.Newest, qt.Equals, h.has)
 			qt.Check(t, own.Revision, qt.Equals, test.revision)
 		})
--- a/internal/front/fx.go
+++ b/internal/front/fx.go
@@ -158,7 +158,7 @@
 func newFreshness(holder *settings.Holder, d *directory.Directory, clock func() time.Time) *freshness.State {
 	return freshness.New(freshness.Parts{
 		Clock: clock,
-		Has: func(topic freshness.Topic) uint64 {
+		KnownRevision: func(topic freshness.Topic) uint64 {
 			if topic == freshness.Settings {
 				return holder.Number()
 			}
--- a/internal/front/peersync/peersync_test.go
+++ b/internal/front/peersync/peersync_test.go
@@ -59,7 +59,7 @@
 	}
 	return New(Parts{
 		Placer: placement.New(d, pushback.NewRests(time.Now, func() float64 { return 0 }), pushback.NewRejections(time.Now), pushback.NewFailures(time.Now), nil, entry, time.Now, func() float64 { return 0 }, func() {}), Holder: holder, Directory: d, ReadsStore: reads,
-		Freshness: freshness.New(freshness.Parts{Clock: time.Now, Has: has, Newest: has}), Log: entry, Clock: time.Now,
+		Freshness: freshness.New(freshness.Parts{Clock: time.Now, KnownRevision: has, Newest: has}), Log: entry, Clock: time.Now,
 		Endpoints: NewEndpoints(EndpointsParts{Directory: d, Log: entry, Changed: changed, After: func(time.Duration, func()) {}}),
 		Settings: NewSettings(SettingsParts{
 			Decode: decodeConfiguration, Holder: holder, Counters: counters.New(), Log: entry, InForce: func(*settings.Tree) {},
