--- a/internal/front/fx.go
+++ b/internal/front/fx.go
@@ -190,14 +190,14 @@
 	return peersync.NewSettings(peersync.SettingsParts{
 		Decode: p.Deployment.Decode, Holder: p.Holder, Counters: p.Counters, Log: logging.Part(p.Log, "settings"),
 		InForce: p.Placer.SetSettings,
-		Changed: p.Late.revisionChanged, ReadsStore: p.Late.readsStore,
+		NotifyPeers: p.Late.revisionChanged, ReadsStore: p.Late.readsStore,
 		Age: func() time.Duration { return p.Freshness.Age(freshness.Settings) }, After: afterFunc,
 	})
 }
 
 func newEndpointsSink(d *directory.Directory, log *logrus.Logger, l *late) *peersync.Endpoints {
 	return peersync.NewEndpoints(peersync.EndpointsParts{
-		Directory: d, Log: logging.Part(log, "endpoints"), Changed: l.revisionChanged, After: afterFunc,
+		Directory: d, Log: logging.Part(log, "endpoints"), NotifyPeers: l.revisionChanged, After: afterFunc,
 	})
 }
 
--- a/internal/front/peersync/endpoints.go
+++ b/internal/front/peersync/endpoints.go
@@ -44,8 +44,8 @@
 type EndpointsParts struct {
 	Directory *directory.Directory
 	Log       *logrus.Entry
-	// Changed is called when a change should reach peers at once.
-	Changed func()
+	// NotifyPeers is called when a change should reach peers at once.
+	NotifyPeers func()
 	// After runs a function once a time has passed.
 	After func(wait time.Duration, run func())
 }
@@ -82,7 +82,7 @@
 	}
 	if len(batch.Items) > 0 {
 		s.sendDelta(from, batch.Revision, batch.Items)
-		s.parts.Changed()
+		s.parts.NotifyPeers()
 	}
 	s.applied(batch.Revision, fromStore, batch.Items)
 }
