--- a/internal/front/directory/changes.go
+++ b/internal/front/directory/changes.go
@@ -2,12 +2,12 @@
 
 import "oxbowslip.dev/oxbowslip/internal/settings"
 
-// mostLogged bounds the changes that are kept for peers which lack them, some 150 B each: what thousands of endpoints write
+// maxLoggedChanges bounds the changes that are kept for peers which lack them, some 150 B each: what thousands of endpoints write
 // that start or leave together.
-const mostLogged = 8192
+const maxLoggedChanges = 8192
 
-// logged is a change with its revision.
-type logged struct {
+// loggedChange is a change with its revision.
+type loggedChange struct {
 	revision uint64
 	change   Change
 	// onlyState is set if nothing of the entry but its state has changed.
@@ -16,46 +16,48 @@
 
 // changeLog holds the newest changes, the oldest first.
 type changeLog struct {
-	// from is the revision after which all changes are here, but for those within the gap.
-	from    uint64
-	gap     gap
-	changes []logged
+	// completeSince is the revision after which all changes are here, but for those within the gap.
+	completeSince uint64
+	gap           gap
+	changes       []loggedChange
 }
 
 // gap is a span of revisions, after one and before another, between which the store was restored. What differs from before it
 // is logged at its end. A peer within it may have seen changes that were lost, and that the log does not have.
 type gap struct{ after, before uint64 }
 
-// has reports whether a revision is within the gap.
-func (g *gap) has(revision uint64) bool { return revision > g.after && revision < g.before }
+// contains reports whether a revision is within the gap.
+func (g *gap) contains(revision uint64) bool { return revision > g.after && revision < g.before }
 
-// reaches reports whether all changes after a revision are here.
-func (l *changeLog) reaches(revision uint64) bool { return revision >= l.from && !l.gap.has(revision) }
+// isCompleteSince reports whether all changes after a revision are here.
+func (l *changeLog) isCompleteSince(revision uint64) bool {
+	return revision >= l.completeSince && !l.gap.contains(revision)
+}
 
 // add adds a change.
-func (l *changeLog) add(c logged) {
+func (l *changeLog) add(c loggedChange) {
 	l.changes = append(l.changes, c)
-	if len(l.changes) <= mostLogged {
+	if len(l.changes) <= maxLoggedChanges {
 		return
 	}
 	// The changes of one revision go together.
-	l.forget(l.changes[0].revision)
+	l.dropUpTo(l.changes[0].revision)
 }
 
-// restart forgets all changes up to a revision.
-func (l *changeLog) restart(revision uint64) { l.from, l.changes = revision, nil }
+// reset forgets all changes up to a revision.
+func (l *changeLog) reset(revision uint64) { l.completeSince, l.changes = revision, nil }
 
-// skip notes that the store was restored between two revisions. What is before an earlier gap is forgotten.
-func (l *changeLog) skip(after, to uint64) {
-	l.forget(l.gap.before)
+// recordRestore notes that the store was restored between two revisions. What is before an earlier gap is forgotten.
+func (l *changeLog) recordRestore(after, to uint64) {
+	l.dropUpTo(l.gap.before)
 	l.gap = gap{after: after, before: to}
 }
 
-// forget forgets the changes up to a revision.
-func (l *changeLog) forget(revision uint64) {
-	l.from = max(l.from, revision)
+// dropUpTo forgets the changes up to a revision.
+func (l *changeLog) dropUpTo(revision uint64) {
+	l.completeSince = max(l.completeSince, revision)
 	first := 0
-	for first < len(l.changes) && l.changes[first].revision <= l.from {
+	for first < len(l.changes) && l.changes[first].revision <= l.completeSince {
 		first++
 	}
 	l.changes = l.changes[first:]
@@ -73,7 +75,7 @@
 func (d *Directory) Since(revision uint64) (updates []Update, to uint64, ok bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	if !d.log.reaches(revision) {
+	if !d.log.isCompleteSince(revision) {
 		return nil, 0, false
 	}
 	newest := make(map[string]int)
@@ -116,11 +118,11 @@
 // logChange notes a change for peers that lack it. It is called before the change is made, with the lock held.
 func (d *Directory) logChange(change *Change) {
 	before, known := d.entries[change.Entry.ID]
-	d.log.add(logged{revision: d.revision, change: *change, onlyState: known && !change.Gone && differInState(&before.Endpoint, &change.Entry.Endpoint)})
+	d.log.add(loggedChange{revision: d.revision, change: *change, onlyState: known && !change.Gone && differOnlyInState(&before.Endpoint, &change.Entry.Endpoint)})
 }
 
-// differInState reports whether two entries differ in nothing but their state.
-func differInState(a, b *settings.Endpoint) bool {
+// differOnlyInState reports whether two entries differ in nothing but their state.
+func differOnlyInState(a, b *settings.Endpoint) bool {
 	same := *a
 	same.State = b.State
 	return same == *b
--- a/internal/front/directory/changes_test.go
+++ b/internal/front/directory/changes_test.go
@@ -59,8 +59,8 @@
 	return changes
 }
 
-// TestOnlyTheStateHasChanged finds out what of an entry peers need.
-func TestOnlyTheStateHasChanged(t *testing.T) {
+// TestOnlyStateMarksStateChanges finds out what of an entry peers need.
+func TestOnlyStateMarksStateChanges(t *testing.T) {
 	c := qt.New(t)
 	d := New()
 	put := func(revision uint64, version string, state settings.EndpointState) {
@@ -80,17 +80,17 @@
 	c.Check(New().Update(4, []Update{{Change: Change{Entry: Entry{ID: "e"}}, OnlyState: true}}), qt.IsFalse)
 }
 
-// TestChangesAreBounded keeps the newest changes, and says so where a peer lacks more.
-func TestChangesAreBounded(t *testing.T) {
+// TestChangeLogIsBounded keeps the newest changes, and says so where a peer lacks more.
+func TestChangeLogIsBounded(t *testing.T) {
 	c := qt.New(t)
 	d := New()
-	for revision := range uint64(mostLogged + 10) {
+	for revision := range uint64(maxLoggedChanges + 10) {
 		d.Apply(revision+1, []Change{{Entry: Entry{ID: fmt.Sprint("e", revision), Endpoint: settings.Endpoint{Service: fmt.Sprint("s", revision)}}}})
 	}
-	c.Check(len(d.log.changes) <= mostLogged, qt.IsTrue)
+	c.Check(len(d.log.changes) <= maxLoggedChanges, qt.IsTrue)
 	_, _, ok := d.Since(5)
 	c.Check(ok, qt.IsFalse)
 	updates, _, ok := d.Since(10)
 	c.Check(ok, qt.IsTrue)
-	c.Check(updates, qt.HasLen, mostLogged)
+	c.Check(updates, qt.HasLen, maxLoggedChanges)
 }
--- a/internal/front/directory/directory.go
+++ b/internal/front/directory/directory.go
@@ -53,18 +53,18 @@
 	leaving map[string][]*Entry
 	// lapsed are the entries that are kept although they were removed, with the revision at
 	// which that was: see lapse.go.
-	lapsed marks
-	// announced are those that have said themselves that they leave: see leaving.go.
-	announced starts
+	lapsed revisionByID
+	// reportedLeaving are those that have said themselves that they leave: see leaving.go.
+	reportedLeaving versionSet
 	// removed are those whose entries went, doubted those of them that an older copy of the store has brought back, with the
 	// revision at which that was: see returned.go.
-	removed starts
-	doubted marks
+	removed  versionSet
+	returned revisionByID
 	// log holds the newest changes, for peers: see changes.go.
 	log changeLog
-	// again are the endpoints that have started again under their IDs in the change at hand, onRestart is called with
+	// restarted are the endpoints that have started again under their IDs in the change at hand, onRestart is called with
 	// each once the lock is free.
-	again     []string
+	restarted []string
 	onRestart func(id string)
 }
 
@@ -72,7 +72,7 @@
 func New() *Directory {
 	return &Directory{
 		onRestart: func(string) {}, entries: make(map[string]*Entry), serving: make(map[string][]*Entry), leaving: make(map[string][]*Entry),
-		lapsed: make(marks), doubted: make(marks),
+		lapsed: make(revisionByID), returned: make(revisionByID),
 	}
 }
 
@@ -97,14 +97,14 @@
 // Apply applies changes that lead to a revision. It reports false, and changes nothing, if the
 // revision is not newer.
 func (d *Directory) Apply(revision uint64, changes []Change) bool {
-	return d.change(func() bool { return d.apply(revision, changes) })
+	return d.applyAndNotify(func() bool { return d.apply(revision, changes) })
 }
 
-// change makes a change, and notifies of the endpoints that have started again.
-func (d *Directory) change(do func() bool) bool {
+// applyAndNotify makes a change, and notifies of the endpoints that have started again.
+func (d *Directory) applyAndNotify(do func() bool) bool {
 	d.mu.Lock()
-	done, again := do(), d.again
-	d.again = nil
+	done, again := do(), d.restarted
+	d.restarted = nil
 	d.mu.Unlock()
 	for _, id := range again {
 		d.onRestart(id)
@@ -119,7 +119,7 @@
 	}
 	restored := d.isRestore(revision)
 	if restored {
-		d.log.skip(d.revision, revision)
+		d.log.recordRestore(d.revision, revision)
 	}
 	d.revision = revision
 	if len(changes) == 0 {
@@ -144,7 +144,7 @@
 			d.set(change.Entry, restored)
 		}
 	}
-	d.index()
+	d.rebuildIndex()
 	return true
 }
 
@@ -156,7 +156,7 @@
 // Replace replaces the whole directory. It reports false, and changes nothing, if the snapshot
 // is not newer. After a restore of the store, the changes that lead from what was known are kept for peers, too.
 func (d *Directory) Replace(snapshot Snapshot) bool {
-	return d.change(func() bool { return d.replace(snapshot) })
+	return d.applyAndNotify(func() bool { return d.replace(snapshot) })
 }
 
 // replace is Replace with the lock held.
@@ -165,9 +165,9 @@
 		return false
 	}
 	restored := d.isRestore(snapshot.Revision)
-	set, gone := d.difference(snapshot.Entries)
+	set, gone := d.diff(snapshot.Entries)
 	if restored {
-		d.log.skip(d.revision, snapshot.Revision)
+		d.log.recordRestore(d.revision, snapshot.Revision)
 	}
 	d.revision = snapshot.Revision
 	d.changed = max(d.changed, snapshot.Changed)
@@ -188,15 +188,15 @@
 		d.set(entry, restored)
 	}
 	if !restored {
-		d.log.restart(snapshot.Revision)
+		d.log.reset(snapshot.Revision)
 	}
-	d.index()
+	d.rebuildIndex()
 	return true
 }
 
-// difference returns the entries of a list that are not known as they are there, and the IDs of those that are known and not
+// diff returns the entries of a list that are not known as they are there, and the IDs of those that are known and not
 // listed. Entries that have lapsed count as not known. The lock is held.
-func (d *Directory) difference(entries []Entry) (set []Entry, gone []string) {
+func (d *Directory) diff(entries []Entry) (set []Entry, gone []string) {
 	listed := make(map[string]bool, len(entries))
 	for _, entry := range entries {
 		listed[entry.ID] = true
@@ -295,17 +295,17 @@
 	delete(d.lapsed, entry.ID)
 	before, known := d.entries[entry.ID]
 	if known && before.Endpoint.Version != entry.Endpoint.Version {
-		d.again = append(d.again, entry.ID)
+		d.restarted = append(d.restarted, entry.ID)
 	}
 	if restored && known {
-		d.keepLeaving(before, entry.Endpoint.Version)
+		d.preserveLeaving(before, entry.Endpoint.Version)
 	}
-	d.doubt(&entry, known, restored)
+	d.markReturned(&entry, known, restored)
 	d.entries[entry.ID] = &entry
 }
 
-// index rebuilds the lists of each service. The lock is held.
-func (d *Directory) index() {
+// rebuildIndex rebuilds the lists of each service. The lock is held.
+func (d *Directory) rebuildIndex() {
 	d.serving = make(map[string][]*Entry, len(d.serving))
 	d.leaving = make(map[string][]*Entry)
 	for _, entry := range d.entries {
@@ -318,9 +318,9 @@
 	}
 	for _, lists := range []map[string][]*Entry{d.serving, d.leaving} {
 		for _, entries := range lists {
-			slices.SortFunc(entries, byID)
+			slices.SortFunc(entries, compareByID)
 		}
 	}
 }
 
-func byID(a, b *Entry) int { return cmp.Compare(a.ID, b.ID) }
+func compareByID(a, b *Entry) int { return cmp.Compare(a.ID, b.ID) }
--- a/internal/front/directory/directory_test.go
+++ b/internal/front/directory/directory_test.go
@@ -50,9 +50,9 @@
 	c.Check(ids(older.Serving("s")), qt.DeepEquals, []string{"x"})
 }
 
-// TestAnEntryThatWentIsAChange is a reader whose feed lost its history while a server
+// TestRemovalInSnapshotIsAChange is a reader whose feed lost its history while a server
 // left: it reads the table whole, and the hosts that rely on it must hear of it.
-func TestAnEntryThatWentIsAChange(t *testing.T) {
+func TestRemovalInSnapshotIsAChange(t *testing.T) {
 	tests := map[string]struct {
 		entries []Entry
 		changed uint64
@@ -71,9 +71,9 @@
 	}
 }
 
-// TestTheLastChangeCounts is scale-2 of the canal site: a server that left and ended
+// TestLastChangeInBatchApplies is scale-2 of the canal site: a server that left and ended
 // between two reads of the feed stayed in the directory for good.
-func TestTheLastChangeCounts(t *testing.T) {
+func TestLastChangeInBatchApplies(t *testing.T) {
 	set := func(state settings.EndpointState) Change { return Change{Entry: entry("a", "s", state)} }
 	gone := Change{Entry: Entry{ID: "a"}, Gone: true}
 	tests := map[string]struct {
@@ -100,8 +100,8 @@
 	}
 }
 
-// TestAnEndpointThatStartsAgain has an endpoint start again under its ID: who asks is notified, with the lock free.
-func TestAnEndpointThatStartsAgain(t *testing.T) {
+// TestRestartedEndpointIsReported has an endpoint start again under its ID: who asks is notified, with the lock free.
+func TestRestartedEndpointIsReported(t *testing.T) {
 	c := qt.New(t)
 	d := New()
 	var again []string
--- a/internal/front/directory/lapse.go
+++ b/internal/front/directory/lapse.go
@@ -11,10 +11,10 @@
 // which said that it leaves, are kept for a while. A call to an endpoint that is really gone
 // fails as it would have before.
 const (
-	// minLapsed is how many entries of a service must be removed at once. One endpoint alone goes every day.
-	minLapsed = 2
-	// lapsedShare is the share of the service's entries that must be removed at once.
-	lapsedShare = 0.5
+	// minLapsedEntries is how many entries of a service must be removed at once. One endpoint alone goes every day.
+	minLapsedEntries = 2
+	// minLapsedShare is the share of the service's entries that must be removed at once.
+	minLapsedShare = 0.5
 	// LapseGrace is how long lapsed entries are kept: longer than the endpoints need to write
 	// them again, and less than the two seconds in which the users expect that an endpoint
 	// that left gets no more work.
@@ -24,7 +24,7 @@
 // isLapse reports whether a number of entries of a service that are removed at once, of those
 // that took new work, have lapsed rather than left.
 func isLapse(removed, serving int) bool {
-	return removed >= minLapsed && float64(removed) >= lapsedShare*float64(serving)
+	return removed >= minLapsedEntries && float64(removed) >= minLapsedShare*float64(serving)
 }
 
 // remove removes entries, or keeps them for a while if they have lapsed. After a restore of the store all count as lapsed: an
@@ -54,7 +54,7 @@
 
 // drop removes an entry that has gone. The lock is held.
 func (d *Directory) drop(entry *Entry) {
-	delete(d.doubted, entry.ID)
+	delete(d.returned, entry.ID)
 	delete(d.entries, entry.ID)
 	d.removed.add(entry.ID, entry.Endpoint.Version)
 }
@@ -63,7 +63,7 @@
 func (d *Directory) CountLapsed(revision uint64) int {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return d.lapsed.count(revision)
+	return d.lapsed.countAt(revision)
 }
 
 // DropLapsed removes the entries that lapsed at a revision or before and have not come back,
@@ -71,21 +71,21 @@
 func (d *Directory) DropLapsed(revision uint64) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	dropped := d.lapsed.take(revision)
+	dropped := d.lapsed.removeUpTo(revision)
 	for _, id := range dropped {
 		d.drop(d.entries[id])
 	}
 	if len(dropped) > 0 {
-		d.index()
+		d.rebuildIndex()
 	}
 	return dropped
 }
 
-// marks are entries that are treated in a certain way for a while, with the revision at which that began.
-type marks map[string]uint64
+// revisionByID are entries that are treated in a certain way for a while, with the revision at which that began.
+type revisionByID map[string]uint64
 
-// count returns the number of entries that were marked at a revision.
-func (m marks) count(revision uint64) int {
+// countAt returns the number of entries that were marked at a revision.
+func (m revisionByID) countAt(revision uint64) int {
 	count := 0
 	for _, at := range m {
 		if at == revision {
@@ -95,8 +95,8 @@
 	return count
 }
 
-// take removes the marks of a revision or before, and returns the entries' IDs, sorted.
-func (m marks) take(revision uint64) []string {
+// removeUpTo removes the marks of a revision or before, and returns the entries' IDs, sorted.
+func (m revisionByID) removeUpTo(revision uint64) []string {
 	var taken []string
 	for id, at := range m {
 		if at <= revision {
--- a/internal/front/directory/lapse_test.go
+++ b/internal/front/directory/lapse_test.go
@@ -8,9 +8,9 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// TestLapse is a store that was away for longer than entries last: on its return all of
+// TestEntriesRemovedTogetherAreKept is a store that was away for longer than entries last: on its return all of
 // them were gone at once, and requests were refused for a second for want of endpoints.
-func TestLapse(t *testing.T) {
+func TestEntriesRemovedTogetherAreKept(t *testing.T) {
 	gone := func(names ...string) []Change {
 		var changes []Change
 		for _, id := range names {
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestALapsedEntryComesBack(t *testing.T) {
+func TestLapsedEntryReturns(t *testing.T) {
 	c := qt.New(t)
 	d := New()
 	d.Apply(3, []Change{{Entry: entry("a", "s", settings.StateIn)}, {Entry: entry("b", "s", settings.StateIn)}})
--- a/internal/front/directory/leaving.go
+++ b/internal/front/directory/leaving.go
@@ -6,12 +6,12 @@
 // store is away. It holds for that start of the endpoint, so that neither an older entry nor one that is read again takes it
 // back; an endpoint that has started again under its ID has another version and takes new work.
 
-// maxStarts bounds the starts of endpoints that are kept; the oldest goes first. Some 100 B each. More than all
+// maxVersions bounds the starts of endpoints that are kept; the oldest goes first. Some 100 B each. More than all
 // endpoints of the largest fleet, each once.
-const maxStarts = 4096
+const maxVersions = 4096
 
-// starts is a set of starts of endpoints, the last of each endpoint.
-type starts struct {
+// versionSet is a set of starts of endpoints, the last of each endpoint.
+type versionSet struct {
 	// versions are those of the starts, by ID.
 	versions map[string]string
 	// order holds the IDs, the oldest first.
@@ -19,7 +19,7 @@
 }
 
 // add adds a start, and reports whether it is new.
-func (s *starts) add(id, version string) bool {
+func (s *versionSet) add(id, version string) bool {
 	known, again := s.versions[id]
 	if again && known == version {
 		return false
@@ -32,7 +32,7 @@
 		return true
 	}
 	s.order = append(s.order, id)
-	if len(s.order) > maxStarts {
+	if len(s.order) > maxVersions {
 		delete(s.versions, s.order[0])
 		s.order = s.order[1:]
 	}
@@ -40,16 +40,16 @@
 }
 
 // has reports whether a start is in the set.
-func (s *starts) has(id, version string) bool {
+func (s *versionSet) has(id, version string) bool {
 	known, ok := s.versions[id]
 	return ok && known == version
 }
 
-// keepLeaving has an endpoint that leaves by its entry go on doing so whatever an older copy of the entry says, until it
+// preserveLeaving has an endpoint that leaves by its entry go on doing so whatever an older copy of the entry says, until it
 // starts again with another version. The lock is held.
-func (d *Directory) keepLeaving(e *Entry, version string) {
+func (d *Directory) preserveLeaving(e *Entry, version string) {
 	if e.Endpoint.State == settings.StateOut && e.Endpoint.Version == version {
-		d.announced.add(e.ID, version)
+		d.reportedLeaving.add(e.ID, version)
 	}
 }
 
@@ -60,11 +60,11 @@
 	defer d.mu.Unlock()
 	entry, known := d.entries[id]
 	before := known && d.isLeaving(entry)
-	if !d.announced.add(id, version) {
+	if !d.reportedLeaving.add(id, version) {
 		return false
 	}
 	if known {
-		d.index()
+		d.rebuildIndex()
 	}
 	return !before
 }
@@ -80,8 +80,8 @@
 // isLeaving reports whether an endpoint takes no new work any more, by its entry, its own word, or since the entry is doubted.
 // The lock is held.
 func (d *Directory) isLeaving(e *Entry) bool {
-	_, doubted := d.doubted[e.ID]
-	return doubted || e.Endpoint.State == settings.StateOut || d.announced.has(e.ID, e.Endpoint.Version)
+	_, doubted := d.returned[e.ID]
+	return doubted || e.Endpoint.State == settings.StateOut || d.reportedLeaving.has(e.ID, e.Endpoint.Version)
 }
 
 // ReportedLeaving returns the starts of endpoints that have said themselves that they leave, the version by ID.
@@ -90,7 +90,7 @@
 	defer d.mu.RUnlock()
 	said := make(map[string]string)
 	for id, entry := range d.entries {
-		if version := entry.Endpoint.Version; d.announced.has(id, version) {
+		if version := entry.Endpoint.Version; d.reportedLeaving.has(id, version) {
 			said[id] = version
 		}
 	}
--- a/internal/front/directory/leaving_test.go
+++ b/internal/front/directory/leaving_test.go
@@ -9,8 +9,8 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// TestItsOwnWord has an endpoint say itself that it leaves, before or after what the store brings.
-func TestItsOwnWord(t *testing.T) {
+// TestEndpointReportsLeaving has an endpoint say itself that it leaves, before or after what the store brings.
+func TestEndpointReportsLeaving(t *testing.T) {
 	at := func(version string, state settings.EndpointState) Change {
 		return Change{Entry: Entry{ID: "a", Endpoint: settings.Endpoint{Service: "llm", Version: version, State: state}}}
 	}
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestItsOwnWordBeforeItsEntry has a peer bring the word of an endpoint whose entry is not known yet.
-func TestItsOwnWordBeforeItsEntry(t *testing.T) {
+// TestLeavingReportedBeforeEntryArrives has a peer bring the word of an endpoint whose entry is not known yet.
+func TestLeavingReportedBeforeEntryArrives(t *testing.T) {
 	c := qt.New(t)
 	d := New()
 	c.Check(d.SetLeaving("a", "v1"), qt.IsTrue)
@@ -60,15 +60,15 @@
 	c.Check(d.Snapshot().Entries[0].Endpoint.State, qt.Equals, settings.StateIn)
 }
 
-func TestOwnWordsAreBounded(t *testing.T) {
+func TestVersionSetIsBounded(t *testing.T) {
 	c := qt.New(t)
-	var a starts
-	for n := range 2 * maxStarts {
+	var a versionSet
+	for n := range 2 * maxVersions {
 		a.add(strconv.Itoa(n), "v1")
 		a.add(strconv.Itoa(n), "v2")
 	}
-	c.Check(a.versions, qt.HasLen, maxStarts)
-	c.Check(a.order, qt.HasLen, maxStarts)
-	c.Check(a.has(strconv.Itoa(2*maxStarts-1), "v2"), qt.IsTrue)
+	c.Check(a.versions, qt.HasLen, maxVersions)
+	c.Check(a.order, qt.HasLen, maxVersions)
+	c.Check(a.has(strconv.Itoa(2*maxVersions-1), "v2"), qt.IsTrue)
 	c.Check(a.has("0", "v2"), qt.IsFalse)
 }
--- a/internal/front/directory/restore_test.go
+++ b/internal/front/directory/restore_test.go
@@ -22,8 +22,8 @@
 	return revision
 }
 
-// TestAnOlderCopyTakesNoLeavingBack guards against new work for an endpoint that leaves and is ready in an older copy.
-func TestAnOlderCopyTakesNoLeavingBack(t *testing.T) {
+// TestOlderCopyDoesNotRevertLeaving guards against new work for an endpoint that leaves and is ready in an older copy.
+func TestOlderCopyDoesNotRevertLeaving(t *testing.T) {
 	in := entry("a", "s", settings.StateIn)
 	other := entry("b", "s", settings.StateIn)
 	again := in
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestAnOlderCopyBringsAnEndpointBack guards against new work for an endpoint whose entry had gone and is in an older copy.
-func TestAnOlderCopyBringsAnEndpointBack(t *testing.T) {
+// TestOlderCopyDoesNotReviveRemovedEndpoint guards against new work for an endpoint whose entry had gone and is in an older copy.
+func TestOlderCopyDoesNotReviveRemovedEndpoint(t *testing.T) {
 	in, other := entry("a", "s", settings.StateIn), entry("b", "s", settings.StateIn)
 	again := in
 	again.Endpoint.Version = "v1 of 2"
@@ -104,9 +104,9 @@
 	}
 }
 
-// TestAnOlderCopyBringsLapsedEndpointsBack guards against new work for endpoints that went with most of their service, did not
+// TestOlderCopyDoesNotReviveLapsedEndpoints guards against new work for endpoints that went with most of their service, did not
 // come back in time, and are in an older copy.
-func TestAnOlderCopyBringsLapsedEndpointsBack(t *testing.T) {
+func TestOlderCopyDoesNotReviveLapsedEndpoints(t *testing.T) {
 	c := qt.New(t)
 	d := New()
 	all := []Entry{entry("a", "s", settings.StateIn), entry("b", "s", settings.StateIn), entry("c", "s", settings.StateIn)}
@@ -119,8 +119,8 @@
 	c.Check(ids(d.Serving("s")), qt.DeepEquals, []string{"a", "b", "c"})
 }
 
-// TestPeersFollowIntoAnEra has hosts read a store that is restored again and again, or follow each other by changes.
-func TestPeersFollowIntoAnEra(t *testing.T) {
+// TestPeersFollowIntoNewEra has hosts read a store that is restored again and again, or follow each other by changes.
+func TestPeersFollowIntoNewEra(t *testing.T) {
 	c := qt.New(t)
 	random := rand.New(rand.NewPCG(3, 4))
 	// writes are those that the store has, each at the number of its place.
--- a/internal/front/directory/returned.go
+++ b/internal/front/directory/returned.go
@@ -8,12 +8,12 @@
 // ReturnGrace is longer than the store keeps an entry that its endpoint does not renew.
 const ReturnGrace = 5 * time.Second
 
-// doubt notes whether an entry that is set is one that an older copy of the store has brought back. The lock is held.
-func (d *Directory) doubt(entry *Entry, known, restored bool) {
-	_, doubted := d.doubted[entry.ID]
-	delete(d.doubted, entry.ID)
+// markReturned notes whether an entry that is set is one that an older copy of the store has brought back. The lock is held.
+func (d *Directory) markReturned(entry *Entry, known, restored bool) {
+	_, doubted := d.returned[entry.ID]
+	delete(d.returned, entry.ID)
 	if restored && (doubted || (!known && d.removed.has(entry.ID, entry.Endpoint.Version))) {
-		d.doubted[entry.ID] = d.revision
+		d.returned[entry.ID] = d.revision
 	}
 }
 
@@ -21,7 +21,7 @@
 func (d *Directory) CountReturned(revision uint64) int {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return d.doubted.count(revision)
+	return d.returned.countAt(revision)
 }
 
 // AcceptReturned has the endpoints take new work whose entries were brought back at a revision or before and are still there. It returns
@@ -29,9 +29,9 @@
 func (d *Directory) AcceptReturned(revision uint64) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	trusted := d.doubted.take(revision)
+	trusted := d.returned.removeUpTo(revision)
 	if len(trusted) > 0 {
-		d.index()
+		d.rebuildIndex()
 	}
 	return trusted
 }
--- a/internal/front/follow/follow.go
+++ b/internal/front/follow/follow.go
@@ -28,8 +28,8 @@
 // ErrHistoryGone is returned by a Source that no longer has the changes since a revision.
 var ErrHistoryGone = merry.Sentinel("the store has dropped these changes")
 
-// errBehind: the store answered as of before what it has answered already, such as a copy that was left behind.
-var errBehind = merry.Sentinel("the store is behind what is known")
+// errStoreBehind: the store answered as of before what it has answered already, such as a copy that was left behind.
+var errStoreBehind = merry.Sentinel("the store is behind what is known")
 
 // Batch is a part of a table's history, or the whole table.
 type Batch[T any] struct {
@@ -84,26 +84,26 @@
 	HeldTimeout = 500 * time.Millisecond
 )
 
-// heldFor returns how long the store may hold the next call of a host. After a failure it may not
+// holdTime returns how long the store may hold the next call of a host. After a failure it may not
 // hold it at all: a silent store would never answer a call that it holds, and its return would go
 // unnoticed for so long that a change misses its bound (docs/incidents, store-silent).
-func heldFor(duty Duty, failures int) time.Duration {
+func holdTime(duty Duty, failures int) time.Duration {
 	if failures > 0 {
 		return 0
 	}
 	return duty.Hold
 }
 
-// reasonOf returns why a host waits for changes.
-func reasonOf(duty Duty) counters.StoreCall {
+// callReason returns why a host waits for changes.
+func callReason(duty Duty) counters.StoreCall {
 	if duty.Reads {
 		return counters.StoreReads
 	}
 	return counters.StoreAsks
 }
 
-// timeoutOf returns how long a call may take that the store may hold for a time.
-func timeoutOf(held time.Duration) time.Duration { return max(held+HeldTimeout, CallTimeout) }
+// callTimeout returns how long a call may take that the store may hold for a time.
+func callTimeout(held time.Duration) time.Duration { return max(held+HeldTimeout, CallTimeout) }
 
 // FirstBackoff is the wait after a first call that failed.
 const FirstBackoff = 150 * time.Millisecond
@@ -114,8 +114,8 @@
 var storeBackoff = backoff.Doubling{First: FirstBackoff, Longest: time.Second}
 
 const (
-	// leastBackoff is the part of storeBackoff and of Duty.Retry that is always waited.
-	leastBackoff = 0.5
+	// minBackoffShare is the part of storeBackoff and of Duty.Retry that is always waited.
+	minBackoffShare = 0.5
 	// Spacing is the least time between a change and the next call: changes that come close together are read in one
 	// call.
 	Spacing = 250 * time.Millisecond
@@ -147,18 +147,18 @@
 	parts Parts[T]
 	// reading is set while the host reads for others and its last call was answered.
 	reading atomic.Bool
-	// silentAt is when the call under way counts as silent.
-	silentAt atomic.Pointer[time.Time]
+	// unresponsiveAt is when the call under way counts as silent.
+	unresponsiveAt atomic.Pointer[time.Time]
 
 	// The rest is used by Run only.
 
 	// loaded is set once the table has been read whole: that of a store that is still empty is at
 	// revision 0.
 	loaded bool
-	// gone is set if the store no longer has the changes that this host lacks, goneInRow counts how often it said so while the
+	// historyGone is set if the store no longer has the changes that this host lacks, historyGoneInRow counts how often it said so while the
 	// table did not help.
-	gone      bool
-	goneInRow int
+	historyGone      bool
+	historyGoneInRow int
 	// failures counts the calls that failed in a row, lostAt is when the first did.
 	failures int
 	lostAt   time.Time
@@ -174,8 +174,8 @@
 // IsReading reports whether the host reads the table for others and gets answers: its last call brought one,
 // and the call under way is not silent for too long.
 func (f *Follower[T]) IsReading() bool {
-	silentAt := f.silentAt.Load()
-	return f.reading.Load() && silentAt != nil && f.parts.Clock().Before(*silentAt)
+	unresponsiveAt := f.unresponsiveAt.Load()
+	return f.reading.Load() && unresponsiveAt != nil && f.parts.Clock().Before(*unresponsiveAt)
 }
 
 // Run follows the table until done is closed.
@@ -187,15 +187,15 @@
 		if !duty.Reads {
 			f.stopReading()
 		}
-		if !f.isDue(duty) {
+		if !f.mustCall(duty) {
 			lifetime.Sleep(ctx, DutyCheckInterval)
 			continue
 		}
-		isLast, err := f.step(ctx, duty)
+		isLast, err := f.readNext(ctx, duty)
 		if ctx.Err() != nil {
 			return
 		}
-		f.note(duty, err)
+		f.recordOutcome(duty, err)
 		switch {
 		case err != nil:
 			f.backOff(ctx, duty)
@@ -212,27 +212,27 @@
 	}
 }
 
-// isDue reports whether this host is to call the store now.
-func (f *Follower[T]) isDue(duty Duty) bool {
+// mustCall reports whether this host is to call the store now.
+func (f *Follower[T]) mustCall(duty Duty) bool {
 	return duty.Reads || (duty.Call && !f.parts.Clock().Before(f.retryAt))
 }
 
-// step reads the table whole, or waits for its next changes and reports whether the last of them have come.
-func (f *Follower[T]) step(ctx context.Context, duty Duty) (isLast bool, err error) {
+// readNext reads the table whole, or waits for its next changes and reports whether the last of them have come.
+func (f *Follower[T]) readNext(ctx context.Context, duty Duty) (isLast bool, err error) {
 	position := f.parts.Position()
-	if f.gone || (position == 0 && !f.loaded) {
+	if f.historyGone || (position == 0 && !f.loaded) {
 		return false, f.load(ctx, position)
 	}
-	f.parts.CountCall(reasonOf(duty))
-	held := heldFor(duty, f.failures)
-	sent := f.begin(held)
+	f.parts.CountCall(callReason(duty))
+	held := holdTime(duty, f.failures)
+	sent := f.beginCall(held)
 	batch, err := f.wait(ctx, position, held)
 	if errors.Is(err, ErrHistoryGone) {
-		f.lostHistory(ctx, position)
+		f.handleHistoryGone(ctx, position)
 		return false, nil
 	}
 	if err == nil {
-		err = checkAge(position, batch.Revision)
+		err = checkNotBehind(position, batch.Revision)
 	}
 	if err != nil {
 		return false, err
@@ -241,80 +241,80 @@
 		era.Log(f.parts.Log, position).WithFields(logrus.Fields{
 			"store_revision": era.Number(batch.Revision), "store_era": era.Of(batch.Revision),
 		}).Warn("the store came back from an older copy, the table is read again")
-		f.gone = true
+		f.historyGone = true
 		return false, nil
 	}
 	if batch.Revision > position {
 		f.parts.Sink.Apply(batch)
 	}
-	f.goneInRow = 0
-	f.answered(sent, batch.Revision, batch.At)
+	f.historyGoneInRow = 0
+	f.reportAnswer(sent, batch.Revision, batch.At)
 	return len(batch.Items) > 0 && !batch.IsPage, nil
 }
 
-// lostHistory has the table read again. If that has not helped before, it waits first, as for a store that is away.
-func (f *Follower[T]) lostHistory(ctx context.Context, position uint64) {
+// handleHistoryGone has the table read again. If that has not helped before, it waits first, as for a store that is away.
+func (f *Follower[T]) handleHistoryGone(ctx context.Context, position uint64) {
 	era.Log(f.parts.Log, position).Warn("history is gone, the table is read again")
-	f.gone = true
-	f.goneInRow++
-	if f.goneInRow > 1 {
-		lifetime.Sleep(ctx, backoff.Jitter(storeBackoff.Span(f.goneInRow-2), leastBackoff, f.parts.Random()))
+	f.historyGone = true
+	f.historyGoneInRow++
+	if f.historyGoneInRow > 1 {
+		lifetime.Sleep(ctx, backoff.Jitter(storeBackoff.Span(f.historyGoneInRow-2), minBackoffShare, f.parts.Random()))
 	}
 }
 
-// checkAge returns an error if an answer is of before what was known when its call was sent: what it says of now is not true.
-func checkAge(position, revision uint64) error {
+// checkNotBehind returns an error if an answer is of before what was known when its call was sent: what it says of now is not true.
+func checkNotBehind(position, revision uint64) error {
 	if revision >= position {
 		return nil
 	}
-	return merry.Prependf(errBehind, "revision %d in era %d, known is %d in era %d", era.Number(revision), era.Of(revision), era.Number(position), era.Of(position))
+	return merry.Prependf(errStoreBehind, "revision %d in era %d, known is %d in era %d", era.Number(revision), era.Of(revision), era.Number(position), era.Of(position))
 }
 
 // wait waits for the changes after a position, as long as a call may take that the store may hold for a time.
 func (f *Follower[T]) wait(ctx context.Context, position uint64, held time.Duration) (Batch[T], error) {
-	ctx, cancel := context.WithTimeout(ctx, timeoutOf(held))
+	ctx, cancel := context.WithTimeout(ctx, callTimeout(held))
 	defer cancel()
 	return f.parts.Source.Wait(ctx, position, held)
 }
 
-// begin notes that a call begins that the store may hold, and returns the time.
-func (f *Follower[T]) begin(held time.Duration) time.Time {
+// beginCall notes that a call begins that the store may hold, and returns the time.
+func (f *Follower[T]) beginCall(held time.Duration) time.Time {
 	now := f.parts.Clock()
-	silentAt := now.Add(held + HeldTimeout)
-	f.silentAt.Store(&silentAt)
+	unresponsiveAt := now.Add(held + HeldTimeout)
+	f.unresponsiveAt.Store(&unresponsiveAt)
 	return now
 }
 
 // load reads the table whole. The position is what is known before.
 func (f *Follower[T]) load(ctx context.Context, position uint64) error {
 	f.parts.CountCall(counters.StoreLoads)
-	sent := f.begin(0)
+	sent := f.beginCall(0)
 	batch, err := f.parts.Source.Load(ctx)
 	if err == nil {
-		err = checkAge(position, batch.Revision)
+		err = checkNotBehind(position, batch.Revision)
 	}
 	if err != nil {
 		return err
 	}
 	f.parts.Sink.Replace(batch)
-	f.loaded, f.gone = true, false
-	f.answered(sent, batch.Revision, batch.At)
+	f.loaded, f.historyGone = true, false
+	f.reportAnswer(sent, batch.Revision, batch.At)
 	return nil
 }
 
-// answered reports an answer whose call was sent at a time.
-func (f *Follower[T]) answered(sent time.Time, revision uint64, at freshness.StoreTime) {
+// reportAnswer reports an answer whose call was sent at a time.
+func (f *Follower[T]) reportAnswer(sent time.Time, revision uint64, at freshness.StoreTime) {
 	f.answeredAt = f.parts.Clock()
 	f.parts.OnAnswer(freshness.Answer{Revision: revision, At: at, Sent: sent, Received: f.answeredAt})
 }
 
-// note logs the loss and the return of the store, once each.
-func (f *Follower[T]) note(duty Duty, err error) {
+// recordOutcome logs the loss and the return of the store, once each.
+func (f *Follower[T]) recordOutcome(duty Duty, err error) {
 	f.reading.Store(duty.Reads && err == nil)
 	switch {
 	case err != nil && f.failures == 0:
 		f.lostAt = f.parts.Clock()
-		era.Log(f.parts.Log, f.parts.Position()).WithError(err).WithField("unanswered_ms", f.unanswered().Milliseconds()).Warn("store lost, the last state stays in force")
+		era.Log(f.parts.Log, f.parts.Position()).WithError(err).WithField("unanswered_ms", f.sinceLastAnswer().Milliseconds()).Warn("store lost, the last state stays in force")
 	case err == nil && f.failures > 0:
 		era.Log(f.parts.Log, f.parts.Position()).WithFields(logrus.Fields{
 			"failures": f.failures, "away_ms": f.parts.Clock().Sub(f.lostAt).Milliseconds(),
@@ -327,8 +327,8 @@
 	f.failures = 0
 }
 
-// unanswered returns the time since the last answer, or -1 ms if there was none.
-func (f *Follower[T]) unanswered() time.Duration {
+// sinceLastAnswer returns the time since the last answer, or -1 ms if there was none.
+func (f *Follower[T]) sinceLastAnswer() time.Duration {
 	if f.answeredAt.IsZero() {
 		return -time.Millisecond
 	}
@@ -338,6 +338,6 @@
 // backOff waits before the next try. A host that does not read for others lets more time pass, but may be
 // made a reader meanwhile.
 func (f *Follower[T]) backOff(ctx context.Context, duty Duty) {
-	f.retryAt = f.parts.Clock().Add(backoff.Jitter(duty.Retry, leastBackoff, f.parts.Random()))
-	lifetime.Sleep(ctx, backoff.Jitter(storeBackoff.Span(f.failures-1), leastBackoff, f.parts.Random()))
+	f.retryAt = f.parts.Clock().Add(backoff.Jitter(duty.Retry, minBackoffShare, f.parts.Random()))
+	lifetime.Sleep(ctx, backoff.Jitter(storeBackoff.Span(f.failures-1), minBackoffShare, f.parts.Random()))
 }
--- a/internal/front/freshness/freshness.go
+++ b/internal/front/freshness/freshness.go
@@ -87,13 +87,13 @@
 
 // topicState is up to when a topic is confirmed.
 type topicState struct {
-	// known is set once the topic has been confirmed at all.
-	known bool
+	// isConfirmed is set once the topic has been confirmed at all.
+	isConfirmed bool
 	// revision and asOf are up to where this host's knowledge is complete.
 	revision uint64
 	asOf     StoreTime
-	// ahead is the newest confirmation of a peer that has more than this host.
-	ahead Confirmation
+	// pending is the newest confirmation of a peer that has more than this host.
+	pending Confirmation
 	// staleAge is how old the topic was at staleAt, when a newer era than that of its revision became known.
 	staleAge time.Duration
 	staleAt  time.Time
@@ -110,17 +110,17 @@
 func (s *State) RecordAnswer(topic Topic, answer Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.enter(era.Of(answer.Revision))
+	s.enterEra(era.Of(answer.Revision))
 	if era.Of(answer.Revision) < s.era {
 		return
 	}
-	s.store.answered(answer)
-	s.topics[topic].raise(answer.Revision, answer.At)
+	s.store.addRoundTrip(answer)
+	s.topics[topic].advance(answer.Revision, answer.At)
 }
 
-// enter notes an era of the store. In a newer one than is known, readings of its clock begin anew, and what is known of the
+// enterEra notes an era of the store. In a newer one than is known, readings of its clock begin anew, and what is known of the
 // topics is of before. The lock is held.
-func (s *State) enter(newest uint64) {
+func (s *State) enterEra(newest uint64) {
 	if newest <= s.era {
 		return
 	}
@@ -137,37 +137,37 @@
 func (s *State) RecordConfirmation(topic Topic, c Confirmation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.enter(era.Of(c.Revision))
+	s.enterEra(era.Of(c.Revision))
 	if era.Of(c.Revision) < s.era {
 		return
 	}
-	s.store.sample(c.AsOf, s.parts.Clock())
+	s.store.addSample(c.AsOf, s.parts.Clock())
 	t := &s.topics[topic]
 	switch {
 	case s.parts.KnownRevision(topic) >= c.Newest:
-		t.raise(c.Revision, c.AsOf)
-	case era.Of(c.Revision) > era.Of(t.ahead.Revision) || c.AsOf > t.ahead.AsOf:
-		t.ahead = c
+		t.advance(c.Revision, c.AsOf)
+	case era.Of(c.Revision) > era.Of(t.pending.Revision) || c.AsOf > t.pending.AsOf:
+		t.pending = c
 	}
 }
 
-// settle counts the confirmation of a peer that had more than this host, if the host has got it since. The lock
+// applyPending counts the confirmation of a peer that had more than this host, if the host has got it since. The lock
 // is held.
-func (s *State) settle(topic Topic) {
+func (s *State) applyPending(topic Topic) {
 	t := &s.topics[topic]
-	if t.ahead.AsOf > 0 && s.parts.KnownRevision(topic) >= t.ahead.Newest {
-		t.raise(t.ahead.Revision, t.ahead.AsOf)
-		t.ahead = Confirmation{}
+	if t.pending.AsOf > 0 && s.parts.KnownRevision(topic) >= t.pending.Newest {
+		t.advance(t.pending.Revision, t.pending.AsOf)
+		t.pending = Confirmation{}
 	}
 }
 
-// raise notes that this host's knowledge is complete up to a revision, as of a moment.
-func (t *topicState) raise(revision uint64, asOf StoreTime) {
+// advance notes that this host's knowledge is complete up to a revision, as of a moment.
+func (t *topicState) advance(revision uint64, asOf StoreTime) {
 	if era.Of(revision) < era.Of(t.revision) {
 		return
 	}
-	if !t.known || era.Of(revision) > era.Of(t.revision) || asOf > t.asOf {
-		t.asOf, t.known = asOf, true
+	if !t.isConfirmed || era.Of(revision) > era.Of(t.revision) || asOf > t.asOf {
+		t.asOf, t.isConfirmed = asOf, true
 	}
 	t.revision = max(t.revision, revision)
 }
@@ -177,14 +177,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := &s.topics[topic]
-	return Confirmation{Newest: s.parts.Newest(topic), Revision: t.revision, AsOf: t.asOf}, t.known
+	return Confirmation{Newest: s.parts.Newest(topic), Revision: t.revision, AsOf: t.asOf}, t.isConfirmed
 }
 
 // Revision returns the state of the store up to which a topic is known to be complete, or 0.
 func (s *State) Revision(topic Topic) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.settle(topic)
+	s.applyPending(topic)
 	return s.topics[topic].revision
 }
 
@@ -195,14 +195,14 @@
 func (s *State) Age(topic Topic) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.settle(topic)
+	s.applyPending(topic)
 	return s.ageOf(&s.topics[topic], s.parts.Clock())
 }
 
 // ageOf returns the age of a topic at a time. The lock is held.
 func (s *State) ageOf(t *topicState, now time.Time) time.Duration {
 	switch {
-	case !t.known:
+	case !t.isConfirmed:
 		return UnknownAge
 	case era.Of(t.revision) < s.era:
 		return t.staleAge + now.Sub(t.staleAt)
@@ -222,12 +222,12 @@
 func (s *State) StoreTime(at time.Time) (StoreTime, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.store.now(at), s.store.best().known
+	return s.store.now(at), s.store.bestOffset().isKnown
 }
 
-// unconfirmed returns how long a topic has not been confirmed: since its last confirmation or the
+// unconfirmedFor returns how long a topic has not been confirmed: since its last confirmation or the
 // host's start.
-func (s *State) unconfirmed(topic Topic) time.Duration {
+func (s *State) unconfirmedFor(topic Topic) time.Duration {
 	if age := s.Age(topic); age != UnknownAge {
 		return age
 	}
--- a/internal/front/freshness/freshness_test.go
+++ b/internal/front/freshness/freshness_test.go
@@ -9,21 +9,21 @@
 	"oxbowslip.dev/oxbowslip/internal/front/era"
 )
 
-// began is when the tests' hosts start.
-var began = time.Unix(1_000_000, 0)
+// testStart is when the tests' hosts start.
+var testStart = time.Unix(1_000_000, 0)
 
 const ms = time.Millisecond
 
 // newState returns a state and its host's clock.
 func newState() (*State, *time.Time) {
-	now := began
+	now := testStart
 	has := func(Topic) uint64 { return 5 }
 	return New(Parts{Clock: func() time.Time { return now }, KnownRevision: has, Newest: has}), &now
 }
 
 // answer is one of a store whose clock showed at, sent for and received some time after the start.
 func answer(at, sent, received time.Duration) Answer {
-	return Answer{At: StoreTime(at), Sent: began.Add(sent), Received: began.Add(received)}
+	return Answer{At: StoreTime(at), Sent: testStart.Add(sent), Received: testStart.Add(received)}
 }
 
 func TestAge(t *testing.T) {
@@ -63,22 +63,22 @@
 			for _, a := range test.answers {
 				state.RecordAnswer(Settings, a)
 			}
-			*now = began.Add(test.at)
+			*now = testStart.Add(test.at)
 			qt.Check(t, state.Age(Settings), qt.Equals, test.want)
 			qt.Check(t, state.Age(Endpoints), qt.Equals, UnknownAge, qt.Commentf("nothing was said of the other topic"))
 		})
 	}
 }
 
-// TestTheStoreClockFollowsDrift is a host whose clock is too fast by 1 ms a second: without an end
+// TestStoreClockFollowsDrift is a host whose clock is too fast by 1 ms a second: without an end
 // to old samples, ages would grow without bound.
-func TestTheStoreClockFollowsDrift(t *testing.T) {
+func TestStoreClockFollowsDrift(t *testing.T) {
 	state, now := newState()
 	for second := range 600 {
 		at := time.Duration(second) * time.Second
-		state.RecordAnswer(Settings, Answer{At: StoreTime(at), Sent: began.Add(at + at/1000 - 2*time.Second), Received: began.Add(at + at/1000)})
-		*now = began.Add(at + at/1000)
-		qt.Assert(t, state.Age(Settings) <= 2*clockWindow/1000, qt.IsTrue, qt.Commentf("%s after %s", state.Age(Settings), at))
+		state.RecordAnswer(Settings, Answer{At: StoreTime(at), Sent: testStart.Add(at + at/1000 - 2*time.Second), Received: testStart.Add(at + at/1000)})
+		*now = testStart.Add(at + at/1000)
+		qt.Assert(t, state.Age(Settings) <= 2*sampleWindow/1000, qt.IsTrue, qt.Commentf("%s after %s", state.Age(Settings), at))
 	}
 }
 
@@ -90,33 +90,33 @@
 }
 
 func newHost(has uint64) *host {
-	now := began
+	now := testStart
 	h := &host{now: &now, has: has}
 	own := func(Topic) uint64 { return h.has }
 	h.State = New(Parts{Clock: func() time.Time { return now }, KnownRevision: own, Newest: own})
 	return h
 }
 
-// at sets the time since the start.
-func (h *host) at(since time.Duration) { *h.now = began.Add(since) }
+// setElapsed sets the time since the start.
+func (h *host) setElapsed(since time.Duration) { *h.now = testStart.Add(since) }
 
 // hear takes a peer's confirmation of the settings.
 func (h *host) confirm(newest uint64, asOf time.Duration) {
 	h.RecordConfirmation(Settings, Confirmation{Newest: newest, Revision: newest * 10, AsOf: StoreTime(asOf)})
 }
 
-// TestAgesAcrossARestoreOfTheStore has the store come back with a clock of its own, which says less than before.
-func TestAgesAcrossARestoreOfTheStore(t *testing.T) {
+// TestAgesAfterStoreRestore has the store come back with a clock of its own, which says less than before.
+func TestAgesAfterStoreRestore(t *testing.T) {
 	c := qt.New(t)
 	restored, err := era.Revision(1, 4)
 	c.Assert(err, qt.IsNil)
 	h := newHost(50)
 	for topic := range NumTopics {
-		h.RecordAnswer(topic, Answer{Revision: 50, At: StoreTime(70 * time.Second), Sent: began, Received: began})
+		h.RecordAnswer(topic, Answer{Revision: 50, At: StoreTime(70 * time.Second), Sent: testStart, Received: testStart})
 	}
-	h.at(2 * time.Second)
+	h.setElapsed(2 * time.Second)
 	h.RecordAnswer(Settings, Answer{Revision: restored, At: StoreTime(time.Second), Sent: *h.now, Received: *h.now})
-	h.at(3 * time.Second)
+	h.setElapsed(3 * time.Second)
 	c.Check(h.Age(Settings), qt.Equals, time.Second)
 	c.Check(h.Age(Endpoints), qt.Equals, 3*time.Second, qt.Commentf("nothing is confirmed in the new era"))
 	h.RecordConfirmation(Endpoints, Confirmation{Newest: 50, Revision: 60, AsOf: StoreTime(73 * time.Second)})
@@ -127,21 +127,21 @@
 	c.Check(h.Revision(Endpoints), qt.Equals, restored)
 }
 
-// TestAnAnswerOfBeforeARestoreComesAfterIt guards against readings of the clocks of two stores that are compared.
-func TestAnAnswerOfBeforeARestoreComesAfterIt(t *testing.T) {
+// TestAnswerFromBeforeRestoreIsIgnored guards against readings of the clocks of two stores that are compared.
+func TestAnswerFromBeforeRestoreIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	restored, err := era.Revision(1, 4)
 	c.Assert(err, qt.IsNil)
 	h := newHost(50)
-	h.at(2 * time.Second)
+	h.setElapsed(2 * time.Second)
 	h.RecordConfirmation(Settings, Confirmation{Newest: 50, Revision: restored, AsOf: StoreTime(time.Second)})
-	h.RecordAnswer(Settings, Answer{Revision: 50, At: StoreTime(time.Hour), Sent: began, Received: *h.now})
-	h.at(3 * time.Second)
+	h.RecordAnswer(Settings, Answer{Revision: 50, At: StoreTime(time.Hour), Sent: testStart, Received: *h.now})
+	h.setElapsed(3 * time.Second)
 	c.Check(h.Age(Settings), qt.Equals, time.Second)
 	c.Check(h.Age(Endpoints), qt.Equals, UnknownAge)
 }
 
-func TestConfirmationsOfPeers(t *testing.T) {
+func TestPeerConfirmations(t *testing.T) {
 	tests := map[string]struct {
 		play     func(h *host)
 		age      time.Duration
@@ -149,23 +149,23 @@
 	}{
 		"of what the host has": {func(h *host) {
 			h.confirm(5, 70*time.Second)
-			h.at(time.Second)
+			h.setElapsed(time.Second)
 		}, time.Second, 50},
 		"of less than the host has": {func(h *host) {
 			h.confirm(4, 70*time.Second)
-			h.at(time.Second)
+			h.setElapsed(time.Second)
 		}, time.Second, 40},
 		"of more than the host has": {func(h *host) {
 			h.confirm(5, 70*time.Second)
-			h.at(time.Second)
+			h.setElapsed(time.Second)
 			h.confirm(6, 71*time.Second)
-			h.at(2 * time.Second)
+			h.setElapsed(2 * time.Second)
 		}, 2 * time.Second, 50},
 		"of more, which the host then gets": {func(h *host) {
 			h.confirm(5, 70*time.Second)
-			h.at(time.Second)
+			h.setElapsed(time.Second)
 			h.confirm(6, 71*time.Second)
-			h.at(2 * time.Second)
+			h.setElapsed(2 * time.Second)
 			h.has = 6
 		}, time.Second, 60},
 		"of more, and then one of what the host has that is older": {func(h *host) {
@@ -174,17 +174,17 @@
 		}, time.Second, 50},
 		"twice, and out of order": {func(h *host) {
 			h.confirm(5, 72*time.Second)
-			h.at(time.Second)
+			h.setElapsed(time.Second)
 			h.confirm(5, 71*time.Second)
 			h.confirm(5, 72*time.Second)
 		}, time.Second, 50},
 		"that waited while the host was frozen": {func(h *host) {
 			h.confirm(5, 70*time.Second)
-			h.at(10 * time.Second)
+			h.setElapsed(10 * time.Second)
 			h.confirm(5, 71*time.Second)
 			h.confirm(5, 72*time.Second)
 		}, 8 * time.Second, 50},
-		"none at all": {func(h *host) { h.at(time.Minute) }, UnknownAge, 0},
+		"none at all": {func(h *host) { h.setElapsed(time.Minute) }, UnknownAge, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -216,9 +216,9 @@
 			t.Run(name+", since "+from, func(t *testing.T) {
 				h := newHost(5)
 				confirm(h)
-				h.at(test.after)
+				h.setElapsed(test.after)
 				qt.Check(t, h.MustAsk(Settings, test.before), qt.IsFalse)
-				h.at(test.after + 1)
+				h.setElapsed(test.after + 1)
 				qt.Check(t, h.MustAsk(Settings, test.before), qt.IsTrue)
 			})
 		}
@@ -234,10 +234,10 @@
 			for begins := range 40 {
 				h := newHost(5)
 				since := time.Duration(begins) * 50 * ms
-				h.at(since)
+				h.setElapsed(since)
 				h.RecordAnswer(Settings, answer(70*time.Second+since, since, since))
 				hold := h.Hold(before, readers)
-				qt.Check(t, hold >= leastHold && hold < period+leastHold, qt.IsTrue, qt.Commentf("%s", hold))
+				qt.Check(t, hold >= minHold && hold < period+minHold, qt.IsTrue, qt.Commentf("%s", hold))
 				qt.Check(t, (70*time.Second+since+hold)%period, qt.Equals, time.Duration(before%Readers)*Phase%period)
 			}
 		}
--- a/internal/front/freshness/rules.go
+++ b/internal/front/freshness/rules.go
@@ -17,9 +17,9 @@
 	// Phase is the time between two confirmations while all readers are answered. A shorter one costs calls to the
 	// store, each of which is priced, a longer one delays what hosts do when the readers fall silent.
 	Phase = 500 * time.Millisecond
-	// leastHold is the shortest time for which the store is asked to hold a call; a call that would end sooner ends a
+	// minHold is the shortest time for which the store is asked to hold a call; a call that would end sooner ends a
 	// turn later.
-	leastHold = 200 * time.Millisecond
+	minHold = 200 * time.Millisecond
 )
 
 // Hold returns how long the store may hold the next call of a reader that has a number of readers before it,
@@ -31,7 +31,7 @@
 	readers = min(readers, Readers)
 	period := time.Duration(readers) * Phase
 	hold := (time.Duration(before%readers)*Phase - now%period + period) % period
-	if hold < leastHold {
+	if hold < minHold {
 		hold += period
 	}
 	return hold
@@ -62,5 +62,5 @@
 // MustAsk reports whether a host with a number of hosts before it has to ask the store about a topic, because
 // nobody has confirmed for too long what it knows.
 func (s *State) MustAsk(topic Topic, before int) bool {
-	return s.unconfirmed(topic) > AskAfter+AskDelay(before)
+	return s.unconfirmedFor(topic) > AskAfter+AskDelay(before)
 }
--- a/internal/front/freshness/storeclock.go
+++ b/internal/front/freshness/storeclock.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// clockWindow is how long a sample of the store's clock counts at least: the estimate is the best of the samples of
+// sampleWindow is how long a sample of the store's clock counts at least: the estimate is the best of the samples of
 // this window and of the last one before that had any. Clocks drift apart by some 0.01 ms a second, so that the
 // estimate is wrong by 1.2 ms at most for that reason while samples come. After a time without any, the old ones
 // still count: they tell how old an answer is that waited while this host was suspended.
-const clockWindow = time.Minute
+const sampleWindow = time.Minute
 
 // storeClock estimates the store's steady clock by this host's monotonic one. Each sample is a
 // lower bound: the store's clock had shown it when it arrived. The highest of them, that of the
@@ -14,47 +14,47 @@
 type storeClock struct {
 	epoch time.Time
 	// current and previous are the best samples of this window and of the last one before that had any.
-	current  lead
-	previous lead
-	// since is when this window began.
-	since time.Time
+	current  clockOffset
+	previous clockOffset
+	// windowStart is when this window began.
+	windowStart time.Time
 }
 
-// lead is by how much the store's clock is ahead of the time since the epoch.
-type lead struct {
-	by    StoreTime
-	known bool
+// clockOffset is by how much the store's clock is ahead of the time since the epoch.
+type clockOffset struct {
+	ahead    StoreTime
+	isKnown bool
 }
 
-// answered takes the sample of a call. The store's clock showed it after the call was sent, so that
+// addRoundTrip takes the sample of a call. The store's clock showed it after the call was sent, so that
 // it is an upper bound as well. An estimate above that is of another clock, such as that of a store
 // that was started again, and is dropped.
-func (c *storeClock) answered(answer Answer) {
+func (c *storeClock) addRoundTrip(answer Answer) {
 	most := answer.At - c.sinceEpoch(answer.Sent)
-	if best := c.best(); best.known && best.by > most {
-		c.current, c.previous = lead{}, lead{}
+	if best := c.bestOffset(); best.isKnown && best.ahead > most {
+		c.current, c.previous = clockOffset{}, clockOffset{}
 	}
-	c.sample(answer.At, answer.Received)
+	c.addSample(answer.At, answer.Received)
 }
 
-// sample takes a reading that arrived at a time.
-func (c *storeClock) sample(reading StoreTime, arrived time.Time) {
-	if arrived.Sub(c.since) > clockWindow {
-		c.previous, c.current, c.since = c.current, lead{}, arrived
+// addSample takes a reading that arrived at a time.
+func (c *storeClock) addSample(reading StoreTime, arrived time.Time) {
+	if arrived.Sub(c.windowStart) > sampleWindow {
+		c.previous, c.current, c.windowStart = c.current, clockOffset{}, arrived
 	}
-	c.current = later(c.current, lead{reading - c.sinceEpoch(arrived), true})
+	c.current = maxOffset(c.current, clockOffset{reading - c.sinceEpoch(arrived), true})
 }
 
 // now returns the store's clock at a time of this host.
-func (c *storeClock) now(at time.Time) StoreTime { return c.sinceEpoch(at) + c.best().by }
+func (c *storeClock) now(at time.Time) StoreTime { return c.sinceEpoch(at) + c.bestOffset().ahead }
 
-func (c *storeClock) best() lead { return later(c.current, c.previous) }
+func (c *storeClock) bestOffset() clockOffset { return maxOffset(c.current, c.previous) }
 
 func (c *storeClock) sinceEpoch(at time.Time) StoreTime { return StoreTime(at.Sub(c.epoch)) }
 
-// later returns the greater of two leads.
-func later(a, b lead) lead {
-	if !a.known || (b.known && b.by > a.by) {
+// maxOffset returns the greater of two leads.
+func maxOffset(a, b clockOffset) clockOffset {
+	if !a.isKnown || (b.isKnown && b.ahead > a.ahead) {
 		return b
 	}
 	return a
--- a/internal/front/fx.go
+++ b/internal/front/fx.go
@@ -189,7 +189,7 @@
 func newSettingsSink(p settingsParts) *peersync.Settings {
 	return peersync.NewSettings(peersync.SettingsParts{
 		Decode: p.Deployment.Decode, Holder: p.Holder, Counters: p.Counters, Log: logging.Part(p.Log, "settings"),
-		InForce: p.Placer.SetSettings,
+		InForce:     p.Placer.SetSettings,
 		NotifyPeers: p.Late.revisionChanged, ReadsStore: p.Late.readsStore,
 		Age: func() time.Duration { return p.Freshness.Age(freshness.Settings) }, After: afterFunc,
 	})
--- a/internal/front/keys/keys.go
+++ b/internal/front/keys/keys.go
@@ -59,11 +59,11 @@
 	for _, text := range [...]string{id.Workspace, id.Method, id.Host, id.Target} {
 		// Writing to a hash never fails. The zero byte keeps "ab", "c" apart from "a", "bc".
 		_, _ = hash.WriteString(text)
-		_, _ = hash.Write(separator[:])
+		_, _ = hash.Write(textSeparator[:])
 	}
 	_, _ = hash.Write(id.Body)
 	return Request(hash.Sum64())
 }
 
-// separator stands between the texts of an identity; none of them can hold it.
-var separator = [1]byte{0}
+// textSeparator stands between the texts of an identity; none of them can hold it.
+var textSeparator = [1]byte{0}
--- a/internal/front/pack/pack.go
+++ b/internal/front/pack/pack.go
@@ -17,14 +17,14 @@
 const (
 	// baseID identifies the dictionary of a patch in its frame. All versions use the same.
 	baseID = 1
-	// maxDocument bounds an unpacked document, in bytes, so that a damaged frame can't fill the memory.
-	maxDocument = 64 << 20
+	// maxDocumentBytes bounds an unpacked document, in bytes, so that a damaged frame can't fill the memory.
+	maxDocumentBytes = 64 << 20
 )
 
 // Compress packs a document for those that hold base. An empty base packs it by itself.
 func Compress(base, document []byte) ([]byte, error) {
 	options := []zstd.EOption{
-		zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(window(len(base) + len(document))), zstd.WithLowerEncoderMem(true),
+		zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(windowSize(len(base) + len(document))), zstd.WithLowerEncoderMem(true),
 	}
 	if len(base) > 0 {
 		options = append(options, zstd.WithEncoderDictRaw(baseID, base))
@@ -41,7 +41,7 @@
 // checksum, so that a wrong base is found.
 func Decompress(base, patch []byte) ([]byte, error) {
 	options := []zstd.DOption{
-		zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDocument), zstd.WithDecoderLowmem(true),
+		zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDocumentBytes), zstd.WithDecoderLowmem(true),
 	}
 	if len(base) > 0 {
 		options = append(options, zstd.WithDecoderDictRaw(baseID, base))
@@ -58,7 +58,7 @@
 	return document, nil
 }
 
-// window is the least window, a power of two, that reaches over a number of bytes.
-func window(size int) int {
+// windowSize is the least window, a power of two, that reaches over a number of bytes.
+func windowSize(size int) int {
 	return min(max(1<<bits.Len(uint(size)), zstd.MinWindowSize), zstd.MaxWindowSize)
 }
--- a/internal/front/pack/pack_test.go
+++ b/internal/front/pack/pack_test.go
@@ -18,7 +18,7 @@
 	return b.Bytes()
 }
 
-func TestPatches(t *testing.T) {
+func TestCompressRoundTrip(t *testing.T) {
 	tests := map[string]struct {
 		base, document []byte
 		// most is the most bytes that the packed document may have.
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestAWrongBaseIsFound(t *testing.T) {
+func TestWrongBaseIsDetected(t *testing.T) {
 	patch, err := Compress(document(1000, "a"), document(1000, "b"))
 	qt.Assert(t, err, qt.IsNil)
 	tests := map[string]struct{ base, patch []byte }{
--- a/internal/front/peersync/documents.go
+++ b/internal/front/peersync/documents.go
@@ -9,10 +9,10 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// maxPatch is the size in bytes up to which a change of the settings goes with a heartbeat. A larger one is fetched: a
+// maxPatchBytes is the size in bytes up to which a change of the settings goes with a heartbeat. A larger one is fetched: a
 // datagram that takes several packets is lost with any of them. One changed key of 1,000 takes under 200 bytes (package
 // pack).
-const maxPatch = 2048
+const maxPatchBytes = 2048
 
 // documents keeps the configuration in force as the deployment wrote it, compressed for
 // peers: as a patch for those that have the one before, or by itself.
@@ -20,27 +20,27 @@
 	mu       sync.Mutex
 	newest   settings.Raw
 	revision uint64
-	// before is the configuration that was in force before.
-	before         settings.Raw
-	beforeRevision uint64
-	// whole and patch are the newest one compressed by itself and against the one before; nil
+	// previous is the configuration that was in force before.
+	previous         settings.Raw
+	previousRevision uint64
+	// compressedWhole and patch are the newest one compressed by itself and against the one before; nil
 	// until they are asked for.
-	whole []byte
-	patch []byte
-	// heartbeats is in how many more heartbeats the patch is sent.
-	heartbeats int
+	compressedWhole []byte
+	patch           []byte
+	// heartbeatsLeft is in how many more heartbeats the patch is sent.
+	heartbeatsLeft int
 }
 
-// keep keeps the configuration that came into force, if it is newer.
-func (d *documents) keep(document settings.Raw, revision uint64) {
+// setNewest keeps the configuration that came into force, if it is newer.
+func (d *documents) setNewest(document settings.Raw, revision uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if revision <= d.revision {
 		return
 	}
-	d.before, d.beforeRevision = d.newest, d.revision
+	d.previous, d.previousRevision = d.newest, d.revision
 	d.newest, d.revision = document, revision
-	d.whole, d.patch, d.heartbeats = nil, nil, 0
+	d.compressedWhole, d.patch, d.heartbeatsLeft = nil, nil, 0
 }
 
 // current returns the configuration that came into force last.
@@ -57,18 +57,18 @@
 	return bytes.Equal(document, d.newest)
 }
 
-// sendPatch lets the next heartbeats carry the newest change, if it is small enough.
-func (d *documents) sendPatch() error {
+// schedulePatch lets the next heartbeats carry the newest change, if it is small enough.
+func (d *documents) schedulePatch() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.beforeRevision == 0 {
+	if d.previousRevision == 0 {
 		return nil
 	}
 	if err := d.makePatch(); err != nil {
 		return err
 	}
-	if len(d.patch) <= maxPatch {
-		d.heartbeats = heartbeatsPerChange
+	if len(d.patch) <= maxPatchBytes {
+		d.heartbeatsLeft = heartbeatsPerChange
 	}
 	return nil
 }
@@ -77,30 +77,30 @@
 func (d *documents) nextPatch() *gossip.SettingsPatch {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.heartbeats == 0 {
+	if d.heartbeatsLeft == 0 {
 		return nil
 	}
-	d.heartbeats--
-	return &gossip.SettingsPatch{From: d.beforeRevision, To: d.revision, Data: d.patch}
+	d.heartbeatsLeft--
+	return &gossip.SettingsPatch{From: d.previousRevision, To: d.revision, Data: d.patch}
 }
 
-// compressed returns the newest configuration for a peer that has a revision, and the
+// compressFor returns the newest configuration for a peer that has a revision, and the
 // revision that it is compressed against (0 for none). It returns nothing if the peer's is
 // not older.
-func (d *documents) compressed(has uint64) (data []byte, base uint64, err error) {
+func (d *documents) compressFor(has uint64) (data []byte, base uint64, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.revision <= has {
 		return nil, 0, nil
 	}
-	if has != 0 && has == d.beforeRevision {
+	if has != 0 && has == d.previousRevision {
 		err = d.makePatch()
-		return d.patch, d.beforeRevision, err
+		return d.patch, d.previousRevision, err
 	}
-	if d.whole == nil {
-		d.whole, err = pack.Compress(nil, d.newest)
+	if d.compressedWhole == nil {
+		d.compressedWhole, err = pack.Compress(nil, d.newest)
 	}
-	return d.whole, 0, err
+	return d.compressedWhole, 0, err
 }
 
 // decompress returns the configuration that a peer compressed, or false if it was compressed
@@ -121,7 +121,7 @@
 // makePatch compresses the newest configuration against the one before. The lock is held.
 func (d *documents) makePatch() (err error) {
 	if d.patch == nil {
-		d.patch, err = pack.Compress(d.before, d.newest)
+		d.patch, err = pack.Compress(d.previous, d.newest)
 	}
 	return err
 }
--- a/internal/front/peersync/endpoints.go
+++ b/internal/front/peersync/endpoints.go
@@ -16,12 +16,12 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// maxDelta is the number of endpoints up to which a change of the directory goes with a heartbeat; a larger one is
+// maxDeltaChanges is the number of endpoints up to which a change of the directory goes with a heartbeat; a larger one is
 // fetched. 64 entries fit a datagram.
-const maxDelta = 64
+const maxDeltaChanges = 64
 
-// mostResponses bounds the responses that are kept for peers, some KB each.
-const mostResponses = 16
+// maxCachedResponses bounds the responses that are kept for peers, some KB each.
+const maxCachedResponses = 16
 
 // Endpoints keeps the directory up to date, from the store or from peers. It implements
 // follow.Sink.
@@ -30,14 +30,14 @@
 
 	mu sync.Mutex
 	// delta is the newest change, heartbeats in how many more heartbeats it is sent.
-	delta      *gossip.DirectoryDelta
-	heartbeats int
-	// entries are all entries as of the change entriesOf, compressed for peers.
-	entries   []byte
-	entriesOf uint64
-	// responses are the changes after some revisions up to the change responsesOf, compressed for peers.
+	delta          *gossip.DirectoryDelta
+	heartbeatsLeft int
+	// compressedEntries are all entries as of the change compressedAt, compressed for peers.
+	compressedEntries []byte
+	compressedAt      uint64
+	// responses are the changes after some revisions up to the change responsesAt, compressed for peers.
 	responses   map[uint64]gossip.ChangesResponse
-	responsesOf uint64
+	responsesAt uint64
 }
 
 // EndpointsParts are what Endpoints works with.
@@ -71,7 +71,7 @@
 		return
 	}
 	era.Log(s.parts.Log, snapshot.Revision).WithFields(logrus.Fields{"from": from, "endpoints": len(snapshot.Entries)}).Info("endpoints read")
-	s.watch(snapshot.Revision)
+	s.scheduleChecks(snapshot.Revision)
 }
 
 // Apply applies changes that the store brought.
@@ -81,32 +81,32 @@
 		return
 	}
 	if len(batch.Items) > 0 {
-		s.sendDelta(from, batch.Revision, batch.Items)
+		s.scheduleDelta(from, batch.Revision, batch.Items)
 		s.parts.NotifyPeers()
 	}
-	s.applied(batch.Revision, fromStore, batch.Items)
+	s.finishApply(batch.Revision, fromStore, batch.Items)
 }
 
-// applied logs changes that were applied, and watches what lapsed with them.
-func (s *Endpoints) applied(revision uint64, from string, changes []directory.Change) {
+// finishApply logs changes that were applied, and watches what lapsed with them.
+func (s *Endpoints) finishApply(revision uint64, from string, changes []directory.Change) {
 	for _, change := range changes {
 		era.Log(s.parts.Log, revision).WithFields(logrus.Fields{
 			"from": from, "endpoint": change.Entry.ID, "gone": change.Gone, "state": change.Entry.Endpoint.State,
 			"service": change.Entry.Endpoint.Service, "address": change.Entry.Endpoint.Address,
 		}).Info("endpoint changed")
 	}
-	s.watch(revision)
+	s.scheduleChecks(revision)
 }
 
-// sendDelta lets the next heartbeats carry changes, if they are few enough.
-func (s *Endpoints) sendDelta(from, to uint64, changes []directory.Change) {
+// scheduleDelta lets the next heartbeats carry changes, if they are few enough.
+func (s *Endpoints) scheduleDelta(from, to uint64, changes []directory.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.delta, s.heartbeats = nil, 0
-	if len(changes) > maxDelta {
+	s.delta, s.heartbeatsLeft = nil, 0
+	if len(changes) > maxDeltaChanges {
 		return
 	}
-	s.delta, s.heartbeats = &gossip.DirectoryDelta{From: from, To: to}, heartbeatsPerChange
+	s.delta, s.heartbeatsLeft = &gossip.DirectoryDelta{From: from, To: to}, heartbeatsPerChange
 	for i := range changes {
 		s.delta.Changes = append(s.delta.Changes, toMessage(&changes[i]))
 	}
@@ -116,10 +116,10 @@
 func (s *Endpoints) nextDelta() *gossip.DirectoryDelta {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.heartbeats == 0 {
+	if s.heartbeatsLeft == 0 {
 		return nil
 	}
-	s.heartbeats--
+	s.heartbeatsLeft--
 	return s.delta
 }
 
@@ -133,13 +133,13 @@
 		changes = append(changes, fromMessage(&delta.Changes[i]))
 	}
 	if s.parts.Directory.Apply(delta.To, changes) {
-		s.applied(delta.To, peer, changes)
+		s.finishApply(delta.To, peer, changes)
 	}
 }
 
-// has reports whether the directory has a change that a host lacks which knows all up to a revision. A host that
+// hasNewerThan reports whether the directory has a change that a host lacks which knows all up to a revision. A host that
 // polls its peers would otherwise get the whole directory from each that the store has answered since.
-func (s *Endpoints) has(revision uint64) bool {
+func (s *Endpoints) hasNewerThan(revision uint64) bool {
 	if revision == 0 {
 		return s.parts.Directory.Revision() > 0
 	}
@@ -151,8 +151,8 @@
 func (s *Endpoints) changes(revision uint64) (gossip.ChangesResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if changed := s.parts.Directory.Changed(); s.responsesOf != changed || len(s.responses) >= mostResponses {
-		s.responses, s.responsesOf = make(map[uint64]gossip.ChangesResponse), changed
+	if changed := s.parts.Directory.Changed(); s.responsesAt != changed || len(s.responses) >= maxCachedResponses {
+		s.responses, s.responsesAt = make(map[uint64]gossip.ChangesResponse), changed
 	}
 	if response, ok := s.responses[revision]; ok {
 		return response, nil
@@ -225,7 +225,7 @@
 		return s.parts.Directory.Revision() >= response.To
 	}
 	era.Log(s.parts.Log, response.To).WithFields(logrus.Fields{"from": peer, "entries": len(entries), "states": len(states)}).Info("changes of endpoints read")
-	s.watch(response.To)
+	s.scheduleChecks(response.To)
 	return true
 }
 
@@ -235,14 +235,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	snapshot := s.parts.Directory.Snapshot()
-	if s.entries == nil || s.entriesOf != snapshot.Changed {
+	if s.compressedEntries == nil || s.compressedAt != snapshot.Changed {
 		entries, err := compressEntries(snapshot.Entries)
 		if err != nil {
 			return nil, err
 		}
-		s.entries, s.entriesOf = entries, snapshot.Changed
+		s.compressedEntries, s.compressedAt = entries, snapshot.Changed
 	}
-	return &gossip.DirectorySnapshot{Revision: snapshot.Revision, Changed: snapshot.Changed, Entries: s.entries}, nil
+	return &gossip.DirectorySnapshot{Revision: snapshot.Revision, Changed: snapshot.Changed, Entries: s.compressedEntries}, nil
 }
 
 // applySnapshot applies the whole directory of a peer, if it is newer.
@@ -255,14 +255,14 @@
 	s.replace(directory.Snapshot{Revision: snapshot.Revision, Changed: snapshot.Changed, Entries: entries}, peer)
 }
 
-// watch ends what the directory does for a while only with entries that it got at a revision.
-func (s *Endpoints) watch(revision uint64) {
-	s.watchLapse(revision)
-	s.watchReturned(revision)
+// scheduleChecks ends what the directory does for a while only with entries that it got at a revision.
+func (s *Endpoints) scheduleChecks(revision uint64) {
+	s.scheduleLapseCheck(revision)
+	s.scheduleReturnCheck(revision)
 }
 
-// watchReturned has endpoints take new work whose entries an older copy of the store has brought back, if those last.
-func (s *Endpoints) watchReturned(revision uint64) {
+// scheduleReturnCheck has endpoints take new work whose entries an older copy of the store has brought back, if those last.
+func (s *Endpoints) scheduleReturnCheck(revision uint64) {
 	doubted := s.parts.Directory.CountReturned(revision)
 	if doubted == 0 {
 		return
@@ -276,9 +276,9 @@
 	})
 }
 
-// watchLapse removes the entries that lapsed at a revision if they have not come back after a
+// scheduleLapseCheck removes the entries that lapsed at a revision if they have not come back after a
 // while. The directory may have moved on since.
-func (s *Endpoints) watchLapse(revision uint64) {
+func (s *Endpoints) scheduleLapseCheck(revision uint64) {
 	lapsed := s.parts.Directory.CountLapsed(revision)
 	if lapsed == 0 {
 		return
--- a/internal/front/peersync/engines.go
+++ b/internal/front/peersync/engines.go
@@ -35,10 +35,10 @@
 		EventRead: toFigure(r.Figures.EventRead),
 	}
 	for class, d := range r.Traffic {
-		if requests := toUnits(d.Requests * gossip.RequestUnit); requests > 0 {
+		if requests := roundToInt(d.Requests * gossip.RequestUnit); requests > 0 {
 			report.Classes = append(report.Classes, gossip.ClassDemand{
-				Class: class, Requests: requests, Prompt: toUnits(d.Prompt / gossip.TokenUnit),
-				Unread: toUnits(d.Unread / gossip.TokenUnit), Open: toUnits(d.Open),
+				Class: class, Requests: requests, Prompt: roundToInt(d.Prompt / gossip.TokenUnit),
+				Unread: roundToInt(d.Unread / gossip.TokenUnit), Open: roundToInt(d.Open),
 			})
 		}
 	}
@@ -64,11 +64,11 @@
 }
 
 func toFigure(f engine.Figure) gossip.Figure {
-	return gossip.Figure{Value: float32(f.Value), Samples: toUnits(f.Samples)}
+	return gossip.Figure{Value: float32(f.Value), Samples: roundToInt(f.Samples)}
 }
 
 func fromFigure(f gossip.Figure) engine.Figure {
 	return engine.Figure{Value: float64(f.Value), Samples: float64(f.Samples)}
 }
 
-func toUnits(count float64) int { return int(math.Round(count)) }
+func roundToInt(count float64) int { return int(math.Round(count)) }
--- a/internal/front/peersync/peersync.go
+++ b/internal/front/peersync/peersync.go
@@ -34,10 +34,10 @@
 	parts Parts
 
 	mu sync.Mutex
-	// reported are the loads of the last heartbeat, to see whether a change is worth one; direct is set if
+	// reportedLoads are the loads of the last heartbeat, to see whether a change is worth one; direct is set if
 	// heartbeats carry loads.
-	reported map[string]placement.Load
-	direct   bool
+	reportedLoads map[string]placement.Load
+	direct        bool
 
 	sums *sums
 }
@@ -68,7 +68,7 @@
 	p := &s.parts
 	loads, ejected := p.Placer.Snapshot()
 	s.mu.Lock()
-	s.reported, s.direct = loads, direct
+	s.reportedLoads, s.direct = loads, direct
 	s.mu.Unlock()
 	state := gossip.State{
 		Settings: p.Holder.Number(), Directory: p.Directory.Changed(), ReadsStore: p.ReadsStore(),
@@ -138,11 +138,11 @@
 func (s *Sync) Respond(request gossip.SyncRequest) gossip.SyncResponse {
 	var response gossip.SyncResponse
 	var err error
-	response.Settings, response.Base, err = s.parts.Settings.documents.compressed(request.Settings)
+	response.Settings, response.Base, err = s.parts.Settings.documents.compressFor(request.Settings)
 	if err != nil {
 		s.parts.Log.WithError(err).Error("the settings can't be compressed for a peer")
 	}
-	if s.parts.Endpoints.has(request.Directory) {
+	if s.parts.Endpoints.hasNewerThan(request.Directory) {
 		if response.Snapshot, err = s.parts.Endpoints.snapshot(); err != nil {
 			s.parts.Log.WithError(err).Error("the endpoints can't be compressed for a peer")
 		}
@@ -178,8 +178,8 @@
 // worth of six days was 5.10, 5.11 and 5.07, 5.07, no more than the 5.04 to 5.12 and 5.04 to 5.11 with these (design
 // note 7).
 const (
-	reportedTokens   = 2000
-	reportedRequests = 2
+	minTokensChange   = 2000
+	minRequestsChange = 2
 )
 
 // WorthReporting reports whether this host's loads differ enough from the last heartbeat, if heartbeats carry
@@ -192,20 +192,20 @@
 	}
 	loads, _ := s.parts.Placer.Snapshot()
 	for endpoint, load := range loads {
-		if differs(load, s.reported[endpoint]) {
+		if differsNoticeably(load, s.reportedLoads[endpoint]) {
 			return true
 		}
 	}
-	for endpoint, load := range s.reported {
-		if differs(load, loads[endpoint]) {
+	for endpoint, load := range s.reportedLoads {
+		if differsNoticeably(load, loads[endpoint]) {
 			return true
 		}
 	}
 	return false
 }
 
-func differs(a, b placement.Load) bool {
-	return abs(a.Tokens-b.Tokens) >= reportedTokens || abs(a.Requests-b.Requests) >= reportedRequests
+func differsNoticeably(a, b placement.Load) bool {
+	return abs(a.Tokens-b.Tokens) >= minTokensChange || abs(a.Requests-b.Requests) >= minRequestsChange
 }
 
 func abs(n int) int { return max(n, -n) }
--- a/internal/front/peersync/peersync_test.go
+++ b/internal/front/peersync/peersync_test.go
@@ -68,7 +68,7 @@
 	}), sent
 }
 
-func (s *Sync) read(numbers ...int) {
+func (s *Sync) applySettings(numbers ...int) {
 	for _, number := range numbers {
 		s.parts.Settings.Apply(follow.Batch[settings.Raw]{Items: []settings.Raw{configuration(number)}})
 	}
@@ -79,9 +79,9 @@
 	s.Received(peer, &gossip.Heartbeat{Settings: state.Settings, Directory: state.Directory, Delta: state.Delta, Patch: state.Patch})
 }
 
-// TestAChangeOfTheSettingsGoesWithTheHeartbeats is the sweep at 300 hosts: each fetched the
+// TestSettingsChangeIsSentWithHeartbeats is the sweep at 300 hosts: each fetched the
 // whole configuration from one of four readers, the last after 3.7 s (CONFIG).
-func TestAChangeOfTheSettingsGoesWithTheHeartbeats(t *testing.T) {
+func TestSettingsChangeIsSentWithHeartbeats(t *testing.T) {
 	tests := map[string]struct {
 		// has is what the listening host knew before, received which of the reader's
 		// heartbeats after its second configuration it receives.
@@ -101,10 +101,10 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			reader, sent := newSync(true)
-			reader.read(3, 5)
+			reader.applySettings(3, 5)
 			c.Check(*sent, qt.Equals, 2)
 			host, _ := newSync(false)
-			host.read(test.has...)
+			host.applySettings(test.has...)
 			for range test.received {
 				reader.State(true)
 			}
@@ -115,9 +115,9 @@
 	}
 }
 
-// TestAPeersOlderConfigurationTakesOneBack has a host read a configuration that was written after another one in the same era, of
+// TestPeerConfigurationOlderThanOwnReadIsRejected has a host read a configuration that was written after another one in the same era, of
 // which it learns later.
-func TestAPeersOlderConfigurationTakesOneBack(t *testing.T) {
+func TestPeerConfigurationOlderThanOwnReadIsRejected(t *testing.T) {
 	c := qt.New(t)
 	revision := func(storeEra, number uint64) uint64 {
 		revision, err := era.Revision(storeEra, number)
@@ -141,7 +141,7 @@
 	c.Check(peer.Revisions().Settings, qt.Equals, revision(1, 11))
 }
 
-func TestWhoReportsAChangeAtOnce(t *testing.T) {
+func TestOnlyReadersForwardPeerChanges(t *testing.T) {
 	tests := map[string]struct {
 		reading bool
 		want    int
@@ -153,9 +153,9 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			reader, _ := newSync(true)
-			reader.read(3, 5)
+			reader.applySettings(3, 5)
 			host, sent := newSync(test.reading)
-			host.read(3)
+			host.applySettings(3)
 			*sent = 0
 			state := reader.State(true)
 			host.deliverHeartbeat("reader", &state)
@@ -183,9 +183,9 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			peer, _ := newSync(true)
-			peer.read(3, 5)
+			peer.applySettings(3, 5)
 			host, _ := newSync(false)
-			host.read(test.has...)
+			host.applySettings(test.has...)
 			before := host.parts.Holder.Number()
 			response := peer.Respond(host.Revisions())
 			c.Check(len(response.Settings) <= test.most, qt.IsTrue, qt.Commentf("%d bytes", len(response.Settings)))
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestTheDirectoryIsPacked(t *testing.T) {
+func TestSnapshotIsCompressed(t *testing.T) {
 	c := qt.New(t)
 	peer, _ := newSync(true)
 	entry := directory.Entry{ID: "e1", Endpoint: settings.Endpoint{Service: "llm", Address: "10.0.0.1:1", MaxInFlight: 4, State: settings.StateIn}}
@@ -214,7 +214,7 @@
 	c.Check(host.parts.Directory.Revision(), qt.Equals, uint64(8))
 }
 
-func TestWhichPeersGetTheDirectory(t *testing.T) {
+func TestSnapshotIsSentToOutdatedPeers(t *testing.T) {
 	in := directory.Change{Entry: directory.Entry{ID: "e1", Endpoint: settings.Endpoint{Service: "llm", State: settings.StateIn}}}
 	tests := map[string]struct {
 		changed uint64
@@ -241,8 +241,8 @@
 	}
 }
 
-// TestWhatDoesNotComeBackIsDropped is a lapse in which one of two endpoints has ended.
-func TestWhatDoesNotComeBackIsDropped(t *testing.T) {
+// TestLapsedEndpointIsDroppedAfterGrace is a lapse in which one of two endpoints has ended.
+func TestLapsedEndpointIsDroppedAfterGrace(t *testing.T) {
 	c := qt.New(t)
 	host, _ := newSync(true)
 	var due []func()
@@ -263,9 +263,9 @@
 	c.Check(host.parts.Directory.Serving("llm"), qt.HasLen, 1)
 }
 
-// TestALapseIsWatchedThoughTheDirectoryMovedOn is a lapse from the store with a peer's
+// TestLapseIsCheckedAfterLaterChange is a lapse from the store with a peer's
 // change right behind it, before the lapse was looked for: nothing would have ended it.
-func TestALapseIsWatchedThoughTheDirectoryMovedOn(t *testing.T) {
+func TestLapseIsCheckedAfterLaterChange(t *testing.T) {
 	c := qt.New(t)
 	host, _ := newSync(true)
 	in := func(id string) directory.Change {
@@ -279,13 +279,13 @@
 	host.parts.Directory.Apply(3, []directory.Change{in("a"), in("b")})
 	host.parts.Directory.Apply(7, []directory.Change{gone("a"), gone("b")})
 	host.parts.Directory.Apply(8, []directory.Change{in("c")})
-	host.parts.Endpoints.watchLapse(7)
+	host.parts.Endpoints.scheduleLapseCheck(7)
 	c.Assert(due, qt.HasLen, 1)
 	due[0]()
 	c.Check(host.parts.Directory.Serving("llm"), qt.HasLen, 1)
 }
 
-func TestEngineReportsGoThroughHeartbeats(t *testing.T) {
+func TestEngineReportRoundTrip(t *testing.T) {
 	report := engine.Report{
 		Figures: engine.Figures{
 			ReadRate: engine.Figure{Value: 37.5, Samples: 4}, EventTime: engine.Figure{Value: 20, Samples: 5},
@@ -302,9 +302,9 @@
 	qt.Check(t, fromEngineReport(&sent), qt.DeepEquals, report)
 }
 
-// TestChangesWhereNothingHasChanged has a peer ask a host whose directory no entry has ever been in: the host ended with
+// TestChangesOfEmptyDirectory has a peer ask a host whose directory no entry has ever been in: the host ended with
 // "assignment to entry in nil map", in a run of all tests beside heavy load, where a host was asked before it had read any.
-func TestChangesWhereNothingHasChanged(t *testing.T) {
+func TestChangesOfEmptyDirectory(t *testing.T) {
 	c := qt.New(t)
 	host, _ := newSync(false)
 	for revision := range uint64(3) {
--- a/internal/front/peersync/settings.go
+++ b/internal/front/peersync/settings.go
@@ -22,12 +22,12 @@
 	documents documents
 
 	// mu is held while a configuration is compared with the one in force and replaces it.
-	mu    sync.Mutex
-	known versions
-	// version is the Version of the configuration in force, readIn the era in which the store had it when this host read it
+	mu            sync.Mutex
+	knownVersions versionHashes
+	// version is the Version of the configuration in force, readInEra the era in which the store had it when this host read it
 	// there, or 0 if a peer brought it.
-	version uint64
-	readIn  uint64
+	version   uint64
+	readInEra uint64
 }
 
 // rewriteGrace is how long a restored store may have an older configuration that no host has seen, until it counts as one that
@@ -57,15 +57,15 @@
 func NewSettings(parts SettingsParts) *Settings { return &Settings{parts: parts} }
 
 // Replace puts the newest configuration of the whole table in force.
-func (s *Settings) Replace(batch follow.Batch[settings.Raw]) { s.read(batch, false) }
+func (s *Settings) Replace(batch follow.Batch[settings.Raw]) { s.applyNewest(batch, false) }
 
 // Apply puts the newest configuration in force that was written since the store was read last.
-func (s *Settings) Apply(batch follow.Batch[settings.Raw]) { s.read(batch, true) }
+func (s *Settings) Apply(batch follow.Batch[settings.Raw]) { s.applyNewest(batch, true) }
 
-// read puts the newest configuration in force that the store brought. One that can't be decoded is left out, and the one before
+// applyNewest puts the newest configuration in force that the store brought. One that can't be decoded is left out, and the one before
 // it counts. Those in between never come into force: a change that is sent to peers leads from what they have to the newest,
 // also when several came at once. IsNew is set if they were written since the store was read last.
-func (s *Settings) read(batch follow.Batch[settings.Raw], isNew bool) {
+func (s *Settings) applyNewest(batch follow.Batch[settings.Raw], isNew bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	isNewest := true
@@ -75,37 +75,37 @@
 			continue
 		}
 		if isNewest {
-			s.offerRead(document, revision, era.Of(batch.Revision), isNew)
+			s.offerFromStore(document, revision, era.Of(batch.Revision), isNew)
 		}
 		isNewest = false
-		s.known.note(revision.Number, document)
+		s.knownVersions.record(revision.Number, document)
 	}
 }
 
-// offerRead puts a configuration in force that the store brought in an era, if it is newer than the one that is. A store that
+// offerFromStore puts a configuration in force that the store brought in an era, if it is newer than the one that is. A store that
 // has come back from an older copy brings one of before or one that was written since, under any Version. The lock is held.
-func (s *Settings) offerRead(document settings.Raw, revision *settings.Revision, storeEra uint64, isNew bool) {
+func (s *Settings) offerFromStore(document settings.Raw, revision *settings.Revision, storeEra uint64, isNew bool) {
 	version := revision.Number
 	writtenIn := era.Of(s.parts.Holder.Number())
 	if storeEra > writtenIn {
 		switch {
-		case isNew, s.known.contradicts(version, document):
+		case isNew, s.knownVersions.conflicts(version, document):
 			writtenIn = storeEra
-		case version < s.version && !s.known.has(version):
-			s.offerLater(document, storeEra)
+		case version < s.version && !s.knownVersions.has(version):
+			s.scheduleOffer(document, storeEra)
 		}
 	}
-	revision.Number = numberOf(writtenIn, version)
+	revision.Number = revisionNumber(writtenIn, version)
 	if !s.offer(document, revision, version, fromStore) && !s.documents.isNewest(document) {
 		s.parts.Log.WithFields(logrus.Fields{"revision": s.parts.Holder.Number(), "store_revision": revision.Number}).Warn("the store has an older configuration, the one in force stays")
 		return
 	}
-	s.readIn = storeEra
+	s.readInEra = storeEra
 }
 
-// offerLater puts a configuration in force that a restored store has if nothing was written in its era for a while: nobody knows
+// scheduleOffer puts a configuration in force that a restored store has if nothing was written in its era for a while: nobody knows
 // of it from before.
-func (s *Settings) offerLater(document settings.Raw, storeEra uint64) {
+func (s *Settings) scheduleOffer(document settings.Raw, storeEra uint64) {
 	s.parts.After(rewriteGrace, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -113,44 +113,44 @@
 			return
 		}
 		if revision, ok := s.decode(document, fromStore); ok {
-			s.offerRead(document, revision, storeEra, true)
+			s.offerFromStore(document, revision, storeEra, true)
 		}
 	})
 }
 
-// offerFrom puts a peer's configuration in force if it is newer than the one that is. Announced is the number that the peer
+// offerFromPeer puts a peer's configuration in force if it is newer than the one that is. Announced is the number that the peer
 // gave it. The lock is held.
-func (s *Settings) offerFrom(peer string, document settings.Raw, announced uint64) {
+func (s *Settings) offerFromPeer(peer string, document settings.Raw, announced uint64) {
 	revision, ok := s.decode(document, peer)
 	if !ok {
 		return
 	}
 	version := revision.Number
-	s.known.note(version, document)
+	s.knownVersions.record(version, document)
 	// The peer may have put another one in force since it announced that one.
 	if era.Number(announced) == version {
 		revision.Number = announced
 	}
-	if s.isOlderRead(revision.Number, version) {
+	if s.predatesLocalRead(revision.Number, version) {
 		s.renumber(era.Of(revision.Number))
 		return
 	}
 	if s.offer(document, revision, version, peer) {
-		s.readIn = 0
+		s.readInEra = 0
 	}
 }
 
-// isOlderRead reports whether a peer's configuration was written before the one in force, which this host read in the same era,
+// predatesLocalRead reports whether a peer's configuration was written before the one in force, which this host read in the same era,
 // or a later one, without knowing that it was written in it.
-func (s *Settings) isOlderRead(number, version uint64) bool {
+func (s *Settings) predatesLocalRead(number, version uint64) bool {
 	writtenIn := era.Of(number)
-	return writtenIn > era.Of(s.parts.Holder.Number()) && writtenIn <= s.readIn && version < s.version
+	return writtenIn > era.Of(s.parts.Holder.Number()) && writtenIn <= s.readInEra && version < s.version
 }
 
 // renumber notes that the configuration in force was written in an era.
 func (s *Settings) renumber(writtenIn uint64) {
 	revision := *s.parts.Holder.Current()
-	revision.Number = numberOf(writtenIn, s.version)
+	revision.Number = revisionNumber(writtenIn, s.version)
 	s.offer(s.documents.current(), &revision, s.version, fromStore)
 }
 
@@ -173,9 +173,9 @@
 	}
 	s.version = version
 	p.InForce(revision.Tree)
-	s.documents.keep(document, revision.Number)
-	if s.forwards(from) {
-		s.sendChange()
+	s.documents.setNewest(document, revision.Number)
+	if s.shouldForward(from) {
+		s.announceChange()
 	}
 	p.Log.WithFields(logrus.Fields{
 		"revision": revision.Number, "from": from, "routes": len(revision.Tree.Routes), "workspaces": len(revision.Tree.Workspaces),
@@ -184,18 +184,18 @@
 	return true
 }
 
-// forwards reports whether this host sends a change on at once. What the store brought it
+// shouldForward reports whether this host sends a change on at once. What the store brought it
 // does. What a peer sent it does only if it reads the store itself: readers sometimes learn of
 // a change from each other first, and the heartbeat of the other may have been lost; if all
 // hosts sent it on, the bytes would grow with the square of the fleet.
-func (s *Settings) forwards(from string) bool {
+func (s *Settings) shouldForward(from string) bool {
 	return from == fromStore || s.parts.ReadsStore()
 }
 
-// sendChange lets the next heartbeats carry the change. Peers fetch one that can't be
+// announceChange lets the next heartbeats carry the change. Peers fetch one that can't be
 // compressed.
-func (s *Settings) sendChange() {
-	if err := s.documents.sendPatch(); err != nil {
+func (s *Settings) announceChange() {
+	if err := s.documents.schedulePatch(); err != nil {
 		s.parts.Log.WithError(err).Error("a change of the settings can't be compressed, peers fetch it whole")
 	}
 	s.parts.NotifyPeers()
@@ -218,6 +218,6 @@
 		return
 	}
 	if ok {
-		s.offerFrom(peer, document, announced)
+		s.offerFromPeer(peer, document, announced)
 	}
 }
--- a/internal/front/peersync/sums.go
+++ b/internal/front/peersync/sums.go
@@ -17,9 +17,9 @@
 // How the work of the hosts of a large fleet is added up: what package aggregate needs of the messages of
 // package gossip, and what placement gets of the sums.
 
-// partEndpoints is how many endpoints one part of a sum has at most: 8 KB, which fit a datagram that is read
+// maxPartEndpoints is how many endpoints one part of a sum has at most: 8 KB, which fit a datagram that is read
 // (gossip.maxDatagram).
-const partEndpoints = 1000
+const maxPartEndpoints = 1000
 
 // sums are the sums at this host as an aggregator, and the splits that others would decide.
 type sums struct {
@@ -66,7 +66,7 @@
 	s.sums.mu.Lock()
 	defer s.sums.mu.Unlock()
 	s.sums.proposals[s.parts.Host] = proposal{at: now, splits: splits}
-	decider, decided := s.sums.decided(now)
+	decider, decided := s.sums.decidedSplits(now)
 	sums := s.sums.aggregator.Sums(now)
 	return zoneSumsOf(&sums, splits), fleetSumsOf(&sums, decider, decided)
 }
@@ -74,7 +74,7 @@
 // zoneSumsOf returns the messages with a zone's sum. The splits go with the first part.
 func zoneSumsOf(sums *aggregate.Sums, splits []gossip.ServiceSplit) []gossip.ZoneSum {
 	var messages []gossip.ZoneSum
-	for _, part := range partsOf(&sums.Zone) {
+	for _, part := range partsOfSum(&sums.Zone) {
 		messages = append(messages, gossip.ZoneSum{Hosts: len(sums.Counted), Part: part.Number, Parts: part.Of, Work: toWork(&sums.Zone, part)})
 	}
 	messages[0].Splits = splits
@@ -90,7 +90,7 @@
 		sequences = append(sequences, mark.Sequence)
 	}
 	var messages []gossip.FleetSum
-	for _, part := range partsOf(&sums.Fleet) {
+	for _, part := range partsOfSum(&sums.Fleet) {
 		messages = append(messages, gossip.FleetSum{
 			Counted: counted, Sequences: sequences, Part: part.Number, Parts: part.Of, Work: toWork(&sums.Fleet, part),
 		})
@@ -113,9 +113,9 @@
 	}
 }
 
-// decided returns the splits of the aggregator that comes first in the order that all hosts share, so that all
+// decidedSplits returns the splits of the aggregator that comes first in the order that all hosts share, so that all
 // hosts have the same split but for one that is on its way. The lock is held.
-func (s *sums) decided(now time.Time) (decider string, splits []gossip.ServiceSplit) {
+func (s *sums) decidedSplits(now time.Time) (decider string, splits []gossip.ServiceSplit) {
 	maps.DeleteFunc(s.proposals, func(_ string, p proposal) bool { return now.Sub(p.at) > aggregate.WorkTimeout })
 	hosts := slices.SortedFunc(maps.Keys(s.proposals), func(a, b string) int { return cmp.Compare(gossip.Rank(a), gossip.Rank(b)) })
 	if len(hosts) == 0 {
@@ -129,7 +129,7 @@
 	work := fromWork(&sum.Work)
 	part := placement.Part{Number: sum.Part, Of: sum.Parts}
 	if counted != nil {
-		takeOff(work.Loads, counted, part)
+		subtractOwn(work.Loads, counted, part)
 	}
 	update := placement.Sum{Part: part, Others: work.Loads, Holders: work.Holders, Engines: work.Engines}
 	if sum.Decider != s.parts.Host {
@@ -138,8 +138,8 @@
 	s.parts.Placer.SetSum(&update)
 }
 
-// takeOff subtracts a host's own work from the loads of a part, so that it is not counted twice.
-func takeOff(loads map[keys.Endpoint]placement.Load, counted *gossip.Work, part placement.Part) {
+// subtractOwn subtracts a host's own work from the loads of a part, so that it is not counted twice.
+func subtractOwn(loads map[keys.Endpoint]placement.Load, counted *gossip.Work, part placement.Part) {
 	own := fromWork(counted)
 	for endpoint, load := range own.Loads {
 		if part.Has(endpoint) {
@@ -149,9 +149,9 @@
 	}
 }
 
-// partsOf returns the parts in which a sum is sent.
-func partsOf(sum *aggregate.Work) []placement.Part {
-	number := max((len(sum.Loads)+partEndpoints-1)/partEndpoints, 1)
+// partsOfSum returns the parts in which a sum is sent.
+func partsOfSum(sum *aggregate.Work) []placement.Part {
+	number := max((len(sum.Loads)+maxPartEndpoints-1)/maxPartEndpoints, 1)
 	parts := make([]placement.Part, number)
 	for i := range parts {
 		parts[i] = placement.Part{Number: i, Of: number}
