--- a/internal/front/directory/changes.go
+++ b/internal/front/directory/changes.go
@@ -16,10 +16,10 @@
 
 // changeLog holds the newest changes, the oldest first.
 type changeLog struct {
-	// completeSince is the revision after which all changes are here, but for those within the gap.
-	completeSince uint64
-	gap           gap
-	changes       []loggedChange
+	// since is the revision after which all changes are here, but for those within the gap.
+	since   uint64
+	gap     gap
+	changes []loggedChange
 }
 
 // gap is a span of revisions, after one and before another, between which the store was restored. What differs from before it
@@ -29,9 +29,9 @@
 // contains reports whether a revision is within the gap.
 func (g *gap) contains(revision uint64) bool { return revision > g.after && revision < g.before }
 
-// isCompleteSince reports whether all changes after a revision are here.
-func (l *changeLog) isCompleteSince(revision uint64) bool {
-	return revision >= l.completeSince && !l.gap.contains(revision)
+// covers reports whether all changes after a revision are here.
+func (l *changeLog) covers(revision uint64) bool {
+	return revision >= l.since && !l.gap.contains(revision)
 }
 
 // add adds a change.
@@ -45,7 +45,7 @@
 }
 
 // reset forgets all changes up to a revision.
-func (l *changeLog) reset(revision uint64) { l.completeSince, l.changes = revision, nil }
+func (l *changeLog) reset(revision uint64) { l.since, l.changes = revision, nil }
 
 // recordRestore notes that the store was restored between two revisions. What is before an earlier gap is forgotten.
 func (l *changeLog) recordRestore(after, to uint64) {
@@ -55,9 +55,9 @@
 
 // dropUpTo forgets the changes up to a revision.
 func (l *changeLog) dropUpTo(revision uint64) {
-	l.completeSince = max(l.completeSince, revision)
+	l.since = max(l.since, revision)
 	first := 0
-	for first < len(l.changes) && l.changes[first].revision <= l.completeSince {
+	for first < len(l.changes) && l.changes[first].revision <= l.since {
 		first++
 	}
 	l.changes = l.changes[first:]
@@ -75,7 +75,7 @@
 func (d *Directory) Since(revision uint64) (updates []Update, to uint64, ok bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	if !d.log.isCompleteSince(revision) {
+	if !d.log.covers(revision) {
 		return nil, 0, false
 	}
 	newest := make(map[string]int)
--- a/internal/front/follow/follow_test.go
+++ b/internal/front/follow/follow_test.go
@@ -23,25 +23,23 @@
 	err   error
 }
 
-// scriptedSource is a source that gives prepared readings, and then blocks.
-type scriptedSource struct {
+// script is a source that gives prepared readings, and then blocks.
+type script struct {
 	loads, waits chan callResult
 	after        chan uint64
 	// held are the times for which the calls might be held.
 	held chan time.Duration
 }
 
-func (s *scriptedSource) Load(ctx context.Context) (Batch[string], error) {
-	return nextResult(ctx, s.loads)
-}
+func (s *script) Load(ctx context.Context) (Batch[string], error) { return next(ctx, s.loads) }
 
-func (s *scriptedSource) Wait(ctx context.Context, after uint64, held time.Duration) (Batch[string], error) {
+func (s *script) Wait(ctx context.Context, after uint64, held time.Duration) (Batch[string], error) {
 	s.after <- after
 	s.held <- held
-	return nextResult(ctx, s.waits)
+	return next(ctx, s.waits)
 }
 
-func nextResult(ctx context.Context, readings chan callResult) (Batch[string], error) {
+func next(ctx context.Context, readings chan callResult) (Batch[string], error) {
 	select {
 	case r := <-readings:
 		return r.batch, r.err
@@ -59,14 +57,14 @@
 }
 
 // newScripted makes a source without readings.
-func newScripted() *scriptedSource {
-	return &scriptedSource{
+func newScripted() *script {
+	return &script{
 		loads: make(chan callResult, 9), waits: make(chan callResult, 9), after: make(chan uint64, 99), held: make(chan time.Duration, 99),
 	}
 }
 
 // startFollower runs a follower of a source until stop is called.
-func startFollower(source *scriptedSource, duty func() Duty) (f *Follower[string], sink *recordingSink, stop func()) {
+func startFollower(source *script, duty func() Duty) (f *Follower[string], sink *recordingSink, stop func()) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	sink = &recordingSink{received: make(chan string, 9)}
--- a/internal/front/freshness/storeclock.go
+++ b/internal/front/freshness/storeclock.go
@@ -22,7 +22,7 @@
 
 // clockOffset is by how much the store's clock is ahead of the time since the epoch.
 type clockOffset struct {
-	ahead    StoreTime
+	ahead   StoreTime
 	isKnown bool
 }
 
