--- a/internal/front/directory/changes.go
+++ b/internal/front/directory/changes.go
@@ -26,13 +26,11 @@
 // is logged at its end. A peer within it may have seen changes that were lost, and that the log does not have.
 type gap struct{ after, before uint64 }
 
-// contains reports whether a revision is within the gap.
-func (g *gap) contains(revision uint64) bool { return revision > g.after && revision < g.before }
+// has reports whether a revision is within the gap.
+func (g *gap) has(revision uint64) bool { return revision > g.after && revision < g.before }
 
 // covers reports whether all changes after a revision are here.
-func (l *changeLog) covers(revision uint64) bool {
-	return revision >= l.since && !l.gap.contains(revision)
-}
+func (l *changeLog) covers(revision uint64) bool { return revision >= l.since && !l.gap.has(revision) }
 
 // add adds a change.
 func (l *changeLog) add(c loggedChange) {
