--- a/internal/front/directory/changes_test.go
+++ b/internal/front/directory/changes_test.go
@@ -10,8 +10,9 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// TestPeersFollowByChanges has a directory change at random, and peers that are behind by any number of changes follow it by
-// what it keeps, or by the whole where it keeps too little: all end with the same entries.
+// TestPeersFollowByChanges applies random changes to a directory. Peers that are behind by any number of changes
+// follow it by the log, or by a snapshot if the log no longer reaches back far enough, and end with the same
+// entries.
 func TestPeersFollowByChanges(t *testing.T) {
 	c := qt.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
@@ -32,7 +33,7 @@
 		}
 		c.Assert(peer.Revision(), qt.Equals, first.Revision())
 	}
-	c.Check(partly > 10*whole, qt.IsTrue, qt.Commentf("%d partly, %d whole", partly, whole))
+	c.Check(partly > 10*whole, qt.IsTrue, qt.Commentf("%d by changes, %d by snapshot", partly, whole))
 	for _, peer := range peers {
 		updates, to, ok := first.Since(peer.Revision())
 		c.Assert(ok, qt.IsTrue)
@@ -43,7 +44,7 @@
 	}
 }
 
-// randomChanges returns changes of a few of a hundred endpoints, each of a service of its own so that none lapses.
+// randomChanges returns changes of a few of 100 endpoints. Each endpoint has its own service, so that none lapses.
 func randomChanges(random *rand.Rand) []Change {
 	var changes []Change
 	for range 1 + random.IntN(5) {
@@ -59,7 +60,8 @@
 	return changes
 }
 
-// TestOnlyStateMarksStateChanges finds out what of an entry peers need.
+// TestOnlyStateMarksStateChanges checks that an update is marked OnlyState exactly if the peer already has the rest
+// of the entry.
 func TestOnlyStateMarksStateChanges(t *testing.T) {
 	c := qt.New(t)
 	d := New()
@@ -80,7 +82,8 @@
 	c.Check(New().Update(4, []Update{{Change: Change{Entry: Entry{ID: "e"}}, OnlyState: true}}), qt.IsFalse)
 }
 
-// TestChangeLogIsBounded keeps the newest changes, and says so where a peer lacks more.
+// TestChangeLogIsBounded checks that the log keeps the newest changes, and that Since returns false to a peer that
+// lacks more.
 func TestChangeLogIsBounded(t *testing.T) {
 	c := qt.New(t)
 	d := New()
--- a/internal/front/directory/directory.go
+++ b/internal/front/directory/directory.go
@@ -1,11 +1,11 @@
-// Package directory holds the endpoints that write entries of themselves into the deployment's
-// store: which service each serves, where, and whether it takes new work. oxbowslip-front uses
-// it; oxbowslipd has its endpoints in the settings tree.
+// Package directory stores the endpoints that register themselves in the deployment's store: the service and address
+// of each, and whether it accepts new work. It is used by oxbowslip-front; oxbowslipd reads its endpoints from the
+// settings tree instead.
 //
-// It owns this host's newest knowledge of them, which never goes back to an older revision, the rule for entries that lapse
-// (lapse.go), what endpoints say themselves of their leaving (leaving.go), and the newest changes for peers that lack them
-// (changes.go). It does no input or output; package
-// peersync feeds it from the store and from peers.
+// It owns this host's newest state of the directory, whose revision never decreases, the handling of entries that
+// lapse together (lapse.go), the endpoints that report themselves as leaving (leaving.go), the entries that a
+// restore of the store brings back (returned.go), and a log of the newest changes for peers (changes.go). It does no
+// I/O: package peersync feeds it from the store and from peers.
 package directory
 
 import (
@@ -18,52 +18,52 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// Entry is one endpoint with its ID.
+// Entry is an endpoint and its ID.
 type Entry struct {
 	ID       string            `json:"id"`
 	Endpoint settings.Endpoint `json:"endpoint"`
 }
 
-// Change sets the entry of an endpoint, or removes it.
+// Change sets or removes the entry of an endpoint.
 type Change struct {
 	Entry Entry
 	Gone  bool
 }
 
-// Snapshot is the whole directory at one revision.
+// Snapshot is the whole directory at a revision.
 type Snapshot struct {
 	Revision uint64 `json:"revision"`
-	// Changed is the revision of the newest change in it, if known.
+	// Changed is the revision of the newest change in the snapshot, or 0 if unknown.
 	Changed uint64  `json:"changed"`
 	Entries []Entry `json:"entries"`
 }
 
-// Directory is this host's newest knowledge of the endpoints. Its revision only goes up. It is
-// safe for concurrent use.
+// Directory is this host's newest state of the registered endpoints. Its revision only increases. It is safe for
+// concurrent use.
 type Directory struct {
 	mu sync.RWMutex
-	// revision is the state up to which all is known, changed the newest change.
+	// revision is the revision up to which the directory is complete, changed that of the newest change.
 	revision uint64
 	changed  uint64
-	// entries are never changed, only replaced.
+	// entries are replaced, never modified.
 	entries map[string]*Entry
-	// serving lists the endpoints of each service that take new work, by ID.
+	// serving lists the endpoints of each service that accept new work, sorted by ID.
 	serving map[string][]*Entry
-	// leaving lists those that do not.
+	// leaving lists the endpoints of each service that accept no new work, sorted by ID.
 	leaving map[string][]*Entry
-	// lapsed are the entries that are kept although they were removed, with the revision at
-	// which that was: see lapse.go.
+	// lapsed are the entries that are kept although they were removed, with the revision of their removal; see
+	// lapse.go.
 	lapsed revisionByID
-	// reportedLeaving are those that have said themselves that they leave: see leaving.go.
+	// reportedLeaving are the endpoints that have reported themselves as leaving; see leaving.go.
 	reportedLeaving versionSet
-	// removed are those whose entries went, doubted those of them that an older copy of the store has brought back, with the
-	// revision at which that was: see returned.go.
+	// removed are the endpoints whose entries were removed. returned are those that a restore of the store has
+	// brought back, with the revision of that; see returned.go.
 	removed  versionSet
 	returned revisionByID
-	// log holds the newest changes, for peers: see changes.go.
+	// log holds the newest changes, for peers; see changes.go.
 	log changeLog
-	// restarted are the endpoints that have started again under their IDs in the change at hand, onRestart is called with
-	// each once the lock is free.
+	// restarted collects the endpoints that the current change shows to have restarted under the same ID. onRestart
+	// is called for each after the lock is released.
 	restarted []string
 	onRestart func(id string)
 }
@@ -76,43 +76,42 @@
 	}
 }
 
-// OnRestart sets what is called with the ID of an endpoint that has started again under it: its entry has another
-// version. It must be set before the first change.
+// OnRestart sets the function that is called with the ID of an endpoint that has restarted under the same ID, which
+// shows in a new version of its entry. It must be called before the first change.
 func (d *Directory) OnRestart(restarted func(id string)) { d.onRestart = restarted }
 
-// Revision returns the state of the store up to which all changes are known, or 0.
+// Revision returns the revision of the store up to which the directory is complete, or 0.
 func (d *Directory) Revision() uint64 {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.revision
 }
 
-// Changed returns the revision of the newest change of an endpoint.
+// Changed returns the revision of the newest change of an entry.
 func (d *Directory) Changed() uint64 {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.changed
 }
 
-// Apply applies changes that lead to a revision. It reports false, and changes nothing, if the
-// revision is not newer.
+// Apply applies changes that lead to a revision. It returns false and changes nothing if the revision is not newer.
 func (d *Directory) Apply(revision uint64, changes []Change) bool {
 	return d.applyAndNotify(func() bool { return d.apply(revision, changes) })
 }
 
-// applyAndNotify makes a change, and notifies of the endpoints that have started again.
+// applyAndNotify runs a change with the lock held, and then calls onRestart for the endpoints that have restarted.
 func (d *Directory) applyAndNotify(do func() bool) bool {
 	d.mu.Lock()
-	done, again := do(), d.restarted
+	done, restarted := do(), d.restarted
 	d.restarted = nil
 	d.mu.Unlock()
-	for _, id := range again {
+	for _, id := range restarted {
 		d.onRestart(id)
 	}
 	return done
 }
 
-// apply is Apply with the lock held.
+// apply implements Apply. The lock is held.
 func (d *Directory) apply(revision uint64, changes []Change) bool {
 	if revision <= d.revision {
 		return false
@@ -126,19 +125,19 @@
 		return true
 	}
 	d.changed = revision
-	// Only the last change of an entry counts: it may come and go in one batch.
+	// An entry may be set and removed in the same batch: only its last change applies.
 	last := make(map[string]*Change, len(changes))
 	for i := range changes {
 		last[changes[i].Entry.ID] = &changes[i]
 	}
-	var gone []string
+	var removed []string
 	for id, change := range last {
 		d.logChange(change)
 		if change.Gone {
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
-	d.remove(gone, restored)
+	d.remove(removed, restored)
 	for _, change := range last {
 		if !change.Gone {
 			d.set(change.Entry, restored)
@@ -148,24 +147,25 @@
 	return true
 }
 
-// isRestore reports whether the store has come back from an older copy between what is known and a revision. The lock is held.
+// isRestore reports whether the store was restored from backup between the current revision and the given one. The
+// lock is held.
 func (d *Directory) isRestore(revision uint64) bool {
 	return d.revision > 0 && era.Of(revision) > era.Of(d.revision)
 }
 
-// Replace replaces the whole directory. It reports false, and changes nothing, if the snapshot
-// is not newer. After a restore of the store, the changes that lead from what was known are kept for peers, too.
+// Replace replaces the whole directory. It returns false and changes nothing if the snapshot is not newer. After a
+// restore of the store, the differences from the previous state are logged for peers.
 func (d *Directory) Replace(snapshot Snapshot) bool {
 	return d.applyAndNotify(func() bool { return d.replace(snapshot) })
 }
 
-// replace is Replace with the lock held.
+// replace implements Replace. The lock is held.
 func (d *Directory) replace(snapshot Snapshot) bool {
 	if snapshot.Revision <= d.revision {
 		return false
 	}
 	restored := d.isRestore(snapshot.Revision)
-	set, gone := d.diff(snapshot.Entries)
+	set, removed := d.diff(snapshot.Entries)
 	if restored {
 		d.log.recordRestore(d.revision, snapshot.Revision)
 	}
@@ -173,16 +173,17 @@
 	d.changed = max(d.changed, snapshot.Changed)
 	switch {
 	case restored:
-		// All hosts that read the table take the same, so that none of their peers fetches it from each.
+		// All hosts that read the table choose the same revision, so that a peer does not fetch the directory from
+		// each of them.
 		d.changed = max(d.changed, era.First(snapshot.Revision))
-	case len(gone) > 0:
-		// The removal is a change that no entry of the snapshot shows.
+	case len(removed) > 0:
+		// The snapshot's own revision of its newest change does not count removals.
 		d.changed = snapshot.Revision
 	}
-	for _, id := range gone {
+	for _, id := range removed {
 		d.logChange(&Change{Entry: Entry{ID: id}, Gone: true})
 	}
-	d.remove(gone, restored)
+	d.remove(removed, restored)
 	for _, entry := range set {
 		d.logChange(&Change{Entry: entry})
 		d.set(entry, restored)
@@ -194,9 +195,9 @@
 	return true
 }
 
-// diff returns the entries of a list that are not known as they are there, and the IDs of those that are known and not
-// listed. Entries that have lapsed count as not known. The lock is held.
-func (d *Directory) diff(entries []Entry) (set []Entry, gone []string) {
+// diff returns the listed entries that are missing here or differ, and the IDs of the entries here that are not
+// listed. Lapsed entries count as missing. The lock is held.
+func (d *Directory) diff(entries []Entry) (set []Entry, removed []string) {
 	listed := make(map[string]bool, len(entries))
 	for _, entry := range entries {
 		listed[entry.ID] = true
@@ -207,13 +208,13 @@
 	}
 	for id := range d.entries {
 		if _, lapsed := d.lapsed[id]; !lapsed && !listed[id] {
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
-	return set, gone
+	return set, removed
 }
 
-// Snapshot returns a copy of the whole directory, without lapsed entries, sorted by ID.
+// Snapshot returns a copy of the whole directory, sorted by ID. It does not contain lapsed entries.
 func (d *Directory) Snapshot() Snapshot {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -227,7 +228,7 @@
 	return snapshot
 }
 
-// Endpoint returns an endpoint, and whether it is known and takes new work.
+// Endpoint returns an endpoint, and whether it exists and accepts new work.
 func (d *Directory) Endpoint(id string) (settings.Endpoint, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -238,7 +239,7 @@
 	return entry.Endpoint, !d.isLeaving(entry)
 }
 
-// Lookup returns an endpoint, and whether it is known. It may take no new work.
+// Lookup returns an endpoint, and whether it exists. The endpoint may be leaving.
 func (d *Directory) Lookup(id string) (settings.Endpoint, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -249,8 +250,8 @@
 	return entry.Endpoint, true
 }
 
-// Serving returns the endpoints of a service that take new work, sorted by ID. The list is
-// shared and must not be modified; each revision has a new one.
+// Serving returns the endpoints of a service that accept new work, sorted by ID. The list is shared and must not be
+// modified; each change of the directory creates a new one.
 func (d *Directory) Serving(service string) []*Entry {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -264,14 +265,14 @@
 	return slices.Sorted(maps.Keys(d.entries))
 }
 
-// Services returns the services that have endpoints that take new work, in no order.
+// Services returns the services that have an endpoint that accepts new work, in no particular order.
 func (d *Directory) Services() []string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return slices.Collect(maps.Keys(d.serving))
 }
 
-// CountServing returns the number of endpoints of all services that take new work.
+// CountServing returns the number of endpoints, over all services, that accept new work.
 func (d *Directory) CountServing() int {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -282,15 +283,16 @@
 	return count
 }
 
-// Leaving returns the endpoints of a service that take no new work any more, sorted by ID. The
-// list is shared and must not be modified.
+// Leaving returns the endpoints of a service that accept no new work, sorted by ID. The list is shared and must not
+// be modified.
 func (d *Directory) Leaving(service string) []*Entry {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.leaving[service]
 }
 
-// set adds or replaces an entry. Restored is set if it may be one of an older copy of the store. The lock is held.
+// set adds or replaces an entry. The flag restored is set if the entry may come from a backup of the store. The lock
+// is held.
 func (d *Directory) set(entry Entry, restored bool) {
 	delete(d.lapsed, entry.ID)
 	before, known := d.entries[entry.ID]
--- a/internal/front/directory/directory_test.go
+++ b/internal/front/directory/directory_test.go
@@ -50,16 +50,16 @@
 	c.Check(ids(older.Serving("s")), qt.DeepEquals, []string{"x"})
 }
 
-// TestRemovalInSnapshotIsAChange is a reader whose feed lost its history while a server
-// left: it reads the table whole, and the hosts that rely on it must hear of it.
+// TestRemovalInSnapshotIsAChange covers a reader whose feed lost its history while an endpoint left: it reads the
+// whole table, and the hosts that rely on it must learn of the removal.
 func TestRemovalInSnapshotIsAChange(t *testing.T) {
 	tests := map[string]struct {
 		entries []Entry
 		changed uint64
 	}{
-		"nothing new":        {[]Entry{entry("a", "s", settings.StateIn), entry("b", "s", settings.StateIn)}, 4},
-		"one went":           {[]Entry{entry("a", "s", settings.StateIn)}, 9},
-		"one went, one came": {[]Entry{entry("a", "s", settings.StateIn), entry("c", "s", settings.StateIn)}, 9},
+		"no change":              {[]Entry{entry("a", "s", settings.StateIn), entry("b", "s", settings.StateIn)}, 4},
+		"one removed":            {[]Entry{entry("a", "s", settings.StateIn)}, 9},
+		"one removed, one added": {[]Entry{entry("a", "s", settings.StateIn), entry("c", "s", settings.StateIn)}, 9},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -71,21 +71,21 @@
 	}
 }
 
-// TestLastChangeInBatchApplies is scale-2 of the canal site: a server that left and ended
-// between two reads of the feed stayed in the directory for good.
+// TestLastChangeInBatchApplies guards against an endpoint that stays in the directory forever because it left and
+// stopped between two reads of the feed.
 func TestLastChangeInBatchApplies(t *testing.T) {
 	set := func(state settings.EndpointState) Change { return Change{Entry: entry("a", "s", state)} }
-	gone := Change{Entry: Entry{ID: "a"}, Gone: true}
+	remove := Change{Entry: Entry{ID: "a"}, Gone: true}
 	tests := map[string]struct {
 		changes []Change
 		known   bool
 		serving int
 	}{
-		"leaves and goes":      {[]Change{set(settings.StateOut), gone}, false, 0},
-		"comes and goes":       {[]Change{set(settings.StateIn), gone}, false, 0},
-		"goes and comes back":  {[]Change{gone, set(settings.StateIn)}, true, 1},
-		"goes, comes, leaves":  {[]Change{gone, set(settings.StateIn), set(settings.StateOut)}, true, 0},
-		"comes, goes and back": {[]Change{set(settings.StateIn), gone, set(settings.StateIn)}, true, 1},
+		"leaves, is removed":         {[]Change{set(settings.StateOut), remove}, false, 0},
+		"is set, is removed":         {[]Change{set(settings.StateIn), remove}, false, 0},
+		"is removed, is set":         {[]Change{remove, set(settings.StateIn)}, true, 1},
+		"is removed, is set, leaves": {[]Change{remove, set(settings.StateIn), set(settings.StateOut)}, true, 0},
+		"is set, is removed, is set": {[]Change{set(settings.StateIn), remove, set(settings.StateIn)}, true, 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -100,23 +100,24 @@
 	}
 }
 
-// TestRestartedEndpointIsReported has an endpoint start again under its ID: who asks is notified, with the lock free.
+// TestRestartedEndpointIsReported checks that OnRestart's function is called, without the lock, for an endpoint that
+// restarts under the same ID.
 func TestRestartedEndpointIsReported(t *testing.T) {
 	c := qt.New(t)
 	d := New()
-	var again []string
+	var restarted []string
 	d.OnRestart(func(id string) {
 		_, known := d.Lookup(id)
 		c.Check(known, qt.IsTrue)
-		again = append(again, id)
+		restarted = append(restarted, id)
 	})
 	entry := func(id, version string) Entry {
 		return Entry{ID: id, Endpoint: settings.Endpoint{Service: "llm", Version: version, State: settings.StateIn}}
 	}
 	d.Apply(1, []Change{{Entry: entry("a", "v1 of 1")}, {Entry: entry("b", "v1 of 1")}})
 	d.Apply(2, []Change{{Entry: entry("a", "v1 of 1")}})
-	c.Check(again, qt.HasLen, 0)
+	c.Check(restarted, qt.HasLen, 0)
 	d.Apply(3, []Change{{Entry: entry("a", "v1 of 2")}})
 	d.Replace(Snapshot{Revision: 4, Entries: []Entry{entry("a", "v1 of 2"), entry("b", "v1 of 3")}})
-	c.Check(again, qt.DeepEquals, []string{"a", "b"})
+	c.Check(restarted, qt.DeepEquals, []string{"a", "b"})
 }
--- a/internal/front/directory/lapse.go
+++ b/internal/front/directory/lapse.go
@@ -5,31 +5,30 @@
 	"time"
 )
 
-// Entries lapse while the store is away, because the endpoints can't renew them. When it is
-// back, they are removed all at once, and the endpoints that are alive write them again a
-// moment later. So entries that are removed together with most of their service, none of
-// which said that it leaves, are kept for a while. A call to an endpoint that is really gone
-// fails as it would have before.
+// Endpoints cannot renew their entries while the store is unavailable, so that the entries lapse. When the store
+// returns, it removes all lapsed entries at the same time, and the endpoints that are alive register again shortly
+// after. Entries are therefore kept for LapseGrace if they are removed together with most of their service and had
+// not announced that they leave. A call to such an endpoint that is really gone fails as it did before the removal.
 const (
-	// minLapsedEntries is how many entries of a service must be removed at once. One endpoint alone goes every day.
+	// minLapsedEntries is the number of entries of a service that must be removed together. Single endpoints leave
+	// every day.
 	minLapsedEntries = 2
-	// minLapsedShare is the share of the service's entries that must be removed at once.
+	// minLapsedShare is the share of the service's entries that must be removed together.
 	minLapsedShare = 0.5
-	// LapseGrace is how long lapsed entries are kept: longer than the endpoints need to write
-	// them again, and less than the two seconds in which the users expect that an endpoint
-	// that left gets no more work.
+	// LapseGrace is how long lapsed entries are kept: longer than endpoints need to register again, and less than
+	// the 2 s after which an endpoint that has left must get no new work.
 	LapseGrace = 1500 * time.Millisecond
 )
 
-// isLapse reports whether a number of entries of a service that are removed at once, of those
-// that took new work, have lapsed rather than left.
+// isLapse reports whether entries of a service that are removed together count as lapsed rather than as leaving,
+// given the number of entries that accepted new work.
 func isLapse(removed, serving int) bool {
 	return removed >= minLapsedEntries && float64(removed) >= minLapsedShare*float64(serving)
 }
 
-// remove removes entries, or keeps them for a while if they have lapsed. After a restore of the store all count as lapsed: an
-// older copy lacks entries that will be written again. The lock is held; the directory's revision is the one at which they
-// went.
+// remove removes entries, or keeps them for LapseGrace if they have lapsed. After a restore of the store all removed
+// entries count as lapsed: a backup lacks entries that will be written again. The lock is held, and the directory's
+// revision is that of the removal.
 func (d *Directory) remove(ids []string, restored bool) {
 	removed := make(map[string]int)
 	for _, id := range ids {
@@ -52,22 +51,22 @@
 	}
 }
 
-// drop removes an entry that has gone. The lock is held.
+// drop deletes an entry and records its version as removed. The lock is held.
 func (d *Directory) drop(entry *Entry) {
 	delete(d.returned, entry.ID)
 	delete(d.entries, entry.ID)
 	d.removed.add(entry.ID, entry.Endpoint.Version)
 }
 
-// CountLapsed returns the number of entries that are kept although they went at a revision.
+// CountLapsed returns the number of entries that lapsed at a revision and are still kept.
 func (d *Directory) CountLapsed(revision uint64) int {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.lapsed.countAt(revision)
 }
 
-// DropLapsed removes the entries that lapsed at a revision or before and have not come back,
-// and returns their IDs.
+// DropLapsed removes the entries that lapsed at a revision or before and have not been written again. It returns
+// their IDs.
 func (d *Directory) DropLapsed(revision uint64) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -81,10 +80,10 @@
 	return dropped
 }
 
-// revisionByID are entries that are treated in a certain way for a while, with the revision at which that began.
+// revisionByID is a set of entries, by ID, with the revision at which each was added to the set.
 type revisionByID map[string]uint64
 
-// countAt returns the number of entries that were marked at a revision.
+// countAt returns the number of entries that were added at a revision.
 func (m revisionByID) countAt(revision uint64) int {
 	count := 0
 	for _, at := range m {
@@ -95,7 +94,7 @@
 	return count
 }
 
-// removeUpTo removes the marks of a revision or before, and returns the entries' IDs, sorted.
+// removeUpTo removes the entries that were added at a revision or before, and returns their IDs, sorted.
 func (m revisionByID) removeUpTo(revision uint64) []string {
 	var taken []string
 	for id, at := range m {
--- a/internal/front/directory/lapse_test.go
+++ b/internal/front/directory/lapse_test.go
@@ -8,10 +8,10 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// TestEntriesRemovedTogetherAreKept is a store that was away for longer than entries last: on its return all of
-// them were gone at once, and requests were refused for a second for want of endpoints.
+// TestEntriesRemovedTogetherAreKept guards against refusals after the store was unavailable for longer than entries
+// last: on its return it removes all entries together, and for a second there are no endpoints.
 func TestEntriesRemovedTogetherAreKept(t *testing.T) {
-	gone := func(names ...string) []Change {
+	remove := func(names ...string) []Change {
 		var changes []Change
 		for _, id := range names {
 			changes = append(changes, Change{Entry: Entry{ID: id}, Gone: true})
@@ -20,16 +20,16 @@
 	}
 	tests := map[string]struct {
 		changes []Change
-		// now are those that serve right after, later when the lapsed are dropped.
+		// now are the endpoints that serve right after the change, later those after lapsed entries are dropped.
 		now, later []string
 	}{
-		"all at once":               {gone("a", "b", "c", "d"), []string{"a", "b", "c", "d"}, []string{}},
-		"half of them":              {gone("a", "b"), []string{"a", "b", "c", "d"}, []string{"c", "d"}},
-		"fewer":                     {gone("a"), []string{"b", "c", "d"}, []string{"b", "c", "d"}},
-		"one that was leaving":      {gone("a", "out"), []string{"b", "c", "d"}, []string{"b", "c", "d"}},
-		"back in the same change":   {append(gone("a", "b", "c"), Change{Entry: entry("a", "s", settings.StateIn)}), []string{"a", "b", "c", "d"}, []string{"a", "d"}},
-		"of a service of one":       {gone("only"), []string{"a", "b", "c", "d"}, []string{"a", "b", "c", "d"}},
-		"an endpoint that none has": {gone("x", "y"), []string{"a", "b", "c", "d"}, []string{"a", "b", "c", "d"}},
+		"all together":                   {remove("a", "b", "c", "d"), []string{"a", "b", "c", "d"}, []string{}},
+		"half of them":                   {remove("a", "b"), []string{"a", "b", "c", "d"}, []string{"c", "d"}},
+		"fewer":                          {remove("a"), []string{"b", "c", "d"}, []string{"b", "c", "d"}},
+		"one of two was leaving":         {remove("a", "out"), []string{"b", "c", "d"}, []string{"b", "c", "d"}},
+		"set again in the same change":   {append(remove("a", "b", "c"), Change{Entry: entry("a", "s", settings.StateIn)}), []string{"a", "b", "c", "d"}, []string{"a", "d"}},
+		"the only endpoint of a service": {remove("only"), []string{"a", "b", "c", "d"}, []string{"a", "b", "c", "d"}},
+		"unknown endpoints":              {remove("x", "y"), []string{"a", "b", "c", "d"}, []string{"a", "b", "c", "d"}},
 	}
 	fill := func() *Directory {
 		d := New()
@@ -47,12 +47,12 @@
 			c.Assert(d.Apply(7, test.changes), qt.IsTrue)
 			c.Check(ids(d.Serving("s")), qt.DeepEquals, test.now)
 			c.Check(d.CountLapsed(7), qt.Equals, len(test.now)-len(test.later))
-			// What has lapsed is not handed on, and a host that reads all comes to the same.
+			// Lapsed entries are not sent to peers. A host that replaces its directory keeps the same ones.
 			whole := fill()
 			whole.Replace(d.Snapshot())
 			c.Check(ids(whole.Serving("s")), qt.DeepEquals, test.now)
 			for _, each := range []*Directory{d, whole} {
-				c.Check(each.DropLapsed(6), qt.HasLen, 0, qt.Commentf("an older lapse"))
+				c.Check(each.DropLapsed(6), qt.HasLen, 0, qt.Commentf("before the lapse"))
 				each.DropLapsed(7)
 				c.Check(ids(each.Serving("s")), qt.DeepEquals, test.later)
 				c.Check(each.CountLapsed(7), qt.Equals, 0)
@@ -69,7 +69,7 @@
 	d.Apply(8, []Change{{Entry: entry("a", "s", settings.StateIn)}})
 	c.Check(d.DropLapsed(7), qt.DeepEquals, []string{"b"})
 	c.Check(ids(d.Serving("s")), qt.DeepEquals, []string{"a"})
-	// A lapse is no reason to keep an entry that says it leaves.
+	// A lapsed entry that was written again and leaves is not kept.
 	d.Apply(9, []Change{{Entry: entry("a", "s", settings.StateOut)}})
 	c.Check(d.Serving("s"), qt.HasLen, 0)
 }
--- a/internal/front/directory/leaving.go
+++ b/internal/front/directory/leaving.go
@@ -2,33 +2,33 @@
 
 import "oxbowslip.dev/oxbowslip/internal/settings"
 
-// An endpoint says that it leaves in its entry, and itself in its answers. Its own word comes sooner, and also while the
-// store is away. It holds for that start of the endpoint, so that neither an older entry nor one that is read again takes it
-// back; an endpoint that has started again under its ID has another version and takes new work.
-
-// maxVersions bounds the starts of endpoints that are kept; the oldest goes first. Some 100 B each. More than all
-// endpoints of the largest fleet, each once.
+// An endpoint announces that it leaves in its entry and in its responses. The response is seen sooner, and also
+// while the store is unavailable. It applies to one version, that is one start, of the endpoint: older or repeated
+// entries do not revert it, and an endpoint that restarts under the same ID has a new version and accepts new work.
+//
+// maxVersions bounds a versionSet; the oldest ID is evicted. An entry takes some 100 B. The bound exceeds the number
+// of endpoints of the largest fleet.
 const maxVersions = 4096
 
-// versionSet is a set of starts of endpoints, the last of each endpoint.
+// versionSet is a set of endpoint versions, one for each ID. Each start of an endpoint has its own version.
 type versionSet struct {
-	// versions are those of the starts, by ID.
+	// versions are the versions by endpoint ID.
 	versions map[string]string
-	// order holds the IDs, the oldest first.
+	// order lists the IDs, oldest first.
 	order []string
 }
 
-// add adds a start, and reports whether it is new.
+// add adds a version, and reports whether it is new.
 func (s *versionSet) add(id, version string) bool {
-	known, again := s.versions[id]
-	if again && known == version {
+	known, exists := s.versions[id]
+	if exists && known == version {
 		return false
 	}
 	if s.versions == nil {
 		s.versions = make(map[string]string)
 	}
 	s.versions[id] = version
-	if again {
+	if exists {
 		return true
 	}
 	s.order = append(s.order, id)
@@ -39,22 +39,22 @@
 	return true
 }
 
-// has reports whether a start is in the set.
+// has reports whether a version is in the set.
 func (s *versionSet) has(id, version string) bool {
 	known, ok := s.versions[id]
 	return ok && known == version
 }
 
-// preserveLeaving has an endpoint that leaves by its entry go on doing so whatever an older copy of the entry says, until it
-// starts again with another version. The lock is held.
+// preserveLeaving keeps an endpoint leaving if its current entry says so and the new entry, which may come from a
+// backup of the store, has the same version. The lock is held.
 func (d *Directory) preserveLeaving(e *Entry, version string) {
 	if e.Endpoint.State == settings.StateOut && e.Endpoint.Version == version {
 		d.reportedLeaving.add(e.ID, version)
 	}
 }
 
-// SetLeaving notes that an endpoint has said itself that it leaves, and reports whether that was not known. The version is
-// that of its entry then.
+// SetLeaving records that an endpoint, at the given version of its entry, has reported that it leaves. It returns
+// whether this is new.
 func (d *Directory) SetLeaving(id, version string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -69,7 +69,7 @@
 	return !before
 }
 
-// IsLeaving reports whether an endpoint is known to take no new work any more.
+// IsLeaving reports whether an endpoint exists and accepts no new work.
 func (d *Directory) IsLeaving(id string) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -77,22 +77,22 @@
 	return known && d.isLeaving(entry)
 }
 
-// isLeaving reports whether an endpoint takes no new work any more, by its entry, its own word, or since the entry is doubted.
-// The lock is held.
+// isLeaving reports whether an endpoint accepts no new work, because its entry or the endpoint itself says so, or
+// because its entry returned from a backup of the store. The lock is held.
 func (d *Directory) isLeaving(e *Entry) bool {
-	_, doubted := d.returned[e.ID]
-	return doubted || e.Endpoint.State == settings.StateOut || d.reportedLeaving.has(e.ID, e.Endpoint.Version)
+	_, returned := d.returned[e.ID]
+	return returned || e.Endpoint.State == settings.StateOut || d.reportedLeaving.has(e.ID, e.Endpoint.Version)
 }
 
-// ReportedLeaving returns the starts of endpoints that have said themselves that they leave, the version by ID.
+// ReportedLeaving returns the versions, by ID, of the endpoints that have reported themselves as leaving.
 func (d *Directory) ReportedLeaving() map[string]string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	said := make(map[string]string)
+	reported := make(map[string]string)
 	for id, entry := range d.entries {
 		if version := entry.Endpoint.Version; d.reportedLeaving.has(id, version) {
-			said[id] = version
+			reported[id] = version
 		}
 	}
-	return said
+	return reported
 }
--- a/internal/front/directory/leaving_test.go
+++ b/internal/front/directory/leaving_test.go
@@ -9,25 +9,25 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// TestEndpointReportsLeaving has an endpoint say itself that it leaves, before or after what the store brings.
+// TestEndpointReportsLeaving has an endpoint report that it leaves, followed by changes of its entry from the store.
 func TestEndpointReportsLeaving(t *testing.T) {
 	at := func(version string, state settings.EndpointState) Change {
 		return Change{Entry: Entry{ID: "a", Endpoint: settings.Endpoint{Service: "llm", Version: version, State: state}}}
 	}
 	ready := at("v1", settings.StateIn)
-	gone := Change{Entry: Entry{ID: "a"}, Gone: true}
+	remove := Change{Entry: Entry{ID: "a"}, Gone: true}
 	tests := map[string]struct {
 		after []Change
-		// takes is whether it takes new work, isKnown whether it is known.
+		// takes is whether it accepts new work, isKnown whether it is in the directory.
 		takes, isKnown bool
 	}{
-		"nothing comes":                       {nil, false, true},
-		"its entry is read again":             {[]Change{ready}, false, true},
-		"its entry says so as well":           {[]Change{at("v1", settings.StateOut)}, false, true},
-		"its entry goes":                      {[]Change{gone}, false, false},
-		"its entry goes and comes back":       {[]Change{gone, ready}, false, true},
-		"it starts again under its ID":        {[]Change{at("v1 of 2", settings.StateIn)}, true, true},
-		"it starts again, and the older says": {[]Change{at("v1 of 2", settings.StateIn), ready}, false, true},
+		"no change":                           {nil, false, true},
+		"entry is read again":                 {[]Change{ready}, false, true},
+		"entry is leaving, too":               {[]Change{at("v1", settings.StateOut)}, false, true},
+		"entry is removed":                    {[]Change{remove}, false, false},
+		"entry is removed and set again":      {[]Change{remove, ready}, false, true},
+		"restarts under the same ID":          {[]Change{at("v1 of 2", settings.StateIn)}, true, true},
+		"restarts, then the old entry is set": {[]Change{at("v1 of 2", settings.StateIn), ready}, false, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -49,14 +49,15 @@
 	}
 }
 
-// TestLeavingReportedBeforeEntryArrives has a peer bring the word of an endpoint whose entry is not known yet.
+// TestLeavingReportedBeforeEntryArrives has a peer report a leaving endpoint whose entry this host does not have
+// yet.
 func TestLeavingReportedBeforeEntryArrives(t *testing.T) {
 	c := qt.New(t)
 	d := New()
 	c.Check(d.SetLeaving("a", "v1"), qt.IsTrue)
 	c.Assert(d.Replace(Snapshot{Revision: 1, Entries: []Entry{{ID: "a", Endpoint: settings.Endpoint{Service: "llm", Version: "v1", State: settings.StateIn}}}}), qt.IsTrue)
 	c.Check(d.CountServing(), qt.Equals, 0)
-	// What peers are sent is what the store has said.
+	// Snapshots for peers carry the state from the store.
 	c.Check(d.Snapshot().Entries[0].Endpoint.State, qt.Equals, settings.StateIn)
 }
 
--- a/internal/front/directory/restore_test.go
+++ b/internal/front/directory/restore_test.go
@@ -13,7 +13,7 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// inEra returns a revision of an era.
+// inEra returns the revision of a number in an era.
 func inEra(number, ver uint64) uint64 {
 	revision, err := era.Revision(number, ver)
 	if err != nil {
@@ -22,32 +22,33 @@
 	return revision
 }
 
-// TestOlderCopyDoesNotRevertLeaving guards against new work for an endpoint that leaves and is ready in an older copy.
+// TestOlderCopyDoesNotRevertLeaving guards against new work for a leaving endpoint that is ready in a backup of the
+// store.
 func TestOlderCopyDoesNotRevertLeaving(t *testing.T) {
 	in := entry("a", "s", settings.StateIn)
 	other := entry("b", "s", settings.StateIn)
-	again := in
-	again.Endpoint.Version = "v1 of 2"
+	restarted := in
+	restarted.Endpoint.Version = "v1 of 2"
 	tests := map[string]struct {
 		entries []Entry
 		after   []Change
 		want    []string
 	}{
-		"the copy says that it is ready":         {[]Entry{in, other}, nil, []string{"b"}},
-		"and so does its entry later":            {[]Entry{in, other}, []Change{{Entry: in}}, []string{"b"}},
-		"it has started again":                   {[]Entry{again, other}, nil, []string{"a", "b"}},
-		"it starts again later":                  {[]Entry{in, other}, []Change{{Entry: again}}, []string{"a", "b"}},
-		"the copy does not have another":         {[]Entry{in}, nil, []string{"b"}},
-		"which is written again":                 {[]Entry{in}, []Change{{Entry: other}}, []string{"b"}},
-		"the copy has neither, and both go late": {nil, []Change{{Entry: Entry{ID: "b"}, Gone: true}}, []string{}},
+		"the backup has it ready":                   {[]Entry{in, other}, nil, []string{"b"}},
+		"its entry is ready later, too":             {[]Entry{in, other}, []Change{{Entry: in}}, []string{"b"}},
+		"it has restarted":                          {[]Entry{restarted, other}, nil, []string{"a", "b"}},
+		"it restarts later":                         {[]Entry{in, other}, []Change{{Entry: restarted}}, []string{"a", "b"}},
+		"the backup lacks another endpoint":         {[]Entry{in}, nil, []string{"b"}},
+		"the other endpoint is written again":       {[]Entry{in}, []Change{{Entry: other}}, []string{"b"}},
+		"the backup lacks both, and one is removed": {nil, []Change{{Entry: Entry{ID: "b"}, Gone: true}}, []string{}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			for which, follow := range map[string]func(from, to *Directory){
-				"the table is read": func(_, to *Directory) {
+				"reads the table": func(_, to *Directory) {
 					to.Replace(Snapshot{Revision: inEra(1, 4), Changed: inEra(1, 2), Entries: test.entries})
 				},
-				"a peer has read it": func(from, to *Directory) {
+				"follows a peer": func(from, to *Directory) {
 					known := to.Revision()
 					from.Replace(Snapshot{Revision: inEra(1, 4), Changed: inEra(1, 2), Entries: test.entries})
 					updates, revision, ok := from.Since(known)
@@ -69,29 +70,30 @@
 	}
 }
 
-// TestOlderCopyDoesNotReviveRemovedEndpoint guards against new work for an endpoint whose entry had gone and is in an older copy.
+// TestOlderCopyDoesNotReviveRemovedEndpoint guards against new work for an endpoint that was removed and whose entry
+// is in a backup of the store.
 func TestOlderCopyDoesNotReviveRemovedEndpoint(t *testing.T) {
 	in, other := entry("a", "s", settings.StateIn), entry("b", "s", settings.StateIn)
-	again := in
-	again.Endpoint.Version = "v1 of 2"
-	gone := []Change{{Entry: Entry{ID: "a"}, Gone: true}}
+	restarted := in
+	restarted.Endpoint.Version = "v1 of 2"
+	remove := []Change{{Entry: Entry{ID: "a"}, Gone: true}}
 	tests := map[string]struct {
 		after []Change
-		// now and later are what serves then and once the entries that have lasted are trusted.
+		// now are the endpoints that serve after the change, later those after AcceptReturned.
 		now, later []string
 	}{
-		"the entry lasts":            {nil, []string{"b"}, []string{"a", "b"}},
-		"it goes":                    {gone, []string{"b"}, []string{"b"}},
-		"it is written again":        {[]Change{{Entry: in}}, []string{"a", "b"}, []string{"a", "b"}},
-		"it is of another start":     {[]Change{{Entry: again}}, []string{"a", "b"}, []string{"a", "b"}},
-		"it goes, and is back again": {append(gone, Change{Entry: in}), []string{"a", "b"}, []string{"a", "b"}},
+		"the entry remains":           {nil, []string{"b"}, []string{"a", "b"}},
+		"it is removed":               {remove, []string{"b"}, []string{"b"}},
+		"it is written again":         {[]Change{{Entry: in}}, []string{"a", "b"}, []string{"a", "b"}},
+		"it has another version":      {[]Change{{Entry: restarted}}, []string{"a", "b"}, []string{"a", "b"}},
+		"it is removed and set again": {append(remove, Change{Entry: in}), []string{"a", "b"}, []string{"a", "b"}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			d := New()
 			d.Apply(8, []Change{{Entry: in}, {Entry: other}, {Entry: entry("c", "s", settings.StateIn)}})
-			d.Apply(9, gone)
+			d.Apply(9, remove)
 			d.Replace(Snapshot{Revision: inEra(1, 4), Entries: []Entry{in, other}})
 			d.DropLapsed(inEra(1, 4))
 			c.Check(ids(d.Serving("s")), qt.DeepEquals, []string{"b"})
@@ -104,8 +106,8 @@
 	}
 }
 
-// TestOlderCopyDoesNotReviveLapsedEndpoints guards against new work for endpoints that went with most of their service, did not
-// come back in time, and are in an older copy.
+// TestOlderCopyDoesNotReviveLapsedEndpoints guards against new work for endpoints that lapsed with most of their
+// service, were not written again in time, and are in a backup of the store.
 func TestOlderCopyDoesNotReviveLapsedEndpoints(t *testing.T) {
 	c := qt.New(t)
 	d := New()
@@ -119,11 +121,11 @@
 	c.Check(ids(d.Serving("s")), qt.DeepEquals, []string{"a", "b", "c"})
 }
 
-// TestPeersFollowIntoNewEra has hosts read a store that is restored again and again, or follow each other by changes.
+// TestPeersFollowIntoNewEra has hosts read a store that is restored repeatedly, or follow each other by changes.
 func TestPeersFollowIntoNewEra(t *testing.T) {
 	c := qt.New(t)
 	random := rand.New(rand.NewPCG(3, 4))
-	// writes are those that the store has, each at the number of its place.
+	// writes are the writes that the store has, each numbered by its position.
 	var writes []Entry
 	ofEra := uint64(0)
 	hosts := []*Directory{New(), New(), New(), New()}
@@ -152,7 +154,7 @@
 				ofEra++
 			}
 		case 1, 2:
-			// Each endpoint is alone in its service, and of a version of its own that takes work.
+			// Each endpoint is the only one of its service, has a unique version, and accepts new work.
 			id := fmt.Sprint("e", random.IntN(30))
 			writes = append(writes, Entry{ID: id, Endpoint: settings.Endpoint{Service: id, Version: fmt.Sprint(random.Uint32()), State: settings.StateIn}})
 		case 3:
--- a/internal/front/peersync/endpoints.go
+++ b/internal/front/peersync/endpoints.go
@@ -263,15 +263,15 @@
 
 // scheduleReturnCheck has endpoints take new work whose entries an older copy of the store has brought back, if those last.
 func (s *Endpoints) scheduleReturnCheck(revision uint64) {
-	doubted := s.parts.Directory.CountReturned(revision)
-	if doubted == 0 {
+	returned := s.parts.Directory.CountReturned(revision)
+	if returned == 0 {
 		return
 	}
 	log := era.Log(s.parts.Log, revision)
-	log.WithField("doubted", doubted).Warn("entries that had gone are back, they are not used for a while")
+	log.WithField("doubted", returned).Warn("entries that had gone are back, they are not used for a while")
 	s.parts.After(directory.ReturnGrace, func() {
-		if trusted := s.parts.Directory.AcceptReturned(revision); len(trusted) > 0 {
-			log.WithField("endpoints", trusted).Info("entries that had gone have lasted")
+		if accepted := s.parts.Directory.AcceptReturned(revision); len(accepted) > 0 {
+			log.WithField("endpoints", accepted).Info("entries that had gone have lasted")
 		}
 	})
 }
