--- a/internal/front/peersync/documents.go
+++ b/internal/front/peersync/documents.go
@@ -9,29 +9,29 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// maxPatchBytes is the size in bytes up to which a change of the settings goes with a heartbeat. A larger one is fetched: a
-// datagram that takes several packets is lost with any of them. One changed key of 1,000 takes under 200 bytes (package
-// pack).
+// maxPatchBytes bounds a change of the settings that is sent with heartbeats; peers fetch a larger one. A datagram
+// that spans several packets is lost if any of them is. A patch that changes one key of 1,000 takes less than 200
+// bytes (package pack).
 const maxPatchBytes = 2048
 
-// documents keeps the configuration in force as the deployment wrote it, compressed for
-// peers: as a patch for those that have the one before, or by itself.
+// documents holds the configuration in force as the operator wrote it, and compresses it for peers: as a patch for
+// those that have the previous one, or alone.
 type documents struct {
 	mu       sync.Mutex
 	newest   settings.Raw
 	revision uint64
-	// previous is the configuration that was in force before.
+	// previous is the configuration that was in force before the newest.
 	previous         settings.Raw
 	previousRevision uint64
-	// compressedWhole and patch are the newest one compressed by itself and against the one before; nil
-	// until they are asked for.
+	// compressedWhole and patch are the newest configuration, compressed alone and against the previous one. They
+	// are nil until needed.
 	compressedWhole []byte
 	patch           []byte
-	// heartbeatsLeft is in how many more heartbeats the patch is sent.
+	// heartbeatsLeft is the number of further heartbeats that carry the patch.
 	heartbeatsLeft int
 }
 
-// setNewest keeps the configuration that came into force, if it is newer.
+// setNewest stores the configuration that came into force, if it is newer.
 func (d *documents) setNewest(document settings.Raw, revision uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -43,21 +43,21 @@
 	d.compressedWhole, d.patch, d.heartbeatsLeft = nil, nil, 0
 }
 
-// current returns the configuration that came into force last.
+// current returns the newest configuration.
 func (d *documents) current() settings.Raw {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.newest
 }
 
-// isNewest reports whether a configuration is the one that came into force last.
+// isNewest reports whether a configuration equals the newest one.
 func (d *documents) isNewest(document settings.Raw) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return bytes.Equal(document, d.newest)
 }
 
-// schedulePatch lets the next heartbeats carry the newest change, if it is small enough.
+// schedulePatch adds the newest change to the next heartbeats, if it is small enough.
 func (d *documents) schedulePatch() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// nextPatch returns the change for the next heartbeat, or nil.
+// nextPatch returns the patch for the next heartbeat, or nil.
 func (d *documents) nextPatch() *gossip.SettingsPatch {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,9 +84,8 @@
 	return &gossip.SettingsPatch{From: d.previousRevision, To: d.revision, Data: d.patch}
 }
 
-// compressFor returns the newest configuration for a peer that has a revision, and the
-// revision that it is compressed against (0 for none). It returns nothing if the peer's is
-// not older.
+// compressFor returns the newest configuration for a peer that has a revision, and the revision that it is
+// compressed against, or 0. It returns no data if the peer's revision is not older.
 func (d *documents) compressFor(has uint64) (data []byte, base uint64, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -103,8 +102,8 @@
 	return d.compressedWhole, 0, err
 }
 
-// decompress returns the configuration that a peer compressed, or false if it was compressed
-// against another revision than the one in force here.
+// decompress returns a configuration that a peer compressed, or false if it was compressed against another revision
+// than the newest one here.
 func (d *documents) decompress(base uint64, data []byte) (settings.Raw, bool, error) {
 	d.mu.Lock()
 	newest, revision := d.newest, d.revision
@@ -118,7 +117,7 @@
 	return document, err == nil, err
 }
 
-// makePatch compresses the newest configuration against the one before. The lock is held.
+// makePatch compresses the newest configuration against the previous one. The lock is held.
 func (d *documents) makePatch() (err error) {
 	if d.patch == nil {
 		d.patch, err = pack.Compress(d.previous, d.newest)
--- a/internal/front/peersync/endpoints.go
+++ b/internal/front/peersync/endpoints.go
@@ -16,37 +16,36 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// maxDeltaChanges is the number of endpoints up to which a change of the directory goes with a heartbeat; a larger one is
-// fetched. 64 entries fit a datagram.
+// maxDeltaChanges bounds a change of the directory that is sent with heartbeats; peers fetch a larger one. 64
+// entries fit in a datagram.
 const maxDeltaChanges = 64
 
-// maxCachedResponses bounds the responses that are kept for peers, some KB each.
+// maxCachedResponses bounds the cached responses for peers, some KB each.
 const maxCachedResponses = 16
 
-// Endpoints keeps the directory up to date, from the store or from peers. It implements
-// follow.Sink.
+// Endpoints keeps the directory up to date, from the store or from peers. It implements follow.Sink.
 type Endpoints struct {
 	parts EndpointsParts
 
 	mu sync.Mutex
-	// delta is the newest change, heartbeats in how many more heartbeats it is sent.
+	// delta is the newest change, heartbeatsLeft the number of further heartbeats that carry it.
 	delta          *gossip.DirectoryDelta
 	heartbeatsLeft int
 	// compressedEntries are all entries as of the change compressedAt, compressed for peers.
 	compressedEntries []byte
 	compressedAt      uint64
-	// responses are the changes after some revisions up to the change responsesAt, compressed for peers.
+	// responses caches the compressed changes after some revisions up to the change responsesAt.
 	responses   map[uint64]gossip.ChangesResponse
 	responsesAt uint64
 }
 
-// EndpointsParts are what Endpoints works with.
+// EndpointsParts are the dependencies of Endpoints.
 type EndpointsParts struct {
 	Directory *directory.Directory
 	Log       *logrus.Entry
-	// NotifyPeers is called when a change should reach peers at once.
+	// NotifyPeers is called when a change must reach peers immediately.
 	NotifyPeers func()
-	// After runs a function once a time has passed.
+	// After runs a function after a delay.
 	After func(wait time.Duration, run func())
 }
 
@@ -55,7 +54,7 @@
 	return &Endpoints{parts: parts, responses: make(map[uint64]gossip.ChangesResponse)}
 }
 
-// Replace replaces the whole table of the store.
+// Replace replaces the directory with the whole table of the store.
 func (s *Endpoints) Replace(batch follow.Batch[directory.Change]) {
 	snapshot := directory.Snapshot{Revision: batch.Revision, Changed: batch.Changed}
 	for _, change := range batch.Items {
@@ -74,7 +73,7 @@
 	s.scheduleChecks(snapshot.Revision)
 }
 
-// Apply applies changes that the store brought.
+// Apply applies changes from the store.
 func (s *Endpoints) Apply(batch follow.Batch[directory.Change]) {
 	from := s.parts.Directory.Changed()
 	if !s.parts.Directory.Apply(batch.Revision, batch.Items) {
@@ -87,7 +86,7 @@
 	s.finishApply(batch.Revision, fromStore, batch.Items)
 }
 
-// finishApply logs changes that were applied, and watches what lapsed with them.
+// finishApply logs changes that were applied, and schedules the checks that they need.
 func (s *Endpoints) finishApply(revision uint64, from string, changes []directory.Change) {
 	for _, change := range changes {
 		era.Log(s.parts.Log, revision).WithFields(logrus.Fields{
@@ -98,7 +97,7 @@
 	s.scheduleChecks(revision)
 }
 
-// scheduleDelta lets the next heartbeats carry changes, if they are few enough.
+// scheduleDelta adds changes to the next heartbeats, if they are few enough.
 func (s *Endpoints) scheduleDelta(from, to uint64, changes []directory.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +111,7 @@
 	}
 }
 
-// nextDelta returns the change for the next heartbeat, or nil.
+// nextDelta returns the changes for the next heartbeat, or nil.
 func (s *Endpoints) nextDelta() *gossip.DirectoryDelta {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +122,7 @@
 	return s.delta
 }
 
-// applyDelta applies a peer's changes, if this host knows all that came before them.
+// applyDelta applies a peer's changes, if this host has all changes before them.
 func (s *Endpoints) applyDelta(peer string, delta *gossip.DirectoryDelta) {
 	if s.parts.Directory.Revision() < delta.From {
 		return
@@ -137,8 +136,9 @@
 	}
 }
 
-// hasNewerThan reports whether the directory has a change that a host lacks which knows all up to a revision. A host that
-// polls its peers would otherwise get the whole directory from each that the store has answered since.
+// hasNewerThan reports whether the directory has a change after a revision. It compares with the newest change
+// rather than with the directory's revision: otherwise a host that polls its peers would get the whole directory
+// from each one that the store has answered since.
 func (s *Endpoints) hasNewerThan(revision uint64) bool {
 	if revision == 0 {
 		return s.parts.Directory.Revision() > 0
@@ -146,8 +146,8 @@
 	return s.parts.Directory.Changed() > revision
 }
 
-// changes returns what has changed after a peer's revision. Many peers ask for the same at the same time, so that it is kept
-// until the next change.
+// changes returns the changes after a peer's revision. Many peers request the same changes at the same time, so that
+// responses are cached until the next change.
 func (s *Endpoints) changes(revision uint64) (gossip.ChangesResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,7 +164,7 @@
 	return response, err
 }
 
-// compressSince compresses what has changed after a revision.
+// compressSince compresses the changes after a revision.
 func (s *Endpoints) compressSince(revision uint64) (gossip.ChangesResponse, error) {
 	updates, to, ok := s.parts.Directory.Since(revision)
 	if !ok {
@@ -190,8 +190,8 @@
 	return response, nil
 }
 
-// applyChanges applies what has changed, if this host knows all that came before. It reports false if it lacks what is
-// changed.
+// applyChanges applies a peer's changes, if this host has all changes before them. It returns false if they cannot
+// be applied.
 func (s *Endpoints) applyChanges(peer string, response *gossip.ChangesResponse) bool {
 	entries, err := decompressChanges(response.Entries)
 	if err == nil {
@@ -205,7 +205,7 @@
 	return false
 }
 
-// update applies entries that have changed, and states of entries.
+// update applies changes of entries, and changes of states alone.
 func (s *Endpoints) update(peer string, response *gossip.ChangesResponse, entries, states []directory.Change) bool {
 	known := s.parts.Directory.Revision()
 	if known < response.From {
@@ -224,13 +224,13 @@
 	if !s.parts.Directory.Update(response.To, updates) {
 		return s.parts.Directory.Revision() >= response.To
 	}
-	era.Log(s.parts.Log, response.To).WithFields(logrus.Fields{"from": peer, "entries": len(entries), "states": len(states)}).Info("changes of endpoints read")
+	era.Log(s.parts.Log, response.To).WithFields(logrus.Fields{"from": peer, "entries": len(entries), "states": len(states)}).Info("endpoint changes read")
 	s.scheduleChecks(response.To)
 	return true
 }
 
-// snapshot returns the whole directory for a peer. Compressing it is expensive, so that the
-// result is kept until the next change.
+// snapshot returns the whole directory for a peer. The compressed entries are cached until the next change, because
+// compression is expensive.
 func (s *Endpoints) snapshot() (*gossip.DirectorySnapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -245,7 +245,7 @@
 	return &gossip.DirectorySnapshot{Revision: snapshot.Revision, Changed: snapshot.Changed, Entries: s.compressedEntries}, nil
 }
 
-// applySnapshot applies the whole directory of a peer, if it is newer.
+// applySnapshot applies a peer's whole directory, if it is newer.
 func (s *Endpoints) applySnapshot(peer string, snapshot *gossip.DirectorySnapshot) {
 	entries, err := decompressEntries(snapshot.Entries)
 	if err != nil {
@@ -255,39 +255,40 @@
 	s.replace(directory.Snapshot{Revision: snapshot.Revision, Changed: snapshot.Changed, Entries: entries}, peer)
 }
 
-// scheduleChecks ends what the directory does for a while only with entries that it got at a revision.
+// scheduleChecks schedules the end of the grace periods of entries that lapsed or returned at a revision.
 func (s *Endpoints) scheduleChecks(revision uint64) {
 	s.scheduleLapseCheck(revision)
 	s.scheduleReturnCheck(revision)
 }
 
-// scheduleReturnCheck has endpoints take new work whose entries an older copy of the store has brought back, if those last.
+// scheduleReturnCheck allows new work, after the grace period, for endpoints whose entries a restore of the store
+// has brought back and that still exist.
 func (s *Endpoints) scheduleReturnCheck(revision uint64) {
 	returned := s.parts.Directory.CountReturned(revision)
 	if returned == 0 {
 		return
 	}
 	log := era.Log(s.parts.Log, revision)
-	log.WithField("doubted", returned).Warn("entries that had gone are back, they are not used for a while")
+	log.WithField("doubted", returned).Warn("removed entries are back, they get no new work for the grace period")
 	s.parts.After(directory.ReturnGrace, func() {
 		if accepted := s.parts.Directory.AcceptReturned(revision); len(accepted) > 0 {
-			log.WithField("endpoints", accepted).Info("entries that had gone have lasted")
+			log.WithField("endpoints", accepted).Info("returned entries outlasted the grace period, they get new work")
 		}
 	})
 }
 
-// scheduleLapseCheck removes the entries that lapsed at a revision if they have not come back after a
-// while. The directory may have moved on since.
+// scheduleLapseCheck removes the entries that lapsed at a revision, unless they are written again within the grace
+// period. The directory may be at a later revision by then.
 func (s *Endpoints) scheduleLapseCheck(revision uint64) {
 	lapsed := s.parts.Directory.CountLapsed(revision)
 	if lapsed == 0 {
 		return
 	}
 	log := era.Log(s.parts.Log, revision)
-	log.WithField("lapsed", lapsed).Warn("entries lapsed together, they are kept for a while")
+	log.WithField("lapsed", lapsed).Warn("entries lapsed together, keeping them for the grace period")
 	s.parts.After(directory.LapseGrace, func() {
 		if dropped := s.parts.Directory.DropLapsed(revision); len(dropped) > 0 {
-			log.WithField("endpoints", dropped).Warn("lapsed entries have not come back")
+			log.WithField("endpoints", dropped).Warn("lapsed entries were not written again within the grace period, dropped")
 		}
 	})
 }
@@ -340,7 +341,7 @@
 	return entries, nil
 }
 
-// decompressChanges returns the changes that compressChanges has compressed.
+// decompressChanges reverses compressChanges.
 func decompressChanges(compressed []byte) ([]directory.Change, error) {
 	data, err := pack.Decompress(nil, compressed)
 	if err != nil {
--- a/internal/front/peersync/engines.go
+++ b/internal/front/peersync/engines.go
@@ -9,7 +9,7 @@
 	"oxbowslip.dev/oxbowslip/internal/front/placement"
 )
 
-// Observed returns what the next report carries.
+// Observed returns the engine reports for the next message to peers.
 func (s *Sync) Observed() []gossip.EngineReport {
 	var reports []gossip.EngineReport
 	for service, report := range s.parts.Placer.Observed() {
@@ -18,7 +18,7 @@
 	return reports
 }
 
-// Reported handles a peer's report.
+// Reported handles a peer's engine reports.
 func (s *Sync) Reported(peer string, reports []gossip.EngineReport) {
 	observed := make(placement.Observed, len(reports))
 	for i := range reports {
@@ -27,7 +27,7 @@
 	s.parts.Placer.SetObserved(peer, observed)
 }
 
-// toEngineReport turns what this host knows of a service into its form in heartbeats.
+// toEngineReport encodes this host's observations of a service for messages.
 func toEngineReport(service keys.Service, r *engine.Report) gossip.EngineReport {
 	report := gossip.EngineReport{
 		Service:  service,
@@ -45,7 +45,7 @@
 	return report
 }
 
-// fromEngineReport is the reverse of toEngineReport.
+// fromEngineReport reverses toEngineReport.
 func fromEngineReport(r *gossip.EngineReport) engine.Report {
 	report := engine.Report{
 		Figures: engine.Figures{
--- a/internal/front/peersync/freshness.go
+++ b/internal/front/peersync/freshness.go
@@ -7,7 +7,7 @@
 	"oxbowslip.dev/oxbowslip/internal/front/gossip"
 )
 
-// Confirmations returns what this host can confirm to others, or nothing if that is not all topics.
+// Confirmations returns this host's confirmations, or nil unless it has one of each topic.
 func (s *Sync) Confirmations() []gossip.TopicConfirmation {
 	confirmations := make([]gossip.TopicConfirmation, freshness.NumTopics)
 	for topic := range freshness.NumTopics {
@@ -22,7 +22,7 @@
 	return confirmations
 }
 
-// MustAsk reports whether a host with a number of hosts before it has to ask others about a topic.
+// MustAsk reports whether a host with a number of hosts before it in the order must ask others about a topic.
 func (s *Sync) MustAsk(topic freshness.Topic, before int) bool {
 	return s.parts.Freshness.MustAsk(topic, before)
 }
--- a/internal/front/peersync/peersync.go
+++ b/internal/front/peersync/peersync.go
@@ -1,11 +1,11 @@
-// Package peersync spreads what hosts of oxbowslip-front know among each other: loads and
-// ejections of endpoints, prefixes, late streams, changes of the settings and of the
-// directory. It decides what each heartbeat carries, and puts what peers send in force.
+// Package peersync exchanges state between the hosts of oxbowslip-front: loads and ejections of endpoints, prefix
+// holders, engine reports, and changes of the settings and of the directory. It decides what each heartbeat carries,
+// and puts the peers' messages in force.
 //
-// It owns the configuration in force as the deployment wrote it and the newest change of the
-// directory, both compressed for peers. It relies on gossip for sending, and on placement,
-// settings and directory for the state that it reads and changes. Sync is gossip's Host;
-// Settings and Endpoints also take what the store brings (package follow).
+// It owns the configuration in force as the operator wrote it and the newest change of the directory, both
+// compressed for peers. It relies on package gossip for transport, and on packages placement, settings and directory
+// for the state that it reads and changes. Sync implements gossip.Host; Settings and Endpoints also receive the
+// updates from the store (package follow).
 package peersync
 
 import (
@@ -22,27 +22,27 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// heartbeatsPerChange is in how many heartbeats a change is sent, since a datagram may be lost. With 1 in 40 lost, as
-// on a bad day of mfs-kochi, one change in 64,000 is missed, and such a host fetches it from a peer.
+// heartbeatsPerChange is the number of heartbeats that carry a change, because datagrams may be lost. With one in 40
+// lost, as on a bad day of mfs-kochi, a host misses one change in 64,000 and fetches it from a peer.
 const heartbeatsPerChange = 3
 
-// fromStore stands for the store as the source of a change in the logs.
+// fromStore is the source of a change from the store in logs.
 const fromStore = "store"
 
-// Sync joins gossip with what this host knows. It implements gossip.Host.
+// Sync connects gossip with this host's state. It implements gossip.Host.
 type Sync struct {
 	parts Parts
 
 	mu sync.Mutex
-	// reportedLoads are the loads of the last heartbeat, to see whether a change is worth one; direct is set if
-	// heartbeats carry loads.
+	// reportedLoads are the loads in the last heartbeat, to decide whether a change needs an extra one. direct is
+	// set if heartbeats carry loads.
 	reportedLoads map[string]placement.Load
 	direct        bool
 
 	sums *sums
 }
 
-// Parts are what a Sync reads and changes.
+// Parts are the dependencies of a Sync.
 type Parts struct {
 	// Host is this host's name, Zone its availability zone.
 	Host string
@@ -63,7 +63,7 @@
 // New returns a Sync that has sent nothing.
 func New(parts Parts) *Sync { return &Sync{parts: parts, sums: newSums()} }
 
-// State returns what the next heartbeat carries, with loads and holders if it is direct.
+// State returns the contents of the next heartbeat, including loads and holders if it is direct.
 func (s *Sync) State(direct bool) gossip.State {
 	p := &s.parts
 	loads, ejected := p.Placer.Snapshot()
@@ -92,7 +92,7 @@
 	return state
 }
 
-// Revisions returns the revisions up to which this host knows all changes.
+// Revisions returns the revisions up to which this host has all changes.
 func (s *Sync) Revisions() gossip.SyncRequest {
 	return gossip.SyncRequest{Settings: s.parts.Holder.Number(), Directory: s.parts.Directory.Revision()}
 }
@@ -108,7 +108,7 @@
 	}
 }
 
-// reportOf turns a heartbeat into the report that placement takes.
+// reportOf converts a heartbeat into a report for placement.
 func reportOf(h *gossip.Heartbeat, now time.Time) placement.PeerReport {
 	report := placement.PeerReport{
 		Loads: make(map[keys.Endpoint]placement.Load, len(h.Loads)), Ejected: make(map[keys.Endpoint]time.Time, len(h.Ejections)),
@@ -125,7 +125,7 @@
 	return report
 }
 
-// Lost forgets what a peer reported.
+// Lost discards the reports of a lost peer.
 func (s *Sync) Lost(peer string) {
 	s.parts.Placer.DropPeer(peer)
 	s.sums.mu.Lock()
@@ -150,7 +150,7 @@
 	return response
 }
 
-// Changes returns what has changed in the directory after a peer's revision.
+// Changes returns the changes of the directory after a peer's revision.
 func (s *Sync) Changes(request gossip.ChangesRequest) gossip.ChangesResponse {
 	response, err := s.parts.Endpoints.changes(request.Directory)
 	if err != nil {
@@ -159,7 +159,7 @@
 	return response
 }
 
-// ApplyChanges puts the changes of a peer in force. It reports false if this host lacks what they change.
+// ApplyChanges puts a peer's changes of the directory in force. It returns false if they cannot be applied.
 func (s *Sync) ApplyChanges(peer string, response gossip.ChangesResponse) bool {
 	return s.parts.Endpoints.applyChanges(peer, &response)
 }
@@ -174,16 +174,15 @@
 	}
 }
 
-// Changes of a load from which an extra heartbeat is worth its bytes. With a heartbeat for every change the sum of
-// worth of six days was 5.10, 5.11 and 5.07, 5.07, no more than the 5.04 to 5.12 and 5.04 to 5.11 with these (design
-// note 7).
+// An extra heartbeat is sent if the load of an endpoint has changed by at least one of these. A heartbeat for every
+// change gives no better placement.
 const (
 	minTokensChange   = 2000
 	minRequestsChange = 2
 )
 
-// WorthReporting reports whether this host's loads differ enough from the last heartbeat, if heartbeats carry
-// them.
+// WorthReporting reports whether this host's loads have changed enough since the last heartbeat for an extra one, if
+// heartbeats carry loads.
 func (s *Sync) WorthReporting() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/front/peersync/peersync_test.go
+++ b/internal/front/peersync/peersync_test.go
@@ -25,7 +25,7 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// configuration makes a document of a revision, some kilobytes long.
+// configuration returns a document of a revision, some KB in size.
 func configuration(number int) settings.Raw {
 	names := make([]string, 500)
 	for n := range names {
@@ -42,7 +42,7 @@
 	return &settings.Revision{Number: revision.Number, Tree: &settings.Tree{}}, nil
 }
 
-// newSync returns a host that knows nothing. Sent counts the heartbeats that do not wait.
+// newSync returns a host without state. The counter sent counts the changes that must reach peers immediately.
 func newSync(readsStore bool) (host *Sync, sent *int) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -74,28 +74,28 @@
 	}
 }
 
-// deliverHeartbeat carries one host's heartbeat to another.
+// deliverHeartbeat delivers a peer's heartbeat.
 func (s *Sync) deliverHeartbeat(peer string, state *gossip.State) {
 	s.Received(peer, &gossip.Heartbeat{Settings: state.Settings, Directory: state.Directory, Delta: state.Delta, Patch: state.Patch})
 }
 
-// TestSettingsChangeIsSentWithHeartbeats is the sweep at 300 hosts: each fetched the
-// whole configuration from one of four readers, the last after 3.7 s (CONFIG).
+// TestSettingsChangeIsSentWithHeartbeats guards against slow propagation in large fleets: when every host of 300
+// fetched the whole configuration from one of four readers, the last had it after 3.7 s.
 func TestSettingsChangeIsSentWithHeartbeats(t *testing.T) {
 	tests := map[string]struct {
-		// has is what the listening host knew before, received which of the reader's
-		// heartbeats after its second configuration it receives.
-		has      []int
-		received int
-		want     uint64
+		// has are the configurations that the host had before. received is the number of the reader's heartbeats
+		// that it misses after the second configuration.
+		has    []int
+		missed int
+		want   uint64
 	}{
-		"the first heartbeat":      {[]int{3}, 0, 5},
-		"the last that carries it": {[]int{3}, heartbeatsPerChange - 1, 5},
-		"repeated no more":         {[]int{3}, heartbeatsPerChange, 3},
-		"on another base":          {[]int{2}, 0, 2},
-		"no base at all":           {nil, 0, 0},
-		"known already":            {[]int{3, 5}, 0, 5},
-		"newer than that":          {[]int{3, 9}, 0, 9},
+		"the first heartbeat":                     {[]int{3}, 0, 5},
+		"the last heartbeat with the patch":       {[]int{3}, heartbeatsPerChange - 1, 5},
+		"after the last heartbeat with the patch": {[]int{3}, heartbeatsPerChange, 3},
+		"the host has another base":               {[]int{2}, 0, 2},
+		"the host has no base":                    {nil, 0, 0},
+		"the host has it already":                 {[]int{3, 5}, 0, 5},
+		"the host has a newer one":                {[]int{3, 9}, 0, 9},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -105,7 +105,7 @@
 			c.Check(*sent, qt.Equals, 2)
 			host, _ := newSync(false)
 			host.applySettings(test.has...)
-			for range test.received {
+			for range test.missed {
 				reader.State(true)
 			}
 			state := reader.State(true)
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestPeerConfigurationOlderThanOwnReadIsRejected has a host read a configuration that was written after another one in the same era, of
-// which it learns later.
+// TestPeerConfigurationOlderThanOwnReadIsRejected has a host read a configuration that was written after another one
+// in the same era, which it receives from a peer later.
 func TestPeerConfigurationOlderThanOwnReadIsRejected(t *testing.T) {
 	c := qt.New(t)
 	revision := func(storeEra, number uint64) uint64 {
@@ -146,8 +146,8 @@
 		reading bool
 		want    int
 	}{
-		"a reader that learns of it before the store answers": {true, 1},
-		"a host that does not read the store":                 {false, 0},
+		"a reader that the peer reaches before the store": {true, 1},
+		"a host that does not read the store":             {false, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -170,14 +170,14 @@
 	whole := len(configuration(5))
 	tests := map[string]struct {
 		has []int
-		// most is the most bytes of settings that are sent; 0 means none.
+		// most is the maximum number of bytes of settings in the response; 0 means none.
 		most int
 	}{
-		"nothing":         {nil, whole / 2},
-		"the one before":  {[]int{3}, 200},
-		"an older one":    {[]int{2}, whole / 2},
-		"the newest":      {[]int{5}, 0},
-		"a newer one yet": {[]int{9}, 0},
+		"nothing":          {nil, whole / 2},
+		"the previous one": {[]int{3}, 200},
+		"an older one":     {[]int{2}, whole / 2},
+		"the newest":       {[]int{5}, 0},
+		"a newer one":      {[]int{9}, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -201,7 +201,7 @@
 	entry := directory.Entry{ID: "e1", Endpoint: settings.Endpoint{Service: "llm", Address: "10.0.0.1:1", MaxInFlight: 4, State: settings.StateIn}}
 	left := directory.Entry{ID: "e2", Endpoint: settings.Endpoint{Service: "llm", Address: "10.0.0.2:1", State: settings.StateOut}}
 	peer.parts.Endpoints.Replace(follow.Batch[directory.Change]{Revision: 7, Changed: 5, Items: []directory.Change{{Entry: entry}, {Entry: left}}})
-	for range 2 { // The second time, the entries are packed already.
+	for range 2 { // The second response uses the cached entries.
 		host, _ := newSync(false)
 		host.Apply(gossip.Member{Name: "peer"}, peer.Respond(host.Revisions()))
 		c.Check(host.parts.Directory.Snapshot(), qt.DeepEquals, peer.parts.Directory.Snapshot())
@@ -223,10 +223,10 @@
 	}{
 		"one that lacks the newest change":            {5, 4, true},
 		"one that has it":                             {5, 5, false},
-		"one that knows more":                         {5, 9, false},
-		"one that knows nothing":                      {5, 0, true},
-		"one that knows nothing, of an empty table":   {0, 0, true},
-		"one that knows something, of an empty table": {0, 3, false},
+		"one that has more":                           {5, 9, false},
+		"one without a directory":                     {5, 0, true},
+		"one without a directory, for an empty table": {0, 0, true},
+		"one with a directory, for an empty table":    {0, 3, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -241,7 +241,7 @@
 	}
 }
 
-// TestLapsedEndpointIsDroppedAfterGrace is a lapse in which one of two endpoints has ended.
+// TestLapsedEndpointIsDroppedAfterGrace covers a lapse of two endpoints, of which one has stopped.
 func TestLapsedEndpointIsDroppedAfterGrace(t *testing.T) {
 	c := qt.New(t)
 	host, _ := newSync(true)
@@ -263,8 +263,8 @@
 	c.Check(host.parts.Directory.Serving("llm"), qt.HasLen, 1)
 }
 
-// TestLapseIsCheckedAfterLaterChange is a lapse from the store with a peer's
-// change right behind it, before the lapse was looked for: nothing would have ended it.
+// TestLapseIsCheckedAfterLaterChange guards against lapsed entries that are kept forever because a peer's change
+// arrives between the lapse and the scheduling of its check.
 func TestLapseIsCheckedAfterLaterChange(t *testing.T) {
 	c := qt.New(t)
 	host, _ := newSync(true)
@@ -298,12 +298,12 @@
 	}
 	sent := toEngineReport(5, &report)
 	qt.Check(t, sent.Service, qt.Equals, keys.Service(5))
-	delete(report.Traffic, 8) // Less than a unit is left of it.
+	delete(report.Traffic, 8) // Less than a unit is not reported.
 	qt.Check(t, fromEngineReport(&sent), qt.DeepEquals, report)
 }
 
-// TestChangesOfEmptyDirectory has a peer ask a host whose directory no entry has ever been in: the host ended with
-// "assignment to entry in nil map", in a run of all tests beside heavy load, where a host was asked before it had read any.
+// TestChangesOfEmptyDirectory guards against a crash ("assignment to entry in nil map") when a peer requests changes
+// from a host whose directory has never had an entry.
 func TestChangesOfEmptyDirectory(t *testing.T) {
 	c := qt.New(t)
 	host, _ := newSync(false)
--- a/internal/front/peersync/settings.go
+++ b/internal/front/peersync/settings.go
@@ -14,57 +14,57 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// Settings puts configurations in force, from the store or from peers. It implements
-// follow.Sink.
+// Settings puts configurations in force, from the store or from peers. It implements follow.Sink.
 type Settings struct {
 	parts SettingsParts
-	// documents are for peers that lack them.
+	// documents holds the configuration in force for peers that lack it.
 	documents documents
 
 	// mu is held while a configuration is compared with the one in force and replaces it.
 	mu            sync.Mutex
 	knownVersions versionHashes
-	// version is the Version of the configuration in force, readInEra the era in which the store had it when this host read it
-	// there, or 0 if a peer brought it.
+	// version is the Version of the configuration in force. readInEra is the era of the store when this host read
+	// that configuration there, or 0 if it came from a peer.
 	version   uint64
 	readInEra uint64
 }
 
-// rewriteGrace is how long a restored store may have an older configuration that no host has seen, until it counts as one that
-// was written since. Operators write theirs again at once.
+// rewriteGrace is how long a restored store may hold an older configuration that no host has seen before it counts
+// as written after the restore. Operators write their configuration again right after a restore.
 const rewriteGrace = time.Second
 
-// SettingsParts are what Settings works with.
+// SettingsParts are the dependencies of Settings.
 type SettingsParts struct {
-	// Decode turns a configuration into a revision of the tree.
+	// Decode decodes a configuration into a revision of the settings tree.
 	Decode   func(settings.Raw) (*settings.Revision, error)
 	Holder   *settings.Holder
 	Counters *counters.Counters
 	Log      *logrus.Entry
 	// InForce is called with each tree that comes into force.
 	InForce func(*settings.Tree)
-	// NotifyPeers is called when something newer is in force that peers should have at once.
+	// NotifyPeers is called when a newer configuration is in force that must reach peers immediately.
 	NotifyPeers func()
 	// ReadsStore reports whether this host reads the store and gets answers.
 	ReadsStore func() bool
-	// Age returns how long ago the settings were last known to be complete.
+	// Age returns the time since the settings were last confirmed to be complete.
 	Age func() time.Duration
-	// After runs a function after a time.
+	// After runs a function after a delay.
 	After func(time.Duration, func())
 }
 
-// NewSettings returns a sink with no configuration in force.
+// NewSettings returns a sink without a configuration in force.
 func NewSettings(parts SettingsParts) *Settings { return &Settings{parts: parts} }
 
 // Replace puts the newest configuration of the whole table in force.
 func (s *Settings) Replace(batch follow.Batch[settings.Raw]) { s.applyNewest(batch, false) }
 
-// Apply puts the newest configuration in force that was written since the store was read last.
+// Apply puts the newest configuration in force that was written since the last read of the store.
 func (s *Settings) Apply(batch follow.Batch[settings.Raw]) { s.applyNewest(batch, true) }
 
-// applyNewest puts the newest configuration in force that the store brought. One that can't be decoded is left out, and the one before
-// it counts. Those in between never come into force: a change that is sent to peers leads from what they have to the newest,
-// also when several came at once. IsNew is set if they were written since the store was read last.
+// applyNewest puts the newest configuration of a batch in force. A configuration that cannot be decoded is skipped
+// in favour of the one before it. Intermediate configurations never come into force: the patch for peers must lead
+// from the configuration that they have to the newest, also if several arrived together. The flag isNew is set if
+// the batch was written since the last read of the store.
 func (s *Settings) applyNewest(batch follow.Batch[settings.Raw], isNew bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,8 +82,8 @@
 	}
 }
 
-// offerFromStore puts a configuration in force that the store brought in an era, if it is newer than the one that is. A store that
-// has come back from an older copy brings one of before or one that was written since, under any Version. The lock is held.
+// offerFromStore puts a configuration from the store in force if it is newer than the current one. After a restore,
+// the configuration may be from before the restore or written since, under any Version. The lock is held.
 func (s *Settings) offerFromStore(document settings.Raw, revision *settings.Revision, storeEra uint64, isNew bool) {
 	version := revision.Number
 	writtenIn := era.Of(s.parts.Holder.Number())
@@ -97,14 +97,14 @@
 	}
 	revision.Number = revisionNumber(writtenIn, version)
 	if !s.offer(document, revision, version, fromStore) && !s.documents.isNewest(document) {
-		s.parts.Log.WithFields(logrus.Fields{"revision": s.parts.Holder.Number(), "store_revision": revision.Number}).Warn("the store has an older configuration, the one in force stays")
+		s.parts.Log.WithFields(logrus.Fields{"revision": s.parts.Holder.Number(), "store_revision": revision.Number}).Warn("the store has an older configuration, keeping the one in force")
 		return
 	}
 	s.readInEra = storeEra
 }
 
-// scheduleOffer puts a configuration in force that a restored store has if nothing was written in its era for a while: nobody knows
-// of it from before.
+// scheduleOffer puts a configuration of a restored store in force after rewriteGrace, unless another one has been
+// written in the store's era by then. No host has seen this configuration before the restore.
 func (s *Settings) scheduleOffer(document settings.Raw, storeEra uint64) {
 	s.parts.After(rewriteGrace, func() {
 		s.mu.Lock()
@@ -118,8 +118,8 @@
 	})
 }
 
-// offerFromPeer puts a peer's configuration in force if it is newer than the one that is. Announced is the number that the peer
-// gave it. The lock is held.
+// offerFromPeer puts a peer's configuration in force if it is newer than the current one. The parameter announced is
+// the number that the peer announced for it. The lock is held.
 func (s *Settings) offerFromPeer(peer string, document settings.Raw, announced uint64) {
 	revision, ok := s.decode(document, peer)
 	if !ok {
@@ -127,7 +127,7 @@
 	}
 	version := revision.Number
 	s.knownVersions.record(version, document)
-	// The peer may have put another one in force since it announced that one.
+	// The peer may have put another configuration in force since its announcement.
 	if era.Number(announced) == version {
 		revision.Number = announced
 	}
@@ -140,21 +140,22 @@
 	}
 }
 
-// predatesLocalRead reports whether a peer's configuration was written before the one in force, which this host read in the same era,
-// or a later one, without knowing that it was written in it.
+// predatesLocalRead reports whether a peer's configuration was written before the current one although its number is
+// of a later era. This host read the current one in that era or a later one, without knowing in which era it was
+// written.
 func (s *Settings) predatesLocalRead(number, version uint64) bool {
 	writtenIn := era.Of(number)
 	return writtenIn > era.Of(s.parts.Holder.Number()) && writtenIn <= s.readInEra && version < s.version
 }
 
-// renumber notes that the configuration in force was written in an era.
+// renumber records that the configuration in force was written in an era.
 func (s *Settings) renumber(writtenIn uint64) {
 	revision := *s.parts.Holder.Current()
 	revision.Number = revisionNumber(writtenIn, s.version)
 	s.offer(s.documents.current(), &revision, s.version, fromStore)
 }
 
-// decode turns a configuration into a revision whose number is its Version. It reports false if it can't be decoded.
+// decode decodes a configuration into a revision with its Version as the number. It returns false if that fails.
 func (s *Settings) decode(document settings.Raw, from string) (*settings.Revision, bool) {
 	revision, err := s.parts.Decode(document)
 	if err != nil {
@@ -164,7 +165,8 @@
 	return revision, err == nil
 }
 
-// offer puts a configuration in force if it is newer than the one that is, and reports whether it was. The lock is held.
+// offer puts a configuration in force if it is newer than the current one, and reports whether it was. The lock is
+// held.
 func (s *Settings) offer(document settings.Raw, revision *settings.Revision, version uint64, from string) bool {
 	p := &s.parts
 	age := p.Age()
@@ -184,16 +186,15 @@
 	return true
 }
 
-// shouldForward reports whether this host sends a change on at once. What the store brought it
-// does. What a peer sent it does only if it reads the store itself: readers sometimes learn of
-// a change from each other first, and the heartbeat of the other may have been lost; if all
-// hosts sent it on, the bytes would grow with the square of the fleet.
+// shouldForward reports whether this host sends a change on immediately. It does for changes from the store. For a
+// peer's change it does only if it reads the store itself: readers may get a change from each other first, and the
+// other's heartbeat may have been lost. If all hosts forwarded changes, the traffic would grow with the square of
+// the fleet.
 func (s *Settings) shouldForward(from string) bool {
 	return from == fromStore || s.parts.ReadsStore()
 }
 
-// announceChange lets the next heartbeats carry the change. Peers fetch one that can't be
-// compressed.
+// announceChange adds the change to the next heartbeats. Peers fetch a change that cannot be compressed.
 func (s *Settings) announceChange() {
 	if err := s.documents.schedulePatch(); err != nil {
 		s.parts.Log.WithError(err).Error("a change of the settings can't be compressed, peers fetch it whole")
@@ -206,8 +207,8 @@
 	s.applyCompressed(peer, patch.From, patch.Data, patch.To)
 }
 
-// applyCompressed puts a peer's configuration in force, which has the number that the peer announced. One that was compressed
-// against another revision than the one in force is left out; it is fetched whole if it is newer.
+// applyCompressed puts a peer's configuration in force, under the number that the peer announced. A configuration
+// that was compressed against another revision than the one in force is ignored; it is fetched whole if it is newer.
 func (s *Settings) applyCompressed(peer string, base uint64, data []byte, announced uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/front/peersync/sums.go
+++ b/internal/front/peersync/sums.go
@@ -17,19 +17,19 @@
 // How the work of the hosts of a large fleet is added up: what package aggregate needs of the messages of
 // package gossip, and what placement gets of the sums.
 
-// maxPartEndpoints is how many endpoints one part of a sum has at most: 8 KB, which fit a datagram that is read
-// (gossip.maxDatagram).
+// maxPartEndpoints is the maximum number of endpoints in a part of a sum: some 8 KB, which fit in the largest
+// datagram that is read (gossip.maxDatagram).
 const maxPartEndpoints = 1000
 
-// sums are the sums at this host as an aggregator, and the splits that others would decide.
+// sums holds the sums of this host as an aggregator, and the splits that aggregators propose.
 type sums struct {
 	mu         sync.Mutex
 	aggregator *aggregate.Aggregator
-	// proposals are the splits of this host and other aggregators, by host.
+	// proposals are the splits proposed by this host and other aggregators, by host.
 	proposals map[string]proposal
 }
 
-// proposal is what an aggregator would decide for all hosts.
+// proposal is an aggregator's split of each service for all hosts.
 type proposal struct {
 	at     time.Time
 	splits []gossip.ServiceSplit
@@ -50,7 +50,7 @@
 	return toWork(&work, placement.Part{Of: 1})
 }
 
-// Contributed handles the work of a host of this host's zone.
+// Contributed handles the work of a host in this host's zone.
 func (s *Sync) Contributed(host string, c *gossip.Contribution) {
 	work := fromWork(&c.Work)
 	s.sums.mu.Lock()
@@ -58,8 +58,8 @@
 	s.sums.aggregator.SetHost(s.parts.Clock(), host, aggregate.Mark{Incarnation: c.Incarnation, Sequence: c.Sequence}, work)
 }
 
-// Sums returns the parts of the sum over this host's zone, with the splits that it would decide, and those of the
-// sum over all hosts, with the splits that are decided for all.
+// Sums returns the parts of the sum over this host's zone, with this host's proposed splits, and those of the sum
+// over all hosts, with the splits decided for all.
 func (s *Sync) Sums() ([]gossip.ZoneSum, []gossip.FleetSum) {
 	splits := toSplits(s.parts.Placer.Splits())
 	now := s.parts.Clock()
@@ -71,7 +71,7 @@
 	return zoneSumsOf(&sums, splits), fleetSumsOf(&sums, decider, decided)
 }
 
-// zoneSumsOf returns the messages with a zone's sum. The splits go with the first part.
+// zoneSumsOf returns the messages with a zone's sum. The first part carries the splits.
 func zoneSumsOf(sums *aggregate.Sums, splits []gossip.ServiceSplit) []gossip.ZoneSum {
 	var messages []gossip.ZoneSum
 	for _, part := range partsOfSum(&sums.Zone) {
@@ -81,7 +81,7 @@
 	return messages
 }
 
-// fleetSumsOf returns the messages with the sum over all hosts. The splits go with the first part.
+// fleetSumsOf returns the messages with the sum over all hosts. The first part carries the splits.
 func fleetSumsOf(sums *aggregate.Sums, decider string, splits []gossip.ServiceSplit) []gossip.FleetSum {
 	var counted []uint32
 	var sequences []uint64
@@ -99,7 +99,7 @@
 	return messages
 }
 
-// ZoneSummed handles a part of the sum over a zone. Of this host's zone only the splits count.
+// ZoneSummed handles a part of the sum over a zone. Only the splits are used of a sum over this host's own zone.
 func (s *Sync) ZoneSummed(peer, zone string, sum *gossip.ZoneSum) {
 	now := s.parts.Clock()
 	s.sums.mu.Lock()
@@ -113,8 +113,8 @@
 	}
 }
 
-// decidedSplits returns the splits of the aggregator that comes first in the order that all hosts share, so that all
-// hosts have the same split but for one that is on its way. The lock is held.
+// decidedSplits returns the splits of the first aggregator in the order that all hosts share. All hosts therefore
+// use the same splits, except while a change is in transit. The lock is held.
 func (s *sums) decidedSplits(now time.Time) (decider string, splits []gossip.ServiceSplit) {
 	maps.DeleteFunc(s.proposals, func(_ string, p proposal) bool { return now.Sub(p.at) > aggregate.WorkTimeout })
 	hosts := slices.SortedFunc(maps.Keys(s.proposals), func(a, b string) int { return cmp.Compare(gossip.Rank(a), gossip.Rank(b)) })
@@ -159,8 +159,7 @@
 	return parts
 }
 
-// toWork turns a part of some work into its form in messages. What is known of engines, and the holders, go
-// with the first part.
+// toWork encodes a part of some work for messages. The first part carries engine reports and holders.
 func toWork(w *aggregate.Work, part placement.Part) gossip.Work {
 	var work gossip.Work
 	for endpoint, load := range w.Loads {
@@ -183,7 +182,7 @@
 	return work
 }
 
-// fromWork is the reverse of toWork. Columns of different lengths are cut to the shortest.
+// fromWork reverses toWork. Columns of different lengths are truncated to the shortest.
 func fromWork(w *gossip.Work) aggregate.Work {
 	work := aggregate.Work{Loads: make(map[keys.Endpoint]placement.Load, len(w.Endpoints)), Engines: make(placement.Observed, len(w.Engines))}
 	for i := range min(len(w.Endpoints), len(w.Requests), len(w.Tokens)) {
@@ -198,7 +197,7 @@
 	return work
 }
 
-// toSplits turns splits into their form in messages.
+// toSplits encodes splits for messages.
 func toSplits(splits placement.Splits) []gossip.ServiceSplit {
 	var messages []gossip.ServiceSplit
 	for service, split := range splits {
@@ -207,7 +206,7 @@
 	return messages
 }
 
-// fromSplits is the reverse of toSplits.
+// fromSplits reverses toSplits.
 func fromSplits(messages []gossip.ServiceSplit) placement.Splits {
 	splits := make(placement.Splits, len(messages))
 	for _, m := range messages {
--- a/internal/front/peersync/versions.go
+++ b/internal/front/peersync/versions.go
@@ -7,18 +7,18 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// maxVersions bounds the configurations that are remembered.
+// maxVersions bounds the configurations in versionHashes.
 const maxVersions = 256
 
-// versionHashes remembers configurations by the Version that the operator gave them. A store that has come back from an older copy lets
-// the operator give out the same ones again, with other contents.
+// versionHashes maps the Version that the operator gave a configuration to a hash of its contents. After a restore
+// of the store, the operator can reuse a Version for other contents.
 type versionHashes struct {
-	// hashes are hashes of the configurations, order their Versions from the oldest on.
+	// hashes are the hashes by Version, order the Versions from oldest to newest.
 	hashes map[uint64]uint64
 	order  []uint64
 }
 
-// record remembers a configuration.
+// record adds a configuration, and evicts the oldest if there are too many.
 func (v *versionHashes) record(version uint64, document settings.Raw) {
 	if v.hashes == nil {
 		v.hashes = make(map[uint64]uint64)
@@ -38,14 +38,14 @@
 	return ok
 }
 
-// conflicts reports whether another configuration had a Version.
+// conflicts reports whether a Version was recorded with other contents.
 func (v *versionHashes) conflicts(version uint64, document settings.Raw) bool {
 	content, ok := v.hashes[version]
 	return ok && content != xxhash.Sum64(document)
 }
 
-// revisionNumber returns the number of a configuration: its Version, in the era of the store in which it is known to have been
-// written. A Version that is too large for an era is the number alone.
+// revisionNumber returns the number of a configuration: its Version, in the era of the store in which it is known to
+// have been written. A Version that is too large for an era is used as it is.
 func revisionNumber(writtenIn, version uint64) uint64 {
 	number, err := era.Revision(writtenIn, version)
 	if err != nil {
