--- a/internal/front/follow/follow_test.go
+++ b/internal/front/follow/follow_test.go
@@ -17,17 +17,17 @@
 	"oxbowslip.dev/oxbowslip/internal/front/freshness"
 )
 
-// callResult is what the next call of a source gives.
+// callResult is the result of a call to a source.
 type callResult struct {
 	batch Batch[string]
 	err   error
 }
 
-// script is a source that gives prepared readings, and then blocks.
+// script is a source that returns prepared results, and then blocks.
 type script struct {
 	loads, waits chan callResult
 	after        chan uint64
-	// held are the times for which the calls might be held.
+	// held are the hold times of the calls.
 	held chan time.Duration
 }
 
@@ -48,15 +48,15 @@
 	}
 }
 
-// recordingSink takes what a follower reads.
+// recordingSink records what a follower reads.
 type recordingSink struct {
 	received chan string
 	position atomic.Uint64
-	// answers are those that the follower reported. They may be read once it has ended.
+	// answers are those that the follower reported. They must be read only after it has ended.
 	answers []freshness.Answer
 }
 
-// newScripted makes a source without readings.
+// newScripted returns a source without results.
 func newScripted() *script {
 	return &script{
 		loads: make(chan callResult, 9), waits: make(chan callResult, 9), after: make(chan uint64, 99), held: make(chan time.Duration, 99),
@@ -100,7 +100,7 @@
 	}
 }
 
-// inEra returns a revision of an era.
+// inEra returns the revision of a number in an era.
 func inEra(number, ver uint64) uint64 {
 	revision, err := era.Revision(number, ver)
 	if err != nil {
@@ -119,22 +119,22 @@
 		loads, waits []callResult
 		want         []string
 	}{
-		"whole, then changes": {
+		"the whole table, then changes": {
 			[]callResult{batch(3, "a")}, []callResult{batch(4, "b"), batch(5), batch(6, "c")}, []string{"whole a", "change b", "change c"},
 		},
-		"the store is away at first": {
+		"the store is unavailable at first": {
 			[]callResult{{err: away}, {err: away}, batch(3, "a")}, nil, []string{"whole a"},
 		},
-		"the store is away for a while": {
+		"the store is unavailable later": {
 			[]callResult{batch(3, "a")}, []callResult{{err: away}, {err: away}, batch(4, "b")}, []string{"whole a", "change b"},
 		},
 		"history is gone": {
 			[]callResult{batch(3, "a"), batch(9, "z")}, []callResult{{err: ErrHistoryGone}}, []string{"whole a", "whole z"},
 		},
-		"an old answer is left out": {
+		"an older answer is ignored": {
 			[]callResult{batch(3, "a")}, []callResult{batch(2, "old"), batch(4, "b")}, []string{"whole a", "change b"},
 		},
-		"an old table is left out": {
+		"an older table is ignored": {
 			[]callResult{batch(3, "a"), batch(2, "old"), batch(9, "z")}, []callResult{{err: ErrHistoryGone}}, []string{"whole a", "whole z"},
 		},
 		"an answer of a new era": {
@@ -147,7 +147,7 @@
 			[]callResult{{err: ErrHistoryGone}, batch(inEra(1, 5), "b")},
 			[]string{"whole a", "whole z", "change b"},
 		},
-		"a copy that was left in an earlier era": {
+		"a stale copy from an earlier era": {
 			[]callResult{batch(inEra(2, 4), "a")},
 			[]callResult{batch(inEra(1, 70), "old"), batch(inEra(2, 5), "b")},
 			[]string{"whole a", "change b"},
@@ -172,8 +172,8 @@
 	}
 }
 
-// TestHostWithoutDutyDoesNotCall checks that a host without duty reads nothing, and that it goes on from what peers have
-// brought meanwhile.
+// TestHostWithoutDutyDoesNotCall checks that a host without duty does not call the store, and that it later
+// continues from the position that peers have brought it to.
 func TestHostWithoutDutyDoesNotCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -187,7 +187,7 @@
 			return Duty{}
 		})
 		time.Sleep(time.Minute)
-		c.Check(source.loads, qt.HasLen, 1, qt.Commentf("nothing is read"))
+		c.Check(source.loads, qt.HasLen, 1, qt.Commentf("nothing is loaded"))
 		c.Check(follower.IsReading(), qt.IsFalse)
 		reads.Store(true)
 		c.Check(<-sink.received, qt.Equals, "whole a")
@@ -200,13 +200,13 @@
 		c.Check(follower.IsReading(), qt.IsFalse)
 		sink.position.Store(9)
 		reads.Store(true)
-		c.Check(<-source.after, qt.Equals, uint64(9), qt.Commentf("the position that peers brought"))
+		c.Check(<-source.after, qt.Equals, uint64(9), qt.Commentf("the position reached through peers"))
 		stop()
 	})
 }
 
-// TestUnansweredHeldCallEndsReading is incident 28: a call that the store holds falls silent. Its host must say
-// soon that it does not read, and call anew.
+// TestUnansweredHeldCallEndsReading covers a held call that the store never answers: the host must soon report that
+// it does not read, and call again.
 func TestUnansweredHeldCallEndsReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -230,7 +230,8 @@
 	})
 }
 
-// TestRepeatedHistoryGoneBacksOff guards against calls without a pause: 410, the whole table, 410 again.
+// TestRepeatedHistoryGoneBacksOff guards against a tight loop with a store that never has the history: 410, the
+// whole table, 410 again.
 func TestRepeatedHistoryGoneBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -246,8 +247,8 @@
 	})
 }
 
-// TestEmptyTableIsLoadedOnce is the first start of a deployment, before the operator has written anything: the
-// table was read again and again, without a pause (first trial of the mend of incident 28).
+// TestEmptyTableIsLoadedOnce guards against loading the table in a tight loop at the first start of a deployment,
+// before the operator has written anything.
 func TestEmptyTableIsLoadedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -263,7 +264,8 @@
 	})
 }
 
-// TestPagesAreReadWithoutSpacing has the store bring many changes in pages. Only after the last ones a follower waits for others.
+// TestPagesAreReadWithoutSpacing has the store return many changes in pages. The follower waits for Spacing only
+// after the last page.
 func TestPagesAreReadWithoutSpacing(t *testing.T) {
 	const pages = 5
 	tests := map[string]struct {
@@ -296,7 +298,7 @@
 	}
 }
 
-// TestRetryIntervalOfNonReaders checks how often hosts call that do not read for others while the store is silent.
+// TestRetryIntervalOfNonReaders checks how often a host that does not read for others calls an unresponsive store.
 func TestRetryIntervalOfNonReaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -313,8 +315,8 @@
 	})
 }
 
-// TestCallIsNotHeldAfterFailure is the day store-silent: calls that were held by a
-// silent store hid its return for 6.5 s, and with it a change (CONFIG, DENIED).
+// TestCallIsNotHeldAfterFailure guards against a late change after the store was unresponsive: calls that it held
+// hid its return for 6.5 s.
 func TestCallIsNotHeldAfterFailure(t *testing.T) {
 	c := qt.New(t)
 	source := newScripted()
@@ -331,7 +333,7 @@
 	stop()
 }
 
-// TestOnlyAnswersAreReported checks that only answers count, also those that bring nothing.
+// TestOnlyAnswersAreReported checks that failed calls are not reported as answers, and that empty answers are.
 func TestOnlyAnswersAreReported(t *testing.T) {
 	c := qt.New(t)
 	source := newScripted()
@@ -348,7 +350,7 @@
 	_, sink, stop := startFollower(source, readerDuty)
 	c.Check(<-sink.received, qt.Equals, "whole a")
 	c.Check(<-sink.received, qt.Equals, "change b")
-	// The next call begins when the answer has been reported.
+	// The next call begins after the answer has been reported.
 	for range 4 {
 		<-source.after
 	}
--- a/internal/front/freshness/freshness.go
+++ b/internal/front/freshness/freshness.go
@@ -1,12 +1,11 @@
-// Package freshness knows how old what this host believes may be: up to which moment the store has
-// confirmed that the host's settings and its directory of endpoints are complete. From that it
-// decides when a host must ask the store itself.
+// Package freshness tracks the age of this host's settings and directory of endpoints: the point in time up to which
+// the store has confirmed that they are complete. From the age it decides when the host must call the store itself.
 //
-// It owns the newest confirmation of each topic and an estimate of the store's clock. Moments are
-// readings of that clock, which all hosts share: a confirmation that arrives late, out of order or
-// twice says the same as one that arrives at once, and what waited in a socket while its host was
-// frozen does not look newer than it is. It does no input or output; package follow reports what the
-// store answers, and package peersync what peers confirm.
+// It owns the newest confirmation of each topic and an estimate of the store's clock. Times in confirmations are
+// readings of that clock, which all hosts share. A confirmation therefore means the same if it arrives late, out of
+// order or twice, and a message that waited in a socket while its host was suspended does not appear newer than it
+// is. The package does no I/O: package follow reports the store's answers, and package peersync the confirmations of
+// peers.
 package freshness
 
 import (
@@ -17,10 +16,9 @@
 	"oxbowslip.dev/oxbowslip/internal/front/era"
 )
 
-// Topic is one of the things that a host knows from the store.
+// Topic is a table of the store that hosts follow.
 type Topic int
 
-// The topics.
 const (
 	Settings Topic = iota
 	Endpoints
@@ -38,75 +36,76 @@
 	return fmt.Sprintf("topic %d", int(t))
 }
 
-// StoreTime is a reading of the store's steady clock: the time since a moment of the store's own. Those of different eras of
-// the store are not compared: another machine may be the store then.
+// StoreTime is a reading of the store's monotonic clock. Readings from different eras are not comparable, because
+// another machine may run the store after a restore.
 type StoreTime time.Duration
 
-// Answer is what an answer of the store to a call of this host confirms: what the host has in force
-// then is complete up to Revision, as of At.
+// Answer describes an answer of the store to a call of this host. It confirms that the state in force at this host
+// after the answer was complete up to Revision at the time At.
 type Answer struct {
 	Revision uint64
-	// At is the store's clock when it answered.
+	// At is the store's clock at the time of the answer.
 	At StoreTime
-	// Sent and Received are this host's monotonic clock around the call.
+	// Sent and Received are readings of this host's monotonic clock before and after the call.
 	Sent     time.Time
 	Received time.Time
 }
 
-// Confirmation says that a host knew a topic completely as of a moment.
+// Confirmation states that a host's copy of a topic was complete at a point in time.
 type Confirmation struct {
-	// Newest identifies what the host has in force: the number of its settings, or the newest change of
-	// its directory. Any host that has the same or more is as complete.
+	// Newest identifies the state in force at the host: the number of its settings, or the newest change of its
+	// directory. A host with the same or a later state is as complete.
 	Newest uint64
-	// Revision is the state of the store up to which that is complete.
+	// Revision is the revision of the store up to which that state is complete.
 	Revision uint64
 	AsOf     StoreTime
 }
 
-// Parts are what a State works with.
+// Parts are the dependencies of a State.
 type Parts struct {
 	Clock func() time.Time
-	// KnownRevision returns what this host has of a topic, to compare with Confirmation.Newest: the number of its
-	// settings, or the revision up to which it knows the directory.
+	// KnownRevision returns the state of a topic at this host, to compare with Confirmation.Newest: the number of
+	// its settings, or the revision up to which its directory is complete.
 	KnownRevision func(Topic) uint64
-	// Newest returns what the host's own confirmations carry as Newest.
+	// Newest returns the value of Newest in this host's own confirmations.
 	Newest func(Topic) uint64
 }
 
-// State is how old this host's knowledge may be. It is safe for concurrent use.
+// State tracks the age of this host's copy of each topic. It is safe for concurrent use.
 type State struct {
 	parts   Parts
 	started time.Time
 
 	mu sync.Mutex
-	// era is the newest era of the store that is known, store its clock.
+	// era is the newest era seen, store estimates the store's clock in that era.
 	era    uint64
 	store  storeClock
 	topics [NumTopics]topicState
 }
 
-// topicState is up to when a topic is confirmed.
+// topicState holds the confirmations of a topic.
 type topicState struct {
-	// isConfirmed is set once the topic has been confirmed at all.
+	// isConfirmed is set once the topic has been confirmed.
 	isConfirmed bool
-	// revision and asOf are up to where this host's knowledge is complete.
+	// revision and asOf are the revision and the point in time up to which this host's copy is complete.
 	revision uint64
 	asOf     StoreTime
-	// pending is the newest confirmation of a peer that has more than this host.
+	// pending is the newest confirmation from a peer with a later state than this host's.
 	pending Confirmation
-	// staleAge is how old the topic was at staleAt, when a newer era than that of its revision became known.
+	// staleAge is the topic's age at staleAt, the time at which an era later than that of its revision was first
+	// seen.
 	staleAge time.Duration
 	staleAt  time.Time
 }
 
-// New returns a state in which nothing is confirmed.
+// New returns a State without confirmations.
 func New(parts Parts) *State {
 	now := parts.Clock()
 	return &State{parts: parts, started: now, store: storeClock{epoch: now}}
 }
 
-// RecordAnswer notes that the store has answered this host's call for a topic, and that the host has
-// put in force what the answer brought. An answer of an earlier era than is known counts for nothing.
+// RecordAnswer records an answer of the store to this host's call for a topic. The host must have put in force what
+// the answer contained. An answer from an earlier era is ignored.
 func (s *State) RecordAnswer(topic Topic, answer Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,8 +117,8 @@
 	s.topics[topic].advance(answer.Revision, answer.At)
 }
 
-// enterEra notes an era of the store. In a newer one than is known, readings of its clock begin anew, and what is known of the
-// topics is of before. The lock is held.
+// enterEra switches to an era if it is newer. Readings of the store's clock then start anew, and the topics keep
+// aging from their age at this time, because their confirmations are from an earlier era. The lock is held.
 func (s *State) enterEra(newest uint64) {
 	if newest <= s.era {
 		return
@@ -132,8 +131,8 @@
 	s.era, s.store = newest, storeClock{epoch: s.store.epoch}
 }
 
-// RecordConfirmation notes the confirmation of a peer, which arrived just now. What the host lacks of it is confirmed once
-// the host has it.
+// RecordConfirmation records a confirmation that has just arrived from a peer. If the peer has a later state, it
+// takes effect once this host has reached that state.
 func (s *State) RecordConfirmation(topic Topic, c Confirmation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,8 +150,7 @@
 	}
 }
 
-// applyPending counts the confirmation of a peer that had more than this host, if the host has got it since. The lock
-// is held.
+// applyPending applies the pending confirmation if this host has reached its state. The lock is held.
 func (s *State) applyPending(topic Topic) {
 	t := &s.topics[topic]
 	if t.pending.AsOf > 0 && s.parts.KnownRevision(topic) >= t.pending.Newest {
@@ -161,7 +159,7 @@
 	}
 }
 
-// advance notes that this host's knowledge is complete up to a revision, as of a moment.
+// advance records that this host's copy is complete up to a revision at a point in time.
 func (t *topicState) advance(revision uint64, asOf StoreTime) {
 	if era.Of(revision) < era.Of(t.revision) {
 		return
@@ -172,7 +170,7 @@
 	t.revision = max(t.revision, revision)
 }
 
-// OwnConfirmation returns what this host can confirm to others of a topic, or false if it knows of no confirmation.
+// OwnConfirmation returns the confirmation of a topic that this host can send to others, or false if there is none.
 func (s *State) OwnConfirmation(topic Topic) (Confirmation, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,7 +178,7 @@
 	return Confirmation{Newest: s.parts.Newest(topic), Revision: t.revision, AsOf: t.asOf}, t.isConfirmed
 }
 
-// Revision returns the state of the store up to which a topic is known to be complete, or 0.
+// Revision returns the revision of the store up to which a topic is complete, or 0.
 func (s *State) Revision(topic Topic) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,10 +186,10 @@
 	return s.topics[topic].revision
 }
 
-// UnknownAge is the age of what the store has not confirmed since the host's start.
+// UnknownAge is the age of a topic that has not been confirmed since the host started.
 const UnknownAge time.Duration = -time.Millisecond
 
-// Age returns how long ago a topic was last known to be complete, or Unknown.
+// Age returns the time since a topic was last confirmed to be complete, or UnknownAge.
 func (s *State) Age(topic Topic) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -210,15 +208,15 @@
 	return max(time.Duration(s.store.now(now)-t.asOf), 0)
 }
 
-// Era returns the newest era of the store that is known.
+// Era returns the newest era seen.
 func (s *State) Era() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.era
 }
 
-// StoreTime returns the least that the store's clock shows at a time of this host, or false if nothing has said so
-// lately.
+// StoreTime returns a lower bound of the store's clock at a time of this host, or false if there is no recent
+// reading.
 func (s *State) StoreTime(at time.Time) (StoreTime, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/front/freshness/freshness_test.go
+++ b/internal/front/freshness/freshness_test.go
@@ -14,14 +14,14 @@
 
 const ms = time.Millisecond
 
-// newState returns a state and its host's clock.
+// newState returns a State and its host's clock.
 func newState() (*State, *time.Time) {
 	now := testStart
 	has := func(Topic) uint64 { return 5 }
 	return New(Parts{Clock: func() time.Time { return now }, KnownRevision: has, Newest: has}), &now
 }
 
-// answer is one of a store whose clock showed at, sent for and received some time after the start.
+// answer returns an answer of a store whose clock showed at. Sent and received are relative to testStart.
 func answer(at, sent, received time.Duration) Answer {
 	return Answer{At: StoreTime(at), Sent: testStart.Add(sent), Received: testStart.Add(received)}
 }
@@ -29,30 +29,30 @@
 func TestAge(t *testing.T) {
 	tests := map[string]struct {
 		answers []Answer
-		// at is how long after the start the age is asked for.
+		// at is the time after testStart at which the age is read.
 		at   time.Duration
 		want time.Duration
 	}{
-		"nothing is confirmed": {nil, time.Second, UnknownAge},
-		"an answer that was on its way for no time": {
+		"no confirmation": {nil, time.Second, UnknownAge},
+		"an answer without delay": {
 			[]Answer{answer(70*time.Second, 0, 0)}, time.Second, time.Second,
 		},
 		"a later answer": {
 			[]Answer{answer(70*time.Second, 0, 0), answer(72*time.Second, 2*time.Second, 2*time.Second)}, 5 * time.Second, 3 * time.Second,
 		},
-		"a slow answer after a fast one is as old as it is": {
+		"a slow answer after a fast one": {
 			[]Answer{answer(70*time.Second, 0, 0), answer(71*time.Second, time.Second, 4*time.Second)}, 4 * time.Second, 3 * time.Second,
 		},
-		"an older answer that arrives late changes nothing": {
+		"an older answer that arrives late": {
 			[]Answer{answer(72*time.Second, 2*time.Second, 2*time.Second), answer(71*time.Second, time.Second, 3*time.Second)}, 4 * time.Second, 2 * time.Second,
 		},
-		"a call that the store held": {
+		"a held call": {
 			[]Answer{answer(70*time.Second, 0, 0), answer(72*time.Second, 10*ms, 2*time.Second)}, 3 * time.Second, time.Second,
 		},
-		"an answer that arrives once its host was suspended": {
+		"an answer that waited while the host was suspended": {
 			[]Answer{answer(70*time.Second, 0, 0), answer(71*time.Second, time.Second, time.Hour)}, time.Hour, time.Hour - time.Second,
 		},
-		"the store's clock begins anew": {
+		"the store's clock restarts": {
 			[]Answer{answer(70*time.Second, 0, 0), answer(time.Second, 4*time.Second, 4*time.Second), answer(2*time.Second, 5*time.Second, 5*time.Second)},
 			5 * time.Second, 0,
 		},
@@ -65,13 +65,13 @@
 			}
 			*now = testStart.Add(test.at)
 			qt.Check(t, state.Age(Settings), qt.Equals, test.want)
-			qt.Check(t, state.Age(Endpoints), qt.Equals, UnknownAge, qt.Commentf("nothing was said of the other topic"))
+			qt.Check(t, state.Age(Endpoints), qt.Equals, UnknownAge, qt.Commentf("the other topic is not confirmed"))
 		})
 	}
 }
 
-// TestStoreClockFollowsDrift is a host whose clock is too fast by 1 ms a second: without an end
-// to old samples, ages would grow without bound.
+// TestStoreClockFollowsDrift covers a host whose clock runs fast by 1 ms/s: if old samples did not expire, ages
+// would grow without bound.
 func TestStoreClockFollowsDrift(t *testing.T) {
 	state, now := newState()
 	for second := range 600 {
@@ -82,7 +82,7 @@
 	}
 }
 
-// host is a state with what its host has of the settings.
+// host is a State and the number of its host's settings.
 type host struct {
 	*State
 	now *time.Time
@@ -97,15 +97,15 @@
 	return h
 }
 
-// setElapsed sets the time since the start.
+// setElapsed sets the time since testStart.
 func (h *host) setElapsed(since time.Duration) { *h.now = testStart.Add(since) }
 
-// hear takes a peer's confirmation of the settings.
+// confirm delivers a peer's confirmation of the settings.
 func (h *host) confirm(newest uint64, asOf time.Duration) {
 	h.RecordConfirmation(Settings, Confirmation{Newest: newest, Revision: newest * 10, AsOf: StoreTime(asOf)})
 }
 
-// TestAgesAfterStoreRestore has the store come back with a clock of its own, which says less than before.
+// TestAgesAfterStoreRestore has the store return from a backup with a clock that shows less than before.
 func TestAgesAfterStoreRestore(t *testing.T) {
 	c := qt.New(t)
 	restored, err := era.Revision(1, 4)
@@ -120,14 +120,14 @@
 	c.Check(h.Age(Settings), qt.Equals, time.Second)
 	c.Check(h.Age(Endpoints), qt.Equals, 3*time.Second, qt.Commentf("nothing is confirmed in the new era"))
 	h.RecordConfirmation(Endpoints, Confirmation{Newest: 50, Revision: 60, AsOf: StoreTime(73 * time.Second)})
-	c.Check(h.Age(Endpoints), qt.Equals, 3*time.Second, qt.Commentf("a confirmation of before does not count"))
+	c.Check(h.Age(Endpoints), qt.Equals, 3*time.Second, qt.Commentf("a confirmation of the earlier era is ignored"))
 	c.Check(h.MustAsk(Endpoints, 0), qt.IsTrue)
 	h.RecordConfirmation(Endpoints, Confirmation{Newest: 50, Revision: restored, AsOf: StoreTime(2 * time.Second)})
 	c.Check(h.Age(Endpoints), qt.Equals, time.Duration(0))
 	c.Check(h.Revision(Endpoints), qt.Equals, restored)
 }
 
-// TestAnswerFromBeforeRestoreIsIgnored guards against readings of the clocks of two stores that are compared.
+// TestAnswerFromBeforeRestoreIsIgnored guards against comparing readings of the clocks of two stores.
 func TestAnswerFromBeforeRestoreIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	restored, err := era.Revision(1, 4)
@@ -147,44 +147,44 @@
 		age      time.Duration
 		revision uint64
 	}{
-		"of what the host has": {func(h *host) {
+		"of the host's state": {func(h *host) {
 			h.confirm(5, 70*time.Second)
 			h.setElapsed(time.Second)
 		}, time.Second, 50},
-		"of less than the host has": {func(h *host) {
+		"of an earlier state": {func(h *host) {
 			h.confirm(4, 70*time.Second)
 			h.setElapsed(time.Second)
 		}, time.Second, 40},
-		"of more than the host has": {func(h *host) {
+		"of a later state": {func(h *host) {
 			h.confirm(5, 70*time.Second)
 			h.setElapsed(time.Second)
 			h.confirm(6, 71*time.Second)
 			h.setElapsed(2 * time.Second)
 		}, 2 * time.Second, 50},
-		"of more, which the host then gets": {func(h *host) {
+		"of a later state that the host reaches": {func(h *host) {
 			h.confirm(5, 70*time.Second)
 			h.setElapsed(time.Second)
 			h.confirm(6, 71*time.Second)
 			h.setElapsed(2 * time.Second)
 			h.has = 6
 		}, time.Second, 60},
-		"of more, and then one of what the host has that is older": {func(h *host) {
+		"of a later state, then an older one of the host's state": {func(h *host) {
 			h.confirm(6, 72*time.Second)
 			h.confirm(5, 71*time.Second)
 		}, time.Second, 50},
-		"twice, and out of order": {func(h *host) {
+		"duplicated and out of order": {func(h *host) {
 			h.confirm(5, 72*time.Second)
 			h.setElapsed(time.Second)
 			h.confirm(5, 71*time.Second)
 			h.confirm(5, 72*time.Second)
 		}, time.Second, 50},
-		"that waited while the host was frozen": {func(h *host) {
+		"that waited while the host was suspended": {func(h *host) {
 			h.confirm(5, 70*time.Second)
 			h.setElapsed(10 * time.Second)
 			h.confirm(5, 71*time.Second)
 			h.confirm(5, 72*time.Second)
 		}, 8 * time.Second, 50},
-		"none at all": {func(h *host) { h.setElapsed(time.Minute) }, UnknownAge, 0},
+		"no confirmation": {func(h *host) { h.setElapsed(time.Minute) }, UnknownAge, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -203,13 +203,13 @@
 func TestMustAsk(t *testing.T) {
 	tests := map[string]struct {
 		before int
-		// after is the age from which a host has to ask.
+		// after is the age after which the host must call the store.
 		after time.Duration
 	}{
-		"first in the order":    {0, AskAfter},
-		"behind all readers":    {Readers, AskAfter + AskStep},
-		"last of 71 hosts":      {70, AskAfter + AskDelay(70)},
-		"far behind in a fleet": {379, AskAfter + AskDelay(379)},
+		"first in the order": {0, AskAfter},
+		"after all readers":  {Readers, AskAfter + AskStep},
+		"last of 71 hosts":   {70, AskAfter + AskDelay(70)},
+		"last of 380 hosts":  {379, AskAfter + AskDelay(379)},
 	}
 	for name, test := range tests {
 		for from, confirm := range map[string]func(h *host){"a confirmation": func(h *host) { h.confirm(5, 70*time.Second) }, "the start": func(*host) {}} {
@@ -223,10 +223,10 @@
 			})
 		}
 	}
-	qt.Check(t, AskDelay(379) < time.Second, qt.IsTrue, qt.Commentf("all hosts of a fleet of 380 have asked within a second"))
+	qt.Check(t, AskDelay(379) < time.Second, qt.IsTrue, qt.Commentf("all hosts of a fleet of 380 have called within a second"))
 }
 
-// TestHold checks that the calls of readers end in turn by the store's clock.
+// TestHold checks that the readers' calls end in turn by the store's clock.
 func TestHold(t *testing.T) {
 	for readers := 1; readers <= Readers+2; readers++ {
 		period := time.Duration(min(readers, Readers)) * Phase
--- a/internal/front/keys/keys.go
+++ b/internal/front/keys/keys.go
@@ -1,10 +1,10 @@
-// Package keys has the short names by which the hosts of oxbowslip-front refer to
-// endpoints, services and prefixes of prompts in the messages between them. Every host
-// derives them alike, so that they need not be agreed on.
+// Package keys defines the short identifiers for endpoints, services, request classes and prompt prefixes in the
+// messages between hosts of oxbowslip-front. Each host derives them from the names in the same way, so that they
+// need no agreement.
 //
-// A key is a part of a hash. Two names with the same key share what is known of them,
-// which can cost a worse choice of endpoint and nothing else; only the key of a request is
-// so long that none of 100 million others is expected to have it.
+// A key is a part of a hash. Two names with the same key share the state that is kept under it, which can only lead
+// to a worse choice of endpoint. The key of a request is longer: none of 100 million others is expected to have the
+// same.
 package keys
 
 import (
@@ -31,33 +31,33 @@
 // OfClass returns the key of a request class.
 func OfClass(name string) Class { return Class(xxhash.Sum64String(name)) }
 
-// Prefix is the key of a shared part of prompts: the low bits of its hash.
+// Prefix is the key of a prefix shared by prompts: the low bits of its hash.
 type Prefix uint32
 
-// Request is the key of what a request asks for. A caller that sends the same again, under
-// another ID or at another host, has the same key.
+// Request is the key of a request's contents. A caller that sends the same request again, under another ID or to
+// another host, gets the same key.
 type Request uint64
 
-// String returns the key as logs show it.
+// String returns the key as it appears in logs.
 func (k Request) String() string { return fmt.Sprintf("%016x", uint64(k)) }
 
-// Identity is what makes two requests the same.
+// Identity is the part of a request that its key depends on.
 type Identity struct {
-	// Workspace is the caller's, or empty for a public call.
+	// Workspace is the caller's workspace, or empty for a public call.
 	Workspace string
 	Method    string
-	// Host is the value of the Host header, Target the request target with its query.
+	// Host is the value of the Host header, Target the request target including its query.
 	Host   string
 	Target string
 	Body   []byte
 }
 
-// OfRequest returns the key of a request. It reads the body once and allocates nothing.
+// OfRequest returns the key of a request. It reads the body once and does not allocate.
 func OfRequest(id *Identity) Request {
 	var hash xxhash.Digest
 	hash.Reset()
 	for _, text := range [...]string{id.Workspace, id.Method, id.Host, id.Target} {
-		// Writing to a hash never fails. The zero byte keeps "ab", "c" apart from "a", "bc".
+		// Writes to a hash never fail. The zero byte distinguishes "ab", "c" from "a", "bc".
 		_, _ = hash.WriteString(text)
 		_, _ = hash.Write(textSeparator[:])
 	}
@@ -65,5 +65,5 @@
 	return Request(hash.Sum64())
 }
 
-// textSeparator stands between the texts of an identity; none of them can hold it.
+// textSeparator separates the texts of an Identity; none of them can contain it.
 var textSeparator = [1]byte{0}
--- a/internal/front/keys/keys_test.go
+++ b/internal/front/keys/keys_test.go
@@ -12,14 +12,14 @@
 		change func(*Identity)
 		same   bool
 	}{
-		"nothing differs":     {func(*Identity) {}, true},
-		"another workspace":   {func(id *Identity) { id.Workspace = "lock" }, false},
-		"another method":      {func(id *Identity) { id.Method = "GET" }, false},
-		"another host":        {func(id *Identity) { id.Host = "other.example" }, false},
-		"another query":       {func(id *Identity) { id.Target = "/chat/x?q=2" }, false},
-		"another body":        {func(id *Identity) { id.Body = []byte("bodies") }, false},
-		"no body":             {func(id *Identity) { id.Body = nil }, false},
-		"texts cut elsewhere": {func(id *Identity) { id.Workspace, id.Method = "towpathP", "OST" }, false},
+		"identical requests":    {func(*Identity) {}, true},
+		"another workspace":     {func(id *Identity) { id.Workspace = "lock" }, false},
+		"another method":        {func(id *Identity) { id.Method = "GET" }, false},
+		"another host":          {func(id *Identity) { id.Host = "other.example" }, false},
+		"another query":         {func(id *Identity) { id.Target = "/chat/x?q=2" }, false},
+		"another body":          {func(id *Identity) { id.Body = []byte("bodies") }, false},
+		"no body":               {func(id *Identity) { id.Body = nil }, false},
+		"texts split elsewhere": {func(id *Identity) { id.Workspace, id.Method = "towpathP", "OST" }, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -30,7 +30,7 @@
 	}
 }
 
-// BenchmarkOfRequest hashes a request of the largest usual size: 17 KB.
+// BenchmarkOfRequest hashes a request of the largest usual size, 17 KB.
 func BenchmarkOfRequest(b *testing.B) {
 	id := Identity{Workspace: "towpath", Method: "POST", Host: "router.example", Target: "/chat/x", Body: make([]byte, 17_000)}
 	b.ReportAllocs()
--- a/internal/front/pack/pack.go
+++ b/internal/front/pack/pack.go
@@ -1,6 +1,6 @@
-// Package pack compresses documents for the way between hosts of oxbowslip-front: by themselves, or as
-// a patch against a document that the other end has. The format is Zstandard; a patch is a frame whose
-// dictionary is the older document.
+// Package pack compresses the documents that hosts of oxbowslip-front send to each other, either alone or as a patch
+// against a document that the receiver has. The format is Zstandard; a patch is a frame with the older document as
+// its dictionary.
 package pack
 
 import (
@@ -10,18 +10,17 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// ErrDamaged is given for bytes that are not a packed document, or not one that was
-// packed against the given base.
-var ErrDamaged = merry.Sentinel("packed document is damaged or was made on another base")
+// ErrDamaged is returned for data that is not a compressed document, or was compressed against another base.
+var ErrDamaged = merry.Sentinel("compressed document is damaged or was compressed against another base")
 
 const (
-	// baseID identifies the dictionary of a patch in its frame. All versions use the same.
+	// baseID is the dictionary ID in the frame of a patch, the same in all versions.
 	baseID = 1
-	// maxDocumentBytes bounds an unpacked document, in bytes, so that a damaged frame can't fill the memory.
+	// maxDocumentBytes bounds a decompressed document, so that a damaged frame cannot exhaust the memory.
 	maxDocumentBytes = 64 << 20
 )
 
-// Compress packs a document for those that hold base. An empty base packs it by itself.
+// Compress compresses a document for receivers that have base. With an empty base it compresses the document alone.
 func Compress(base, document []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(windowSize(len(base) + len(document))), zstd.WithLowerEncoderMem(true),
@@ -37,8 +36,8 @@
 	return encoder.EncodeAll(document, nil), nil
 }
 
-// Decompress returns the document that was packed on the same base. The frame carries a
-// checksum, so that a wrong base is found.
+// Decompress returns a document that was compressed against the same base. The frame's checksum detects a wrong
+// base.
 func Decompress(base, patch []byte) ([]byte, error) {
 	options := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDocumentBytes), zstd.WithDecoderLowmem(true),
@@ -58,7 +57,7 @@
 	return document, nil
 }
 
-// windowSize is the least window, a power of two, that reaches over a number of bytes.
+// windowSize returns the smallest window, a power of two, that covers a number of bytes.
 func windowSize(size int) int {
 	return min(max(1<<bits.Len(uint(size)), zstd.MinWindowSize), zstd.MaxWindowSize)
 }
--- a/internal/front/pack/pack_test.go
+++ b/internal/front/pack/pack_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// document makes a configuration of some size, in which one key may differ.
+// document returns a configuration with a number of entries, in which one key may differ.
 func document(entries int, key string) []byte {
 	var b bytes.Buffer
 	for n := range entries {
@@ -21,16 +21,16 @@
 func TestCompressRoundTrip(t *testing.T) {
 	tests := map[string]struct {
 		base, document []byte
-		// most is the most bytes that the packed document may have.
+		// most is the maximum size in bytes of the compressed document.
 		most int
 	}{
-		"by itself":           {nil, document(1000, "a"), len(document(1000, "a")) / 2},
-		"one key differs":     {document(1000, "a"), document(1000, "b"), 200},
-		"a large one":         {document(8000, "a"), document(8000, "b"), 400},
-		"nothing differs":     {document(1000, "a"), document(1000, "a"), 200},
-		"nothing in common":   {[]byte("something else"), document(3, "a"), 1000},
-		"an empty document":   {document(3, "a"), nil, 100},
-		"empty, without base": {nil, nil, 100},
+		"without base":                        {nil, document(1000, "a"), len(document(1000, "a")) / 2},
+		"one key differs":                     {document(1000, "a"), document(1000, "b"), 200},
+		"one key of a large document differs": {document(8000, "a"), document(8000, "b"), 400},
+		"identical documents":                 {document(1000, "a"), document(1000, "a"), 200},
+		"unrelated documents":                 {[]byte("something else"), document(3, "a"), 1000},
+		"an empty document":                   {document(3, "a"), nil, 100},
+		"empty, without base":                 {nil, nil, 100},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -52,7 +52,7 @@
 		"an older base":   {document(999, "a"), patch},
 		"no base":         {nil, patch},
 		"a damaged patch": {document(1000, "a"), patch[:len(patch)-3]},
-		"no patch at all": {document(1000, "a"), []byte("{}")},
+		"not a frame":     {document(1000, "a"), []byte("{}")},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
