--- a/internal/front/directory/changes_test.go
+++ b/internal/front/directory/changes_test.go
@@ -18,7 +18,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	first := New()
 	peers := []*Directory{New(), New(), New()}
-	whole, partly := 0, 0
+	bySnapshot, byChanges := 0, 0
 	for revision := range uint64(2000) {
 		if random.IntN(400) == 0 {
 			first.Replace(Snapshot{Revision: revision + 1, Entries: first.Snapshot().Entries})
@@ -27,13 +27,13 @@
 		peer := peers[random.IntN(len(peers))]
 		updates, to, ok := first.Since(peer.Revision())
 		if ok && peer.Revision() > 0 && peer.Update(to, updates) {
-			partly++
+			byChanges++
 		} else if peer.Replace(first.Snapshot()) {
-			whole++
+			bySnapshot++
 		}
 		c.Assert(peer.Revision(), qt.Equals, first.Revision())
 	}
-	c.Check(partly > 10*whole, qt.IsTrue, qt.Commentf("%d by changes, %d by snapshot", partly, whole))
+	c.Check(byChanges > 10*bySnapshot, qt.IsTrue, qt.Commentf("%d by changes, %d by snapshot", byChanges, bySnapshot))
 	for _, peer := range peers {
 		updates, to, ok := first.Since(peer.Revision())
 		c.Assert(ok, qt.IsTrue)
--- a/internal/front/directory/lapse_test.go
+++ b/internal/front/directory/lapse_test.go
@@ -48,10 +48,10 @@
 			c.Check(ids(d.Serving("s")), qt.DeepEquals, test.now)
 			c.Check(d.CountLapsed(7), qt.Equals, len(test.now)-len(test.later))
 			// Lapsed entries are not sent to peers. A host that replaces its directory keeps the same ones.
-			whole := fill()
-			whole.Replace(d.Snapshot())
-			c.Check(ids(whole.Serving("s")), qt.DeepEquals, test.now)
-			for _, each := range []*Directory{d, whole} {
+			replaced := fill()
+			replaced.Replace(d.Snapshot())
+			c.Check(ids(replaced.Serving("s")), qt.DeepEquals, test.now)
+			for _, each := range []*Directory{d, replaced} {
 				c.Check(each.DropLapsed(6), qt.HasLen, 0, qt.Commentf("before the lapse"))
 				each.DropLapsed(7)
 				c.Check(ids(each.Serving("s")), qt.DeepEquals, test.later)
--- a/internal/front/directory/leaving.go
+++ b/internal/front/directory/leaving.go
@@ -5,7 +5,7 @@
 // An endpoint announces that it leaves in its entry and in its responses. The response is seen sooner, and also
 // while the store is unavailable. It applies to one version, that is one start, of the endpoint: older or repeated
 // entries do not revert it, and an endpoint that restarts under the same ID has a new version and accepts new work.
-//
+
 // maxVersions bounds a versionSet; the oldest ID is evicted. An entry takes some 100 B. The bound exceeds the number
 // of endpoints of the largest fleet.
 const maxVersions = 4096
--- a/internal/front/directory/restore_test.go
+++ b/internal/front/directory/restore_test.go
@@ -14,8 +14,8 @@
 )
 
 // inEra returns the revision of a number in an era.
-func inEra(number, ver uint64) uint64 {
-	revision, err := era.Revision(number, ver)
+func inEra(storeEra, number uint64) uint64 {
+	revision, err := era.Revision(storeEra, number)
 	if err != nil {
 		panic(err) // The tests' numbers are small.
 	}
@@ -127,11 +127,11 @@
 	random := rand.New(rand.NewPCG(3, 4))
 	// writes are the writes that the store has, each numbered by its position.
 	var writes []Entry
-	ofEra := uint64(0)
+	currentEra := uint64(0)
 	hosts := []*Directory{New(), New(), New(), New()}
 	read := func(d *Directory) {
-		revision := inEra(ofEra, uint64(len(writes)))
-		if known := d.Revision(); known > 0 && era.Of(known) == ofEra {
+		revision := inEra(currentEra, uint64(len(writes)))
+		if known := d.Revision(); known > 0 && era.Of(known) == currentEra {
 			var changes []Change
 			for _, e := range writes[era.Number(known):] {
 				changes = append(changes, Change{Entry: e})
@@ -151,7 +151,7 @@
 		case 0:
 			if random.IntN(8) == 0 && len(writes) > 40 {
 				writes = writes[:len(writes)-random.IntN(30)]
-				ofEra++
+				currentEra++
 			}
 		case 1, 2:
 			// Each endpoint is the only one of its service, has a unique version, and accepts new work.
--- a/internal/front/directory/returned.go
+++ b/internal/front/directory/returned.go
@@ -4,7 +4,7 @@
 
 // A restore of the store may bring back the entry of an endpoint that was removed. The endpoint gets no new work
 // until its entry changes again, or has existed for longer than the store keeps an entry that is not renewed.
-//
+
 // ReturnGrace is longer than the store keeps an entry that its endpoint does not renew.
 const ReturnGrace = 5 * time.Second
 
--- a/internal/front/follow/follow_test.go
+++ b/internal/front/follow/follow_test.go
@@ -101,8 +101,8 @@
 }
 
 // inEra returns the revision of a number in an era.
-func inEra(number, ver uint64) uint64 {
-	revision, err := era.Revision(number, ver)
+func inEra(storeEra, number uint64) uint64 {
+	revision, err := era.Revision(storeEra, number)
 	if err != nil {
 		panic(err) // The tests' numbers are small.
 	}
@@ -114,7 +114,7 @@
 }
 
 func TestFollow(t *testing.T) {
-	away := errors.New("away")
+	unavailable := errors.New("away")
 	tests := map[string]struct {
 		loads, waits []callResult
 		want         []string
@@ -123,10 +123,10 @@
 			[]callResult{batch(3, "a")}, []callResult{batch(4, "b"), batch(5), batch(6, "c")}, []string{"whole a", "change b", "change c"},
 		},
 		"the store is unavailable at first": {
-			[]callResult{{err: away}, {err: away}, batch(3, "a")}, nil, []string{"whole a"},
+			[]callResult{{err: unavailable}, {err: unavailable}, batch(3, "a")}, nil, []string{"whole a"},
 		},
 		"the store is unavailable later": {
-			[]callResult{batch(3, "a")}, []callResult{{err: away}, {err: away}, batch(4, "b")}, []string{"whole a", "change b"},
+			[]callResult{batch(3, "a")}, []callResult{{err: unavailable}, {err: unavailable}, batch(4, "b")}, []string{"whole a", "change b"},
 		},
 		"history is gone": {
 			[]callResult{batch(3, "a"), batch(9, "z")}, []callResult{{err: ErrHistoryGone}}, []string{"whole a", "whole z"},
--- a/internal/front/freshness/freshness_test.go
+++ b/internal/front/freshness/freshness_test.go
@@ -143,7 +143,7 @@
 
 func TestPeerConfirmations(t *testing.T) {
 	tests := map[string]struct {
-		play     func(h *host)
+		steps    func(h *host)
 		age      time.Duration
 		revision uint64
 	}{
@@ -189,7 +189,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			h := newHost(5)
-			test.play(h)
+			test.steps(h)
 			qt.Check(t, h.Age(Settings), qt.Equals, test.age)
 			qt.Check(t, h.Revision(Settings), qt.Equals, test.revision)
 			own, known := h.OwnConfirmation(Settings)
--- a/internal/front/freshness/storeclock.go
+++ b/internal/front/freshness/storeclock.go
@@ -30,8 +30,8 @@
 // an upper bound as well. A higher estimate stems from another clock, such as that of the store before it restarted,
 // and is discarded.
 func (c *storeClock) addRoundTrip(answer Answer) {
-	most := answer.At - c.sinceEpoch(answer.Sent)
-	if best := c.bestOffset(); best.isKnown && best.ahead > most {
+	upperBound := answer.At - c.sinceEpoch(answer.Sent)
+	if best := c.bestOffset(); best.isKnown && best.ahead > upperBound {
 		c.current, c.previous = clockOffset{}, clockOffset{}
 	}
 	c.addSample(answer.At, answer.Received)
--- a/internal/front/pack/pack_test.go
+++ b/internal/front/pack/pack_test.go
@@ -21,8 +21,8 @@
 func TestCompressRoundTrip(t *testing.T) {
 	tests := map[string]struct {
 		base, document []byte
-		// most is the maximum size in bytes of the compressed document.
-		most int
+		// maxBytes is the maximum size in bytes of the compressed document.
+		maxBytes int
 	}{
 		"without base":                        {nil, document(1000, "a"), len(document(1000, "a")) / 2},
 		"one key differs":                     {document(1000, "a"), document(1000, "b"), 200},
@@ -37,7 +37,7 @@
 			c := qt.New(t)
 			patch, err := Compress(test.base, test.document)
 			c.Assert(err, qt.IsNil)
-			c.Check(len(patch) <= test.most, qt.IsTrue, qt.Commentf("%d bytes", len(patch)))
+			c.Check(len(patch) <= test.maxBytes, qt.IsTrue, qt.Commentf("%d bytes", len(patch)))
 			got, err := Decompress(test.base, patch)
 			c.Assert(err, qt.IsNil)
 			c.Check(bytes.Equal(got, test.document), qt.IsTrue)
--- a/internal/front/peersync/documents.go
+++ b/internal/front/peersync/documents.go
@@ -86,13 +86,13 @@
 
 // compressFor returns the newest configuration for a peer that has a revision, and the revision that it is
 // compressed against, or 0. It returns no data if the peer's revision is not older.
-func (d *documents) compressFor(has uint64) (data []byte, base uint64, err error) {
+func (d *documents) compressFor(peerRevision uint64) (data []byte, base uint64, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.revision <= has {
+	if d.revision <= peerRevision {
 		return nil, 0, nil
 	}
-	if has != 0 && has == d.previousRevision {
+	if peerRevision != 0 && peerRevision == d.previousRevision {
 		err = d.makePatch()
 		return d.patch, d.previousRevision, err
 	}
--- a/internal/front/peersync/peersync_test.go
+++ b/internal/front/peersync/peersync_test.go
@@ -170,8 +170,8 @@
 	whole := len(configuration(5))
 	tests := map[string]struct {
 		has []int
-		// most is the maximum number of bytes of settings in the response; 0 means none.
-		most int
+		// maxBytes is the maximum number of bytes of settings in the response; 0 means none.
+		maxBytes int
 	}{
 		"nothing":          {nil, whole / 2},
 		"the previous one": {[]int{3}, 200},
@@ -188,7 +188,7 @@
 			host.applySettings(test.has...)
 			before := host.parts.Holder.Number()
 			response := peer.Respond(host.Revisions())
-			c.Check(len(response.Settings) <= test.most, qt.IsTrue, qt.Commentf("%d bytes", len(response.Settings)))
+			c.Check(len(response.Settings) <= test.maxBytes, qt.IsTrue, qt.Commentf("%d bytes", len(response.Settings)))
 			host.Apply(gossip.Member{Name: "peer"}, response)
 			c.Check(host.parts.Holder.Number(), qt.Equals, max(before, 5))
 		})
@@ -217,9 +217,9 @@
 func TestSnapshotIsSentToOutdatedPeers(t *testing.T) {
 	in := directory.Change{Entry: directory.Entry{ID: "e1", Endpoint: settings.Endpoint{Service: "llm", State: settings.StateIn}}}
 	tests := map[string]struct {
-		changed uint64
-		knows   uint64
-		want    bool
+		changed      uint64
+		peerRevision uint64
+		want         bool
 	}{
 		"one that lacks the newest change":            {5, 4, true},
 		"one that has it":                             {5, 5, false},
@@ -235,7 +235,7 @@
 				peer.parts.Endpoints.Apply(follow.Batch[directory.Change]{Revision: test.changed, Items: []directory.Change{in}})
 			}
 			peer.parts.Endpoints.Apply(follow.Batch[directory.Change]{Revision: 7})
-			response := peer.Respond(gossip.SyncRequest{Settings: 9, Directory: test.knows})
+			response := peer.Respond(gossip.SyncRequest{Settings: 9, Directory: test.peerRevision})
 			qt.Check(t, response.Snapshot != nil, qt.Equals, test.want)
 		})
 	}
--- a/internal/front/peersync/sums.go
+++ b/internal/front/peersync/sums.go
@@ -14,8 +14,8 @@
 	"oxbowslip.dev/oxbowslip/internal/front/placement"
 )
 
-// How the work of the hosts of a large fleet is added up: what package aggregate needs of the messages of
-// package gossip, and what placement gets of the sums.
+// In a large fleet, aggregators add up the work of the hosts. This file converts between the messages of package gossip
+// and the types of package aggregate, and passes the sums to placement.
 
 // maxPartEndpoints is the maximum number of endpoints in a part of a sum: some 8 KB, which fit in the largest
 // datagram that is read (gossip.maxDatagram).
