--- a/internal/front/peersync/engines.go
+++ b/internal/front/peersync/engines.go
@@ -12,7 +12,7 @@
 // Observed returns the engine reports for the next message to peers.
 func (s *Sync) Observed() []gossip.EngineReport {
 	var reports []gossip.EngineReport
-	for service, report := range s.parts.Placer.Observed() {
+	for service, report := range s.parts.Placer.EngineReports() {
 		reports = append(reports, toEngineReport(service, &report))
 	}
 	return reports
@@ -20,11 +20,11 @@
 
 // Reported handles a peer's engine reports.
 func (s *Sync) Reported(peer string, reports []gossip.EngineReport) {
-	observed := make(placement.Observed, len(reports))
+	observed := make(placement.EngineReports, len(reports))
 	for i := range reports {
 		observed[reports[i].Service] = fromEngineReport(&reports[i])
 	}
-	s.parts.Placer.SetObserved(peer, observed)
+	s.parts.Placer.SetPeerEngineReports(peer, observed)
 }
 
 // toEngineReport encodes this host's observations of a service for messages.
