--- a/internal/front/peersync/peersync_test.go
+++ b/internal/front/peersync/peersync_test.go
@@ -76,7 +76,7 @@
 
 // deliverHeartbeat delivers a peer's heartbeat.
 func (s *Sync) deliverHeartbeat(peer string, state *gossip.State) {
-	s.Received(peer, &gossip.Heartbeat{Settings: state.Settings, Directory: state.Directory, Delta: state.Delta, Patch: state.Patch})
+	s.HandleHeartbeat(peer, &gossip.Heartbeat{Settings: state.Settings, Directory: state.Directory, Delta: state.Delta, Patch: state.Patch})
 }
 
 // TestSettingsChangeIsSentWithHeartbeats guards against slow propagation in large fleets: when every host of 300
