--- a/internal/front/directory/changes_test.go
+++ b/internal/front/directory/changes_test.go
@@ -10,14 +10,15 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// TestPeersFollowByChanges has a directory change at random, and peers that are behind by any number of changes follow it by
-// what it keeps, or by the whole where it keeps too little: all end with the same entries.
+// TestPeersFollowByChanges applies random changes to a directory. Peers that are behind by any number of changes
+// follow it by the log, or by a snapshot if the log no longer reaches back far enough, and end with the same
+// entries.
 func TestPeersFollowByChanges(t *testing.T) {
 	c := qt.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	first := New()
 	peers := []*Directory{New(), New(), New()}
-	whole, partly := 0, 0
+	bySnapshot, byChanges := 0, 0
 	for revision := range uint64(2000) {
 		if random.IntN(400) == 0 {
 			first.Replace(Snapshot{Revision: revision + 1, Entries: first.Snapshot().Entries})
@@ -26,13 +27,13 @@
 		peer := peers[random.IntN(len(peers))]
 		updates, to, ok := first.Since(peer.Revision())
 		if ok && peer.Revision() > 0 && peer.Update(to, updates) {
-			partly++
+			byChanges++
 		} else if peer.Replace(first.Snapshot()) {
-			whole++
+			bySnapshot++
 		}
 		c.Assert(peer.Revision(), qt.Equals, first.Revision())
 	}
-	c.Check(partly > 10*whole, qt.IsTrue, qt.Commentf("%d partly, %d whole", partly, whole))
+	c.Check(byChanges > 10*bySnapshot, qt.IsTrue, qt.Commentf("%d by changes, %d by snapshot", byChanges, bySnapshot))
 	for _, peer := range peers {
 		updates, to, ok := first.Since(peer.Revision())
 		c.Assert(ok, qt.IsTrue)
@@ -43,7 +44,7 @@
 	}
 }
 
-// randomChanges returns changes of a few of a hundred endpoints, each of a service of its own so that none lapses.
+// randomChanges returns changes of a few of 100 endpoints. Each endpoint has its own service, so that none lapses.
 func randomChanges(random *rand.Rand) []Change {
 	var changes []Change
 	for range 1 + random.IntN(5) {
@@ -59,8 +60,9 @@
 	return changes
 }
 
-// TestOnlyTheStateHasChanged finds out what of an entry peers need.
-func TestOnlyTheStateHasChanged(t *testing.T) {
+// TestOnlyStateMarksStateChanges checks that an update is marked OnlyState exactly if the peer already has the rest
+// of the entry.
+func TestOnlyStateMarksStateChanges(t *testing.T) {
 	c := qt.New(t)
 	d := New()
 	put := func(revision uint64, version string, state settings.EndpointState) {
@@ -80,17 +82,18 @@
 	c.Check(New().Update(4, []Update{{Change: Change{Entry: Entry{ID: "e"}}, OnlyState: true}}), qt.IsFalse)
 }
 
-// TestChangesAreBounded keeps the newest changes, and says so where a peer lacks more.
-func TestChangesAreBounded(t *testing.T) {
+// TestChangeLogIsBounded checks that the log keeps the newest changes, and that Since returns false to a peer that
+// lacks more.
+func TestChangeLogIsBounded(t *testing.T) {
 	c := qt.New(t)
 	d := New()
-	for revision := range uint64(mostLogged + 10) {
+	for revision := range uint64(maxLoggedChanges + 10) {
 		d.Apply(revision+1, []Change{{Entry: Entry{ID: fmt.Sprint("e", revision), Endpoint: settings.Endpoint{Service: fmt.Sprint("s", revision)}}}})
 	}
-	c.Check(len(d.log.changes) <= mostLogged, qt.IsTrue)
+	c.Check(len(d.log.changes) <= maxLoggedChanges, qt.IsTrue)
 	_, _, ok := d.Since(5)
 	c.Check(ok, qt.IsFalse)
 	updates, _, ok := d.Since(10)
 	c.Check(ok, qt.IsTrue)
-	c.Check(updates, qt.HasLen, mostLogged)
+	c.Check(updates, qt.HasLen, maxLoggedChanges)
 }
