--- a/internal/front/poison/detector.go
+++ b/internal/front/poison/detector.go
@@ -157,7 +157,7 @@
 	if proved {
 		d.parts.Log.WithFields(logrus.Fields{
 			"request_key": call.Request.String(), "endpoint": call.Endpoint, "endpoint_keys": verdict.Endpoints, "until": time.Duration(verdict.Until).String(),
-		}).Warn("request given up, endpoints crash under it")
+		}).Warn("request given up, endpoints end under it")
 		d.unsaved = append(d.unsaved, verdict)
 		d.outbox.addVerdict(verdict)
 	}
