--- a/internal/daemon/fleet/links.go
+++ b/internal/daemon/fleet/links.go
@@ -27,7 +27,7 @@
 	if changed {
 		f.reassign()
 	}
-	f.parts.Dispatcher.Announce(host)
+	f.parts.Dispatcher.AnnounceTo(host)
 }
 
 func (f *Fleet) linkDown(host string) {
