--- a/internal/daemon/commit/commit_test.go
+++ b/internal/daemon/commit/commit_test.go
@@ -80,7 +80,7 @@
 				c.Assert(revision, qt.Equals, s.revision, note)
 				c.Assert(errors.As(err, &conflict), qt.Equals, s.conflict, note)
 				c.Assert(errors.As(err, &faults), qt.Equals, s.invalid, note)
-				c.Assert(errors.Is(err, commit.ErrAway), qt.Equals, s.away, note)
+				c.Assert(errors.Is(err, commit.ErrUnavailable), qt.Equals, s.away, note)
 				c.Assert(errors.Is(err, change.ErrBadPatch), qt.Equals, s.bad, note)
 			}
 		})
@@ -123,7 +123,7 @@
 					// with the same ID is what an operator does then.
 					var err error
 					revision, err = acceptor.Commit(ctx, patch(id, 1, text))
-					if err != nil && !errors.Is(err, commit.ErrAway) {
+					if err != nil && !errors.Is(err, commit.ErrUnavailable) {
 						c.Errorf("%s: %v", id, err)
 						return
 					}
