--- a/internal/daemon/fleet/fleet.go
+++ b/internal/daemon/fleet/fleet.go
@@ -211,7 +211,7 @@
 // Leave hands this host's shards over: it schedules no more.
 func (f *Fleet) Leave() {
 	f.mu.Lock()
-	f.view.Leave(f.parts.Config.Self.Name)
+	f.view.MarkLeaving(f.parts.Config.Self.Name)
 	f.mu.Unlock()
 	f.server.Leave()
 	f.reassign()
@@ -294,7 +294,7 @@
 		f.takeovers++
 		f.parts.Log.WithField("shard", shardName).Info("took over")
 	}
-	if f.view.Others() > 0 {
+	if f.view.NumOthers() > 0 {
 		f.shards.Hold(shardName, takeoverHold)
 	}
 }
