--- a/internal/daemon/commit/commit.go
+++ b/internal/daemon/commit/commit.go
@@ -168,7 +168,7 @@
 
 // checkConflict compares a change with all that were accepted since its base.
 func (a *Committer) checkConflict(ctx context.Context, c *settings.Change, head uint64) error {
-	mine, err := change.Touched(c.Patch)
+	mine, err := change.TouchedPaths(c.Patch)
 	if err != nil {
 		return err
 	}
@@ -177,11 +177,11 @@
 		if err != nil {
 			return err
 		}
-		theirs, err := change.Touched(other.Patch)
+		theirs, err := change.TouchedPaths(other.Patch)
 		if err != nil {
 			return err
 		}
-		if both := change.Overlap(mine, theirs); len(both) > 0 {
+		if both := change.OverlappingPaths(mine, theirs); len(both) > 0 {
 			return &Conflict{Other: other, Paths: both}
 		}
 	}
--- a/internal/daemon/commit/commit_test.go
+++ b/internal/daemon/commit/commit_test.go
@@ -164,12 +164,12 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			a, err := change.Touched([]byte(test.a))
+			a, err := change.TouchedPaths([]byte(test.a))
 			c.Assert(err, qt.IsNil)
-			b, err := change.Touched([]byte(test.b))
+			b, err := change.TouchedPaths([]byte(test.b))
 			c.Assert(err, qt.IsNil)
-			c.Assert(len(change.Overlap(a, b)) > 0, qt.Equals, test.want)
-			c.Assert(len(change.Overlap(b, a)) > 0, qt.Equals, test.want)
+			c.Assert(len(change.OverlappingPaths(a, b)) > 0, qt.Equals, test.want)
+			c.Assert(len(change.OverlappingPaths(b, a)) > 0, qt.Equals, test.want)
 		})
 	}
 }
