--- a/internal/daemon/schedule/dispatch.go
+++ b/internal/daemon/schedule/dispatch.go
@@ -6,11 +6,11 @@
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-// maxAside bounds the requests passed over in one dispatch because no endpoint
-// with room suits them. It bounds the work of a dispatch (BENCHMARKS.md, steps per grant).
-const maxAside = 8
+// maxSkipped bounds the requests that one dispatch skips because no endpoint with a free slot suits them. It
+// bounds the work of a dispatch.
+const maxSkipped = 8
 
-// dispatch grants waiting requests while endpoints have room.
+// dispatch grants waiting requests while endpoints have free slots.
 func (s *Scheduler) dispatch(now time.Time) {
 	if now.Before(s.heldUntil) {
 		return
@@ -25,11 +25,10 @@
 			break
 		}
 		s.Steps++
-		it.predicted = s.predictLength(&it.request)
+		it.predictedTokens = s.predictLength(&it.request)
 		tier := it.request.Tier
 		if reason == admission.ReasonShare {
-			// The slots kept for higher tiers would starve a share when those
-			// tiers use all the rest.
+			// The slots reserved for higher tiers would starve a share when those tiers use all other slots.
 			tier = 0
 		}
 		e := s.endpoints.choose(now, it, tier, s.prefixes)
@@ -37,18 +36,18 @@
 			s.grant(now, it, e, reason)
 			continue
 		}
-		if len(s.aside) == maxAside {
+		if len(s.skipped) == maxSkipped {
 			break
 		}
-		s.setAside(it)
+		s.skip(it)
 	}
-	s.takeBackAside(now)
+	s.restoreSkipped(now)
 	s.considerPreemption(now)
 }
 
-// nextWaiting chooses the request to grant next: a class whose share is due,
-// else the highest tier's workspace with the least service, down to the lowest
-// tier that has a slot. Flows that a limit holds are parked on the way.
+// nextWaiting returns the request to grant next: one of a class whose share is due, or else one of the
+// workspace with the least service in the highest tier, down to the lowest tier that has a slot. It parks
+// flows that a limit blocks.
 func (s *Scheduler) nextWaiting(now time.Time, lowest int) (*item, admission.Reason) {
 	for {
 		it, reason := s.candidate(now, lowest)
@@ -64,21 +63,22 @@
 	}
 }
 
+// candidate returns the request to grant next without regard to limits.
 func (s *Scheduler) candidate(now time.Time, lowest int) (*item, admission.Reason) {
 	if it := s.dueShare(now); it != nil {
 		return it, admission.ReasonShare
 	}
 	for tier := range lowest + 1 {
-		if it := s.bestOf(now, &s.tiers[tier]); it != nil {
+		if it := s.bestInTier(now, &s.tiers[tier]); it != nil {
 			return it, admission.ReasonNext
 		}
 	}
 	return nil, ""
 }
 
-// bestOf chooses within a tier. A workspace's position in the heap may be out of date, as
-// requests become late with time; it is corrected when it comes to the front.
-func (s *Scheduler) bestOf(now time.Time, t *tierQueue) *item {
+// bestInTier returns the next request of a tier, or nil. The position of a workspace in the heap may be out
+// of date, because requests become late as time passes. It is corrected when the workspace reaches the front.
+func (s *Scheduler) bestInTier(now time.Time, t *tierQueue) *item {
 	for {
 		w, ok := t.ready.first()
 		if !ok {
@@ -94,13 +94,12 @@
 	}
 }
 
-// grant assigns a waiting request, whose length is predicted, a slot at an
-// endpoint.
+// grant assigns a waiting request with a predicted length a slot at an endpoint.
 func (s *Scheduler) grant(now time.Time, it *item, e *endpoint, reason admission.Reason) {
 	r := &it.request
 	f := it.flow
-	cached := s.prefixes.longest(r)
-	it.uncached = e.uncached(r, cached)
+	cached := s.prefixes.longestPrefix(r)
+	it.uncachedTokens = e.uncachedTokens(r, cached)
 	figures := admission.Figures{
 		Waited:              now.Sub(r.Arrived),
 		Ahead:               s.waitingAtOrAbove(r.Tier) - 1,
@@ -108,17 +107,17 @@
 		PredictedFirstToken: e.predictFirstToken(now, r, cached),
 		InFlight:            e.inFlight(),
 		Limit:               e.limit,
-		CachedTokens:        r.PromptTokens - it.uncached,
-		AnswerTokens:        it.predicted,
+		CachedTokens:        r.PromptTokens - it.uncachedTokens,
+		AnswerTokens:        it.predictedTokens,
 	}
 	s.removeWaiting(it)
 	s.chargeService(it, f)
-	s.refresh(now, f)
-	s.limitOf(r).use(it.predicted)
-	it.shared = reason == admission.ReasonShare
-	s.endpoints.take(now, it, e)
-	s.prefixes.granted(r, e)
-	it.due = now.Add(s.options.GrantTimeout)
+	s.refreshWorkspace(now, f)
+	s.limitOf(r).reserve(it.predictedTokens)
+	it.fromShare = reason == admission.ReasonShare
+	s.endpoints.assign(now, it, e)
+	s.prefixes.record(r, e)
+	it.expiresAt = now.Add(s.options.GrantTimeout)
 	s.expiry.put(it)
 	s.decisions = append(s.decisions, admission.Decision{
 		Kind:     admission.Grant,
@@ -126,32 +125,32 @@
 		Owner:    r.Owner,
 		Endpoint: e.ID,
 		Reason:   reason,
-		Until:    it.due,
+		Until:    it.expiresAt,
 		Figures:  figures,
 	})
-	s.accountShare(now, it, reason)
+	s.chargeShare(now, it, reason)
 }
 
-// chargeService charges a grant to its workspace's part of the tier.
+// chargeService charges a grant to its workspace.
 func (s *Scheduler) chargeService(it *item, f *flow) {
 	t := &s.tiers[f.key.tier]
-	t.service = max(t.service, f.workspace.service)
-	f.workspace.service += s.work(it) / f.workspace.weight
+	t.virtualTime = max(t.virtualTime, f.workspace.attainedService)
+	f.workspace.attainedService += s.work(it) / f.workspace.weight
 }
 
-// setAside passes over a request until the dispatch ends.
-func (s *Scheduler) setAside(it *item) {
-	s.aside = append(s.aside, it)
-	it.flow.take(it)
-	s.touch(it.flow)
+// skip removes a request from its flow until the dispatch ends.
+func (s *Scheduler) skip(it *item) {
+	s.skipped = append(s.skipped, it)
+	it.flow.remove(it)
+	s.updateQueues(it.flow)
 }
 
-// takeBackAside puts the passed-over requests back into their flows.
-func (s *Scheduler) takeBackAside(now time.Time) {
-	for i, it := range s.aside {
+// restoreSkipped returns the skipped requests to their flows.
+func (s *Scheduler) restoreSkipped(now time.Time) {
+	for i, it := range s.skipped {
 		it.flow.insert(now, it)
-		s.refresh(now, it.flow)
-		s.aside[i] = nil
+		s.refreshWorkspace(now, it.flow)
+		s.skipped[i] = nil
 	}
-	s.aside = s.aside[:0]
+	s.skipped = s.skipped[:0]
 }
--- a/internal/daemon/schedule/endpoints.go
+++ b/internal/daemon/schedule/endpoints.go
@@ -7,11 +7,12 @@
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-// candidates is how many of the least loaded endpoints are compared for a request. They are the top of the heap, so
-// that the cost does not grow with the shard: 7 is a heap's first three levels.
-const candidates = 7
+// maxCandidates is the number of least loaded endpoints that are compared for a request. They are the first
+// elements of the heap, so the cost does not grow with the shard. Seven elements are the first three levels
+// of a heap.
+const maxCandidates = 7
 
-// endpointSet holds the endpoints of the shard, the least loaded first.
+// endpointSet holds the endpoints of the shard, ordered by load.
 type endpointSet struct {
 	options    Options
 	byID       map[string]*endpoint
@@ -39,8 +40,8 @@
 
 func (s *endpointSet) count() int { return len(s.order) }
 
-// set replaces the endpoints and keeps what was learned of those that stay.
-func (s *endpointSet) set(now time.Time, configs []Endpoint) {
+// replace replaces the endpoints and keeps the estimates for those that stay.
+func (s *endpointSet) replace(now time.Time, configs []Endpoint) {
 	old := s.byID
 	s.byID = make(map[string]*endpoint, len(configs))
 	s.order = s.order[:0]
@@ -53,7 +54,7 @@
 		e.Endpoint = config
 		s.byID[config.ID] = e
 		s.order = append(s.order, e)
-		s.place(e)
+		s.updatePosition(e)
 	}
 	for _, e := range old {
 		e.gone = true
@@ -61,44 +62,43 @@
 	}
 }
 
-// place updates an endpoint's position by load.
-func (s *endpointSet) place(e *endpoint) {
-	if !e.usable() {
+// updatePosition moves an endpoint to its position by load, or removes it from the heap if it is not usable.
+func (s *endpointSet) updatePosition(e *endpoint) {
+	if !e.isUsable() {
 		s.byLoad.remove(e)
 		return
 	}
 	s.byLoad.put(e)
 }
 
-// lowestTier returns the lowest tier that any of the least loaded endpoints can
-// take now, or -1 if none can take any.
+// lowestTier returns the lowest tier of which any of the least loaded endpoints can accept a request now, or
+// -1 if none can accept a request of any tier.
 func (s *endpointSet) lowestTier(now time.Time) int {
 	lowest := -1
-	for _, e := range s.byLoad.elements[:min(candidates, len(s.byLoad.elements))] {
-		for lowest < Tiers-1 && e.open(now, lowest+1, &s.options) {
+	for _, e := range s.byLoad.elements[:min(maxCandidates, len(s.byLoad.elements))] {
+		for lowest < Tiers-1 && e.canAccept(now, lowest+1, &s.options) {
 			lowest++
 		}
 	}
 	return lowest
 }
 
-// choose returns the endpoint with the least predicted time to the first token,
-// of the least loaded ones and the one that is likely to have the prompt's
-// prefix in its cache. It may use the slots of a tier, which is not always the
-// request's own.
+// choose returns the endpoint with the lowest cost. It compares the least loaded endpoints and the one that
+// probably holds the prompt's prefix in its cache. The slots are those available to the given tier, which is
+// not always the tier of the request.
 func (s *endpointSet) choose(now time.Time, it *item, tier int, prefixes *prefixTable) *endpoint {
 	r := &it.request
-	need := r.PromptTokens + it.predicted
+	tokens := r.PromptTokens + it.predictedTokens
 	var best *endpoint
 	var bestCost time.Duration
-	cached := prefixes.longest(r)
-	n := min(candidates, len(s.byLoad.elements))
+	cached := prefixes.longestPrefix(r)
+	n := min(maxCandidates, len(s.byLoad.elements))
 	for i := range n + 1 {
 		e := cached.holder
 		if i < n {
 			e = s.byLoad.elements[i]
 		}
-		if e == nil || s.avoids(r, e) || !e.open(now, tier, &s.options) || !e.fits(need) {
+		if e == nil || s.avoids(r, e) || !e.canAccept(now, tier, &s.options) || !e.fits(tokens) {
 			continue
 		}
 		cost := s.cost(now, r, e, cached)
@@ -109,11 +109,13 @@
 	return best
 }
 
-// loadCost is what a full endpoint costs more than an empty one, in time to the first token: the more requests an
-// engine has, the slower are the tokens of all of them.
+// loadCost is the difference in cost between a full and an empty endpoint, as time to the first token. The
+// more requests an engine has, the slower are the tokens of all of them.
 const loadCost = 50 * time.Millisecond
 
-func (s *endpointSet) cost(now time.Time, r *admission.Request, e *endpoint, cached cachedPart) time.Duration {
+// cost returns the cost of sending a request to an endpoint: the predicted time to the first token, with an
+// extra cost for another zone and for load.
+func (s *endpointSet) cost(now time.Time, r *admission.Request, e *endpoint, cached cachedPrefix) time.Duration {
 	cost := e.predictFirstToken(now, r, cached)
 	if r.Zone != "" && r.Zone != e.Zone {
 		cost += s.options.ZoneCost
@@ -121,8 +123,7 @@
 	return cost + time.Duration(e.load()*float64(loadCost))
 }
 
-// leastLoaded returns the usable endpoint with the least load, whether it has
-// room or not.
+// leastLoaded returns the least loaded usable endpoint, even if it has no free slot.
 func (s *endpointSet) leastLoaded(r *admission.Request) *endpoint {
 	for _, e := range s.byLoad.elements {
 		if !s.avoids(r, e) {
@@ -132,52 +133,52 @@
 	return nil
 }
 
-// avoids reports whether a request should not go to an endpoint that failed it
-// before. When it has tried as many as can be used, any will do.
+// avoids reports whether a request should not go to an endpoint because it failed there before. A request
+// that has failed at as many endpoints as are usable may go to any.
 func (s *endpointSet) avoids(r *admission.Request, e *endpoint) bool {
 	return len(r.Avoid) < s.byLoad.Len() && slices.Contains(r.Avoid, e.ID)
 }
 
-func (s *endpointSet) take(now time.Time, it *item, e *endpoint) {
+func (s *endpointSet) assign(now time.Time, it *item, e *endpoint) {
 	if len(e.running) == 0 {
-		e.lastSign = now
+		e.lastActivity = now
 	}
-	e.take(now, it)
-	s.place(e)
+	e.add(now, it)
+	s.updatePosition(e)
 }
 
-func (s *endpointSet) release(now time.Time, it *item, result admission.Result) {
+func (s *endpointSet) unassign(now time.Time, it *item, result admission.Result) {
 	e := it.endpoint
 	if it.preempting {
 		s.preempting--
 	}
-	e.drop(it)
-	e.health.finished(now, result)
-	if e.health.failures >= failuresInRow || (e.health.probing && result == admission.Failed) {
+	e.remove(it)
+	e.health.recordResult(now, result)
+	if e.health.failures >= maxConsecutiveFailures || (e.health.probing && result == admission.Failed) {
 		s.eject(now, e, EjectFailing)
 	}
-	s.place(e)
+	s.updatePosition(e)
 }
 
-// leastFirstToken is the time to the first token at an idle engine.
-func (s *endpointSet) leastFirstToken(r *admission.Request) time.Duration {
+// minFirstToken returns the time to the first token at an idle engine.
+func (s *endpointSet) minFirstToken(r *admission.Request) time.Duration {
 	if len(s.order) == 0 || !s.order[0].Engine {
 		return 0
 	}
 	best := s.order[0].firstTokenWhenIdle(r)
-	for _, e := range s.order[1:min(candidates, len(s.order))] {
+	for _, e := range s.order[1:min(maxCandidates, len(s.order))] {
 		best = min(best, e.firstTokenWhenIdle(r))
 	}
 	return best
 }
 
-// firstTokenWhenIdle is the time to the first token with no prompt ahead.
+// firstTokenWhenIdle returns the time to the first token if the engine has no other prompt to process.
 func (e *endpoint) firstTokenWhenIdle(r *admission.Request) time.Duration {
-	return e.prefillTime(r.PromptTokens) + e.between
+	return e.prefillTime(r.PromptTokens) + e.betweenTokens
 }
 
-// leastAnswer is the time for an answer of so many tokens.
-func (s *endpointSet) leastAnswer(tokens int) time.Duration {
+// minAnswerTime returns the time to generate an answer of a number of tokens.
+func (s *endpointSet) minAnswerTime(tokens int) time.Duration {
 	if len(s.order) == 0 || !s.order[0].Engine {
 		return 0
 	}
--- a/internal/daemon/schedule/flow.go
+++ b/internal/daemon/schedule/flow.go
@@ -13,19 +13,19 @@
 	class     string
 }
 
-// flow holds the waiting requests of one key by time of arrival. All have the
-// same target, so the late ones are the first of the order.
+// flow holds the waiting requests of one flowKey, ordered by time of arrival. All have the same target, so
+// the late ones come first.
 type flow struct {
 	key       flowKey
 	workspace *workspaceQueue
 	account   *shareAccount
 	items     *btree.BTreeG[*item]
-	// lastLate is the last item in order that is known to be late, and onTime
-	// the first after it if it is known.
+	// lastLate is the last item in order that is known to be late. onTime is the first item after it, or nil
+	// if it is not known.
 	lastLate *item
 	onTime   *item
 	parked   bool
-	// accountIndex is the flow's place among those of its class.
+	// accountIndex is the position of the flow in the heap of its class.
 	accountIndex int
 }
 
@@ -44,10 +44,10 @@
 	return it
 }
 
-// next returns the request to run next: the oldest that can still meet its
-// target, else the oldest. It reports whether the target can be met.
+// next returns the request to run next, and reports whether it can still meet its target: the oldest request
+// that can, or else the oldest request.
 func (f *flow) next(now time.Time) (*item, bool) {
-	if f.onTime == nil || f.onTime.late(now) {
+	if f.onTime == nil || f.onTime.isLate(now) {
 		f.findOnTime(now)
 	}
 	if f.onTime != nil {
@@ -56,14 +56,14 @@
 	return f.head(), false
 }
 
-// findOnTime moves on over the requests that have become late.
+// findOnTime advances lastLate over the requests that have become late and sets onTime.
 func (f *flow) findOnTime(now time.Time) {
 	f.onTime = nil
 	visit := func(it *item) bool {
 		if f.lastLate != nil && !byArrival(f.lastLate, it) {
 			return true
 		}
-		if it.late(now) {
+		if it.isLate(now) {
 			f.lastLate = it
 			return true
 		}
@@ -77,11 +77,11 @@
 	f.items.Scan(visit)
 }
 
-// insert puts an item into its place.
+// insert adds an item at its position by time of arrival.
 func (f *flow) insert(now time.Time, it *item) {
-	if f.lastLate != nil && byArrival(it, f.lastLate) && !it.late(now) {
-		// A retry keeps its time of arrival but is never late, so the order by
-		// lateness has to be found anew.
+	if f.lastLate != nil && byArrival(it, f.lastLate) && !it.isLate(now) {
+		// A retry keeps its time of arrival but is never late, so it may lie before late items. The search for the
+		// first item on time has to start again.
 		f.lastLate = nil
 	}
 	if f.onTime != nil && byArrival(it, f.onTime) {
@@ -90,8 +90,8 @@
 	f.items.Set(it)
 }
 
-// take removes an item.
-func (f *flow) take(it *item) {
+// remove removes an item.
+func (f *flow) remove(it *item) {
 	f.items.Delete(it)
 	if f.onTime == it {
 		f.onTime = nil
@@ -101,6 +101,6 @@
 	}
 }
 
-func (it *item) late(now time.Time) bool {
+func (it *item) isLate(now time.Time) bool {
 	return !it.lateAt.IsZero() && now.After(it.lateAt)
 }
--- a/internal/daemon/schedule/heap.go
+++ b/internal/daemon/schedule/heap.go
@@ -2,17 +2,17 @@
 
 import "container/heap"
 
-// indexedHeap is a heap whose elements know their place, so that each can be
-// moved or removed. It puts container/heap behind typed methods.
+// indexedHeap is a heap whose elements store their position, so that any element can be moved or removed. It
+// wraps container/heap in typed methods.
 type indexedHeap[T comparable] struct {
 	elements []T
 	less     func(a, b T) bool
-	// index points at the place that an element keeps for this heap: one more
-	// than its position, so that 0 means outside.
+	// index returns a pointer to the position that an element stores for this heap. The stored value is the
+	// index plus one, so that 0 means that the element is not in the heap.
 	index func(T) *int
 }
 
-// Len, Less, Swap, Push and Pop serve container/heap.
+// Len, Less, Swap, Push and Pop implement heap.Interface.
 func (h *indexedHeap[T]) Len() int           { return len(h.elements) }
 func (h *indexedHeap[T]) Less(i, j int) bool { return h.less(h.elements[i], h.elements[j]) }
 
@@ -22,14 +22,14 @@
 	*h.index(h.elements[j]) = j + 1
 }
 
-// Push appends an element; use put.
+// Push appends an element. Callers use put instead.
 func (h *indexedHeap[T]) Push(x any) {
 	element := x.(T)
 	h.elements = append(h.elements, element)
 	*h.index(element) = len(h.elements)
 }
 
-// Pop removes the last element; use remove.
+// Pop removes the last element. Callers use remove instead.
 func (h *indexedHeap[T]) Pop() any {
 	last := len(h.elements) - 1
 	element := h.elements[last]
@@ -40,7 +40,7 @@
 	return element
 }
 
-// put inserts an element, or moves it to its place if it is inside.
+// put inserts an element, or restores its position if it is in the heap.
 func (h *indexedHeap[T]) put(element T) {
 	if i := *h.index(element); i > 0 {
 		heap.Fix(h, i-1)
@@ -49,14 +49,14 @@
 	heap.Push(h, element)
 }
 
-// remove removes an element if it is inside.
+// remove removes an element if it is in the heap.
 func (h *indexedHeap[T]) remove(element T) {
 	if i := *h.index(element); i > 0 {
 		heap.Remove(h, i-1)
 	}
 }
 
-// first returns the least element.
+// first returns the minimum.
 func (h *indexedHeap[T]) first() (T, bool) {
 	if len(h.elements) == 0 {
 		var zero T
--- a/internal/daemon/schedule/limits.go
+++ b/internal/daemon/schedule/limits.go
@@ -13,16 +13,15 @@
 	class     string
 }
 
-// limit counts what a workspace uses of a class, over the whole fleet.
+// limit counts the requests and tokens of a workspace for a class in the whole fleet.
 type limit struct {
 	inFlight int
 	waiting  int
-	// tokens is what is left of the tokens a minute; it may be below zero when
-	// answers were longer than predicted.
+	// tokens is the remainder of the tokens per minute. It is negative if answers were longer than predicted.
 	tokens     float64
 	perMinute  int
 	refilledAt time.Time
-	// parked are flows that wait for the limit and not for an endpoint.
+	// parked holds the flows that wait for the limit rather than for an endpoint.
 	parked []*flow
 }
 
@@ -37,7 +36,7 @@
 	return l
 }
 
-// blocks reports whether a request must wait for its workspace's own limits.
+// blocks reports whether a request must wait for the limits of its workspace.
 func (l *limit) blocks(r *admission.Request) bool {
 	if r.MaxInFlight > 0 && l.inFlight >= r.MaxInFlight {
 		return true
@@ -45,15 +44,15 @@
 	return r.TokensPerMinute > 0 && l.tokens <= 0
 }
 
-// use counts a slot and the predicted tokens.
-func (l *limit) use(tokens int) {
+// reserve takes a slot and the predicted tokens.
+func (l *limit) reserve(tokens int) {
 	l.inFlight++
 	if l.perMinute > 0 {
 		l.tokens -= float64(tokens)
 	}
 }
 
-// refill adds the tokens for the time passed, up to a minute's.
+// refill adds the tokens for the elapsed time, up to those of one minute.
 func (l *limit) refill(now time.Time) {
 	if l.perMinute == 0 {
 		return
@@ -63,37 +62,39 @@
 	l.refilledAt = now
 }
 
-// releaseLimit returns back a place, and the tokens that were predicted but not
-// generated.
+// releaseLimit returns the slot of a request and the tokens that were predicted but not generated.
 func (s *Scheduler) releaseLimit(now time.Time, it *item) {
 	l := s.limitOf(&it.request)
 	l.inFlight--
 	if l.perMinute > 0 {
-		l.tokens += float64(it.predicted - it.tokens)
+		l.tokens += float64(it.predictedTokens - it.tokens)
 	}
 	s.unpark(now, l)
 }
 
+// refillLimits refills the limits that have parked flows, and returns the flows that they no longer block to
+// their tiers.
 func (s *Scheduler) refillLimits(now time.Time) {
-	for _, l := range s.held {
+	for _, l := range s.parkedLimits {
 		s.unpark(now, l)
 	}
-	s.held = slices.DeleteFunc(s.held, func(l *limit) bool { return len(l.parked) == 0 })
+	s.parkedLimits = slices.DeleteFunc(s.parkedLimits, func(l *limit) bool { return len(l.parked) == 0 })
 }
 
-// park removes a flow from its tier until its limit allows more.
+// park removes a flow from its tier until its limit allows another request.
 func (s *Scheduler) park(f *flow, l *limit) {
 	if f.parked {
 		return
 	}
 	f.parked = true
-	if len(l.parked) == 0 && !slices.Contains(s.held, l) {
-		s.held = append(s.held, l)
+	if len(l.parked) == 0 && !slices.Contains(s.parkedLimits, l) {
+		s.parkedLimits = append(s.parkedLimits, l)
 	}
 	l.parked = append(l.parked, f)
-	s.touch(f)
+	s.updateQueues(f)
 }
 
+// unpark returns the flows that a limit no longer blocks to their tiers.
 func (s *Scheduler) unpark(now time.Time, l *limit) {
 	l.refill(now)
 	kept := l.parked[:0]
@@ -103,7 +104,7 @@
 			continue
 		}
 		f.parked = false
-		s.touch(f)
+		s.updateQueues(f)
 	}
 	l.parked = kept
 }
--- a/internal/daemon/schedule/options.go
+++ b/internal/daemon/schedule/options.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Options are the settings of one shard's policy. A zero value stands for the built-in one.
+// Options are the settings of the policy of one shard. Zero values stand for the defaults.
 type Options struct {
 	// MaxWaiting bounds the waiting requests of the shard.
 	MaxWaiting int
@@ -10,19 +10,20 @@
 	GrantTimeout time.Duration
 	// MaxPrefillAhead bounds the prefill work queued at an engine.
 	MaxPrefillAhead time.Duration
-	// ZoneCost is the time that a request to another zone is taken to lose.
+	// ZoneCost is the extra time of a request that is sent to another zone.
 	ZoneCost time.Duration
 }
 
-// The built-in options.
+// The defaults of the options.
 const (
-	// defaultMaxWaiting is in requests: at 100 requests/s some 40 s, more than a caller waits.
+	// defaultMaxWaiting is in requests. At 100 requests per second it is about 40 s, longer than callers
+	// wait.
 	defaultMaxWaiting = 4096
-	// defaultGrantTime is ample for a grant to reach its owner and be used: a round trip between
+	// defaultGrantTime is ample for a grant to reach its owner and be used, which takes a round trip between
 	// hosts and a connection to the endpoint.
 	defaultGrantTime = 2 * time.Second
-	// defaultPrefillAhead keeps the next choice open: prompts queued at an engine can't be
-	// moved to another, or be overtaken by a higher tier.
+	// defaultPrefillAhead is short, because prompts queued at an engine can't be moved to another engine or
+	// be overtaken by a higher tier.
 	defaultPrefillAhead = 250 * time.Millisecond
 	// defaultZoneCost is about the round trip between two availability zones of a region.
 	defaultZoneCost = time.Millisecond
--- a/internal/daemon/schedule/pace.go
+++ b/internal/daemon/schedule/pace.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// The constants of the time that a refused caller is asked to wait.
+// The constants of the time after which a refused caller should retry.
 const (
-	// minRetryAfter is the least that the Retry-After header, in whole seconds, can say;
-	// maxRetryAfter bounds what an estimate from a backlog can be trusted for.
+	// minRetryAfter is the lowest value of the Retry-After header, which is in whole seconds. maxRetryAfter
+	// bounds the value, because an estimate from a long backlog is not reliable.
 	minRetryAfter = time.Second
 	maxRetryAfter = time.Minute
-	// maxInterval bounds the mean time between two finished requests, so that a lull does not
-	// count for longer than this.
-	maxInterval = 5 * time.Second
-	// paceSmoothing is the number of gaps that the mean averages over.
-	paceSmoothing = 16
+	// maxCompletionInterval bounds the mean time between two finished requests, so that a pause in the
+	// traffic does not count for longer.
+	maxCompletionInterval = 5 * time.Second
+	// intervalSmoothing is the number of intervals that the mean averages over.
+	intervalSmoothing = 16
 )
 
-// pace measures how fast the shard finishes requests.
+// pace measures the rate at which the shard finishes requests.
 type pace struct {
 	// interval is the mean time between two finished requests.
 	interval time.Duration
 	last     time.Time
 }
 
-func (p *pace) finished(now time.Time) {
+func (p *pace) recordCompletion(now time.Time) {
 	if p.last.IsZero() {
 		p.last = now
 		return
@@ -33,18 +33,18 @@
 		p.interval = gap
 		return
 	}
-	// An average over gaps weighs each finish alike, so a lull counts once.
-	p.interval += (gap - p.interval) / paceSmoothing
-	p.interval = min(p.interval, maxInterval)
+	// Averaging over intervals gives each completion the same weight, so a pause counts once.
+	p.interval += (gap - p.interval) / intervalSmoothing
+	p.interval = min(p.interval, maxCompletionInterval)
 }
 
-// wait estimates how long n requests take to be granted.
-func (p *pace) wait(n int) time.Duration {
+// estimateWait estimates how long it takes to grant n requests.
+func (p *pace) estimateWait(n int) time.Duration {
 	return time.Duration(n) * p.interval
 }
 
-// retryAfter returns when a refused caller should come back: when its tier is likely to have room.
+// retryAfter returns when a refused caller should retry: when its tier is likely to have room.
 func (s *Scheduler) retryAfter(tier int) time.Duration {
-	wait := s.pace.wait(s.waitingAtOrAbove(tier))
+	wait := s.pace.estimateWait(s.waitingAtOrAbove(tier))
 	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
--- a/internal/daemon/schedule/preempt.go
+++ b/internal/daemon/schedule/preempt.go
@@ -6,21 +6,20 @@
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-// The constants of preemption, which as a whole is worth 0.1 points of attainment in the replays
-// (BENCHMARKS.md, "no-preemption").
+// The constants of preemption.
 const (
-	// preemptAge bounds how long a victim may have run: what it has done is lost.
-	preemptAge = 500 * time.Millisecond
-	// preemptMargin and preemptIntervals are how long before a request becomes late a slot is
-	// preempted for it: the margin, and so many mean times between two finished requests. With
-	// more time left, a slot is likely to become free by itself.
+	// maxVictimAge bounds how long a victim may have run, because its work is lost.
+	maxVictimAge = 500 * time.Millisecond
+	// A slot is preempted for a request when the time until the request becomes late is at most preemptMargin
+	// plus preemptIntervals mean times between two finished requests. With more time left, a slot is likely
+	// to become free without a preemption.
 	preemptMargin    = 250 * time.Millisecond
 	preemptIntervals = 2
 )
 
-// considerPreemption preempts a request of a lower tier for one that would be late
-// otherwise. A victim must be repeatable, must not have brought
-// its first token, and must have cost less than the request is worth.
+// considerPreemption preempts a request of a lower tier for a request that would be late otherwise. A victim
+// must be repeatable, must not have received its first token, and must have cost less work than the request
+// needs.
 func (s *Scheduler) considerPreemption(now time.Time) {
 	it := s.mostUrgent(now)
 	if it == nil || s.endpoints.preempting >= s.tiers[it.request.Tier].count {
@@ -43,15 +42,15 @@
 	})
 }
 
-// mostUrgent returns the next request of the highest waiting tier if it would be
-// late before a slot is likely to become free.
+// mostUrgent returns the next request of the highest tier with waiting requests, if it would be late before a
+// slot is likely to become free.
 func (s *Scheduler) mostUrgent(now time.Time) *item {
 	for tier := range Tiers - 1 {
-		it := s.bestOf(now, &s.tiers[tier])
+		it := s.bestInTier(now, &s.tiers[tier])
 		if it == nil {
 			continue
 		}
-		if it.lateAt.IsZero() || it.late(now) {
+		if it.lateAt.IsZero() || it.isLate(now) {
 			return nil
 		}
 		if it.lateAt.Sub(now) > preemptIntervals*s.pace.interval+preemptMargin {
@@ -62,20 +61,20 @@
 	return nil
 }
 
-// victimFor finds the granted request of a lower tier that loses least.
+// victimFor returns the granted request of a lower tier that costs least to preempt, or nil.
 func (s *Scheduler) victimFor(now time.Time, it *item) *item {
 	worth := s.work(it)
 	var victim *item
 	for _, e := range s.endpoints.order {
-		if !e.usable() {
+		if !e.isUsable() {
 			continue
 		}
 		for _, v := range e.running {
 			s.Steps++
-			if !v.canYield(now, it) || float64(v.uncached)/promptTokensPerAnswerToken > worth {
+			if !v.isPreemptibleFor(now, it) || float64(v.uncachedTokens)/promptTokensPerAnswerToken > worth {
 				continue
 			}
-			if victim == nil || v.loses(victim) {
+			if victim == nil || v.isBetterVictim(victim) {
 				victim = v
 			}
 		}
@@ -83,21 +82,22 @@
 	return victim
 }
 
-func (it *item) canYield(now time.Time, to *item) bool {
+// isPreemptibleFor reports whether a granted request may be preempted for a waiting one.
+func (it *item) isPreemptibleFor(now time.Time, to *item) bool {
 	r := &it.request
 	if r.Tier <= to.request.Tier || !r.Repeatable || it.firstToken || it.preempting {
 		return false
 	}
-	if it.shared {
-		// A flood of the highest tier would preempt all that the share granted.
+	if it.fromShare {
+		// Otherwise a flood of the highest tier would preempt every request that the share granted.
 		return false
 	}
-	return !it.started || now.Sub(it.sentAt) < preemptAge
+	return !it.started || now.Sub(it.sentAt) < maxVictimAge
 }
 
-// loses reports whether giving up it costs less than giving up other: a lower
-// tier first, then the newer one.
-func (it *item) loses(other *item) bool {
+// isBetterVictim reports whether preempting it costs less than preempting other: a lower tier first, then the
+// newer request.
+func (it *item) isBetterVictim(other *item) bool {
 	if it.request.Tier != other.request.Tier {
 		return it.request.Tier > other.request.Tier
 	}
--- a/internal/daemon/schedule/queue.go
+++ b/internal/daemon/schedule/queue.go
@@ -8,35 +8,34 @@
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-// item is a request in the scheduler: waiting in a flow, or granted to an
-// endpoint.
+// item is a request in the scheduler, which is waiting in a flow or granted an endpoint.
 type item struct {
 	request  admission.Request
 	sequence uint64
 
-	// While it waits.
+	// flow is set while the request waits.
 	flow *flow
-	// lateAt is when the target can't be met any more; zero means never.
+	// lateAt is when the target becomes unreachable. Zero means never.
 	lateAt time.Time
 
-	// due orders the expiry heap: when waiting ends, or an unused grant is
+	// expiresAt orders the expiry heap. It is when the request stops waiting, or when an unused grant becomes
 	// void.
-	due         time.Time
+	expiresAt   time.Time
 	expiryIndex int
 
-	// While it is granted.
-	endpoint      *endpoint
-	endpointIndex int
-	predicted     int
-	uncached      int
-	started       bool
-	sentAt        time.Time
-	firstToken    bool
-	preempting    bool
-	// shared is set if the slot came from the class's guaranteed share.
-	shared bool
-	tokens int
-	// The last measurement of progress.
+	// endpoint and the fields below are set while the request is granted.
+	endpoint        *endpoint
+	endpointIndex   int
+	predictedTokens int
+	uncachedTokens  int
+	started         bool
+	sentAt          time.Time
+	firstToken      bool
+	preempting      bool
+	// fromShare is set if the slot came from the class's guaranteed share.
+	fromShare bool
+	tokens    int
+	// measuredAt and measuredTokens are the last measurement of progress.
 	measuredAt     time.Time
 	measuredTokens int
 }
@@ -45,17 +44,17 @@
 type workspaceQueue struct {
 	name   string
 	weight float64
-	// service is the work granted so far, divided by the weight.
-	service float64
-	flows   []*flow
-	count   int
-	onTime  bool
-	// urgent is the earliest time at which one of its requests becomes late.
-	urgent time.Time
-	index  int
+	// attainedService is the work granted so far, divided by the weight.
+	attainedService float64
+	flows           []*flow
+	count           int
+	onTime          bool
+	// deadline is the earliest time at which a request of the workspace becomes late.
+	deadline time.Time
+	index    int
 }
 
-// ready reports whether any flow has a request that is not held by a limit.
+// ready reports whether any flow has a request that no limit blocks.
 func (w *workspaceQueue) ready() bool {
 	for _, f := range w.flows {
 		if f.len() > 0 && !f.parked {
@@ -65,15 +64,15 @@
 	return false
 }
 
-// tierQueue holds the workspaces that wait in one tier.
+// tierQueue holds the workspaces with waiting requests in one tier.
 type tierQueue struct {
 	workspaces map[string]*workspaceQueue
 	order      []*workspaceQueue
 	ready      indexedHeap[*workspaceQueue]
 	count      int
-	// service is the level of service that a workspace starts at when it
-	// begins to wait, so that idling earns nothing.
-	service float64
+	// virtualTime is the attained service that a workspace starts with when it begins to wait, so that it
+	// gains nothing by being idle.
+	virtualTime float64
 }
 
 func (t *tierQueue) init() {
@@ -83,16 +82,16 @@
 		switch {
 		case a.onTime != b.onTime:
 			return a.onTime
-		case a.service != b.service:
-			return a.service < b.service
-		case !a.urgent.Equal(b.urgent):
-			return a.urgent.Before(b.urgent)
+		case a.attainedService != b.attainedService:
+			return a.attainedService < b.attainedService
+		case !a.deadline.Equal(b.deadline):
+			return a.deadline.Before(b.deadline)
 		}
 		return a.name < b.name
 	}
 }
 
-// workspace returns the queue of a workspace, made on first use.
+// workspace returns the queue of a workspace and creates it on first use.
 func (t *tierQueue) workspace(name string) *workspaceQueue {
 	w, ok := t.workspaces[name]
 	if !ok {
@@ -103,14 +102,14 @@
 	return w
 }
 
-// update puts a workspace in its position among those that are ready.
+// update moves a workspace to its position among those that are ready, or removes it if it is not ready.
 func (t *tierQueue) update(w *workspaceQueue) {
 	if !w.ready() {
 		t.ready.remove(w)
 		return
 	}
 	if w.index == 0 {
-		w.service = max(w.service, t.service)
+		w.attainedService = max(w.attainedService, t.virtualTime)
 	}
 	t.ready.put(w)
 }
@@ -125,8 +124,8 @@
 	}
 	s.expiry.index = func(it *item) *int { return &it.expiryIndex }
 	s.expiry.less = func(a, b *item) bool {
-		if !a.due.Equal(b.due) {
-			return a.due.Before(b.due)
+		if !a.expiresAt.Equal(b.expiresAt) {
+			return a.expiresAt.Before(b.expiresAt)
 		}
 		return a.sequence < b.sequence
 	}
@@ -140,7 +139,7 @@
 	return &item{request: request, sequence: s.sequence}
 }
 
-// enqueue puts an admitted request into its flow.
+// enqueue adds an admitted request to its flow.
 func (s *Scheduler) enqueue(now time.Time, it *item) {
 	r := &it.request
 	f := s.flowOf(r)
@@ -154,14 +153,14 @@
 	s.limitOf(r).waiting++
 	s.waiting++
 	s.items[r.ID] = it
-	s.setWaitingDue(it)
-	s.refresh(now, f)
+	s.setWaitExpiry(it)
+	s.refreshWorkspace(now, f)
 }
 
 // removeWaiting removes a request from its flow.
 func (s *Scheduler) removeWaiting(it *item) {
 	f := it.flow
-	f.take(it)
+	f.remove(it)
 	f.workspace.count--
 	f.account.waiting--
 	s.tiers[f.key.tier].count--
@@ -169,27 +168,28 @@
 	s.waiting--
 	s.expiry.remove(it)
 	it.flow = nil
-	s.touch(f)
+	s.updateQueues(f)
 }
 
-// touch updates a flow's position after its head or its parking has changed.
-func (s *Scheduler) touch(f *flow) {
+// updateQueues updates the positions of a flow and its workspace after the flow's head or parking has
+// changed.
+func (s *Scheduler) updateQueues(f *flow) {
 	s.tiers[f.key.tier].update(f.workspace)
 	f.account.update(f)
 }
 
-// refresh brings a workspace's position up to date after a change of a flow.
-func (s *Scheduler) refresh(now time.Time, f *flow) {
+// refreshWorkspace recomputes the position of a workspace after a change of one of its flows.
+func (s *Scheduler) refreshWorkspace(now time.Time, f *flow) {
 	w := f.workspace
-	w.onTime, w.urgent = false, time.Time{}
+	w.onTime, w.deadline = false, time.Time{}
 	if best, onTime := w.pick(now); best != nil {
-		w.onTime, w.urgent = onTime, best.urgency()
+		w.onTime, w.deadline = onTime, best.deadline()
 	}
-	s.touch(f)
+	s.updateQueues(f)
 }
 
-// pick chooses the workspace's next request: on time before late, then the one
-// that becomes late first.
+// pick returns the workspace's next request and whether it is on time. Requests on time come before late
+// ones, then the one with the earliest deadline comes first.
 func (w *workspaceQueue) pick(now time.Time) (*item, bool) {
 	var best *item
 	bestOnTime := false
@@ -198,44 +198,44 @@
 			continue
 		}
 		it, onTime := f.next(now)
-		if best == nil || before(it, onTime, best, bestOnTime) {
+		if best == nil || isMoreUrgent(it, onTime, best, bestOnTime) {
 			best, bestOnTime = it, onTime
 		}
 	}
 	return best, bestOnTime
 }
 
-func before(a *item, aOnTime bool, b *item, bOnTime bool) bool {
+func isMoreUrgent(a *item, aOnTime bool, b *item, bOnTime bool) bool {
 	if aOnTime != bOnTime {
 		return aOnTime
 	}
-	return a.urgency().Before(b.urgency())
+	return a.deadline().Before(b.deadline())
 }
 
-// noTargetUrgency is how long after its arrival a request without a target should run. It only orders requests: after
-// all with a target of less than a minute.
-const noTargetUrgency = time.Minute
+// noTargetDeadline is the time after its arrival at which a request without a target should run. It only
+// orders requests, behind all with a target of less than a minute.
+const noTargetDeadline = time.Minute
 
-// urgency is the time by which a request should run.
-func (it *item) urgency() time.Time {
+// deadline returns the time by which a request should run.
+func (it *item) deadline() time.Time {
 	if it.lateAt.IsZero() {
-		return it.request.Arrived.Add(noTargetUrgency)
+		return it.request.Arrived.Add(noTargetDeadline)
 	}
 	return it.lateAt
 }
 
-// lateAt returns when a request's targets can't be met any more, if it has not
-// been granted: the target less the least time that an engine needs.
+// lateAt returns when the targets of a request become unreachable unless it has been granted: the target
+// minus the minimum time that an engine needs.
 func (s *Scheduler) lateAt(r *admission.Request) time.Time {
 	if r.Retry {
 		return time.Time{}
 	}
 	var at time.Time
 	if r.FirstToken > 0 {
-		at = r.Arrived.Add(r.FirstToken - s.endpoints.leastFirstToken(r))
+		at = r.Arrived.Add(r.FirstToken - s.endpoints.minFirstToken(r))
 	}
 	if r.WholeAnswer > 0 {
-		work := s.endpoints.leastFirstToken(r) + s.endpoints.leastAnswer(s.predictLength(r))
+		work := s.endpoints.minFirstToken(r) + s.endpoints.minAnswerTime(s.predictLength(r))
 		whole := r.Arrived.Add(r.WholeAnswer - work)
 		if at.IsZero() || whole.Before(at) {
 			at = whole
@@ -244,17 +244,17 @@
 	return at
 }
 
-// setWaitingDue notes when the request's waiting ends by itself.
-func (s *Scheduler) setWaitingDue(it *item) {
+// setWaitExpiry schedules the end of the request's wait in the expiry heap.
+func (s *Scheduler) setWaitExpiry(it *item) {
 	r := &it.request
-	it.due = time.Time{}
+	it.expiresAt = time.Time{}
 	if r.MaxWait > 0 {
-		it.due = r.Arrived.Add(r.MaxWait)
+		it.expiresAt = r.Arrived.Add(r.MaxWait)
 	}
-	if r.RefuseLate && !it.lateAt.IsZero() && (it.due.IsZero() || it.lateAt.Before(it.due)) {
-		it.due = it.lateAt
+	if r.RefuseLate && !it.lateAt.IsZero() && (it.expiresAt.IsZero() || it.lateAt.Before(it.expiresAt)) {
+		it.expiresAt = it.lateAt
 	}
-	if !it.due.IsZero() {
+	if !it.expiresAt.IsZero() {
 		s.expiry.put(it)
 	}
 }
--- a/internal/daemon/schedule/room.go
+++ b/internal/daemon/schedule/room.go
@@ -6,8 +6,8 @@
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-// admit checks whether there is room for a new request, and makes room for it
-// where the rules allow. A request that was admitted before always has room.
+// admit checks whether there is room for a new request, and makes room where the rules allow it. A request
+// that was admitted before always has room.
 func (s *Scheduler) admit(now time.Time, it *item) (admission.Reason, bool) {
 	r := &it.request
 	if s.configured && s.endpoints.count() == 0 {
@@ -23,7 +23,7 @@
 		return "", true
 	}
 	if now.Before(s.heldUntil) && r.Tier < Tiers-1 {
-		// Lower tiers of owners that have announced nothing yet may have to go first.
+		// Owners that have not announced their requests yet may have requests of lower tiers, which are shed first.
 		return "", true
 	}
 	if s.makeRoom(now, r) {
@@ -32,9 +32,9 @@
 	return admission.ReasonNoRoom, false
 }
 
-// makeRoom refuses a waiting request for a new one: one of the lowest tier
-// below, or, if none waits, one of a workspace of the same tier that has more
-// requests waiting than the new one's. It never refuses a higher tier's.
+// makeRoom refuses a waiting request to admit a new one. It refuses a request of the lowest tier below the
+// new one's. If there is none, it refuses a request of the same tier, from a workspace that has more waiting
+// requests by weight than the new one's. It never refuses a request of a higher tier.
 func (s *Scheduler) makeRoom(now time.Time, r *admission.Request) bool {
 	for tier := Tiers - 1; tier > r.Tier; tier-- {
 		if w := s.tiers[tier].largest(); w != nil {
@@ -42,7 +42,7 @@
 			return true
 		}
 	}
-	if head := s.oldestOf(now, r.Tier); head != nil && s.giveBack(now, head) {
+	if head := s.nextOfTier(now, r.Tier); head != nil && s.repaySlot(now, head) {
 		return true
 	}
 	w := s.tiers[r.Tier].largest()
@@ -53,12 +53,12 @@
 	return true
 }
 
-// load is a workspace's waiting requests by its weight.
+// load returns the number of the workspace's waiting requests divided by its weight.
 func (w *workspaceQueue) load() float64 {
 	return float64(w.count) / w.weight
 }
 
-// loadWith is the load of a request's workspace with that request.
+// loadWith returns the load that the workspace of a request has with that request.
 func (s *Scheduler) loadWith(r *admission.Request) float64 {
 	count := 1
 	if w, ok := s.tiers[r.Tier].workspaces[r.Workspace]; ok {
@@ -67,7 +67,7 @@
 	return float64(count) / r.Weight
 }
 
-// largest returns the workspace with the most waiting requests by its weight.
+// largest returns the workspace with the highest load, or nil.
 func (t *tierQueue) largest() *workspaceQueue {
 	var largest *workspaceQueue
 	for _, w := range t.order {
@@ -78,8 +78,7 @@
 	return largest
 }
 
-// shed refuses the newest waiting request of a workspace, which has lost the
-// least by waiting.
+// shed refuses the newest waiting request of a workspace, because that request has waited least.
 func (s *Scheduler) shed(now time.Time, w *workspaceQueue) {
 	var newest *item
 	for _, f := range w.flows {
@@ -91,7 +90,8 @@
 	s.refuse(now, newest, admission.ReasonNoRoom)
 }
 
-func (s *Scheduler) oldestOf(now time.Time, tier int) *item {
+// nextOfTier returns the next request of the first workspace that is ready in a tier, or nil.
+func (s *Scheduler) nextOfTier(now time.Time, tier int) *item {
 	w, ok := s.tiers[tier].ready.first()
 	if !ok {
 		return nil
--- a/internal/daemon/schedule/schedule_test.go
+++ b/internal/daemon/schedule/schedule_test.go
@@ -15,15 +15,15 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func endpoints(n, places int) []Endpoint {
+func endpoints(n, slots int) []Endpoint {
 	var list []Endpoint
 	for i := range n {
-		list = append(list, Endpoint{ID: fmt.Sprintf("e%d", i), Zone: "a", MaxInFlight: places})
+		list = append(list, Endpoint{ID: fmt.Sprintf("e%d", i), Zone: "a", MaxInFlight: slots})
 	}
 	return list
 }
 
-// grants gives the IDs granted by the decisions so far.
+// grants returns the IDs granted by the decisions so far.
 func grants(s *Scheduler) []string {
 	var ids []string
 	for _, d := range s.TakeDecisions() {
@@ -34,9 +34,9 @@
 	return ids
 }
 
-// TestOrder fills a shard with one place, and then lets the places come free
-// one by one.
-func TestOrder(t *testing.T) {
+// TestGrantOrder fills a shard that has one slot, then frees the slot repeatedly and checks which request
+// gets it.
+func TestGrantOrder(t *testing.T) {
 	tests := map[string]struct {
 		waiting []admission.Request
 		want    []string
@@ -45,7 +45,7 @@
 			waiting: []admission.Request{{ID: "low", Class: "x", Tier: 2}, {ID: "high", Class: "y", Tier: 0}, {ID: "middle", Class: "z", Tier: 1}},
 			want:    []string{"high", "middle", "low"},
 		},
-		"first come first within a flow": {
+		"first come, first served within a flow": {
 			waiting: []admission.Request{{ID: "1", Class: "x"}, {ID: "2", Class: "x"}, {ID: "3", Class: "x"}},
 			want:    []string{"1", "2", "3"},
 		},
@@ -58,7 +58,7 @@
 			},
 			want: []string{"a1", "b1", "a2", "a3"},
 		},
-		"the weight divides": {
+		"slots are divided by weight": {
 			waiting: []admission.Request{
 				{ID: "a1", Workspace: "a", Class: "x"},
 				{ID: "a2", Workspace: "a", Class: "x"},
@@ -68,7 +68,7 @@
 			},
 			want: []string{"a1", "b1", "b2", "b3", "a2"},
 		},
-		"a share goes before a higher tier in its turn": {
+		"a due share goes before a higher tier": {
 			waiting: []admission.Request{
 				{ID: "h1", Class: "x", Tier: 0},
 				{ID: "h2", Class: "x", Tier: 0},
@@ -78,7 +78,7 @@
 			},
 			want: []string{"h1", "h2", "h3", "low", "h4"},
 		},
-		"the sooner target first within a workspace": {
+		"the earlier deadline first within a workspace": {
 			waiting: []admission.Request{{ID: "slow", Class: "x", FirstToken: time.Minute}, {ID: "soon", Class: "y", FirstToken: time.Second}},
 			want:    []string{"soon", "slow"},
 		},
@@ -118,30 +118,30 @@
 		"no endpoint": {
 			none: true, requests: []admission.Request{{ID: "1"}}, want: []string{"1 " + string(admission.ReasonNoEndpoint)},
 		},
-		"full: the new one of the same workspace goes": {
+		"full: the new request of the same workspace is refused": {
 			options: Options{MaxWaiting: 1}, requests: []admission.Request{{ID: "1"}, {ID: "2"}}, want: []string{"2 " + string(admission.ReasonNoRoom)},
 		},
-		"full: a lower tier goes": {
+		"full: a request of a lower tier is shed": {
 			options: Options{MaxWaiting: 1}, requests: []admission.Request{{ID: "1", Tier: 2}, {ID: "2", Tier: 1}}, want: []string{"1 " + string(admission.ReasonNoRoom)},
 		},
-		"full: a higher tier stays": {
+		"full: a request of a higher tier stays": {
 			options: Options{MaxWaiting: 1}, requests: []admission.Request{{ID: "1", Tier: 1}, {ID: "2", Tier: 2}}, want: []string{"2 " + string(admission.ReasonNoRoom)},
 		},
-		"full: the largest workspace's newest goes": {
+		"full: the newest request of the largest workspace is shed": {
 			options:  Options{MaxWaiting: 2},
 			requests: []admission.Request{{ID: "a1", Workspace: "a"}, {ID: "a2", Workspace: "a"}, {ID: "b1", Workspace: "b"}},
 			want:     []string{"a2 " + string(admission.ReasonNoRoom)},
 		},
-		"the workspace's own room": {
+		"the workspace's own limit of waiting requests": {
 			requests: []admission.Request{{ID: "1", MaxWaiting: 1}, {ID: "2", MaxWaiting: 1}}, want: []string{"2 " + string(admission.ReasonWorkspaceRoom)},
 		},
-		"late and not wanted late": {
+		"late, with late answers refused": {
 			requests: []admission.Request{{ID: "1", FirstToken: time.Second, RefuseLate: true}}, after: 2 * time.Second, want: []string{"1 " + string(admission.ReasonTooLate)},
 		},
-		"late and wanted all the same": {
+		"late, with late answers accepted": {
 			requests: []admission.Request{{ID: "1", FirstToken: time.Second}}, after: 2 * time.Second,
 		},
-		"the longest wait": {
+		"maximum wait exceeded": {
 			requests: []admission.Request{{ID: "1", MaxWait: time.Second}}, after: 2 * time.Second, want: []string{"1 " + string(admission.ReasonMaxWait)},
 		},
 	}
@@ -173,8 +173,8 @@
 	}
 }
 
-// TestUnusedGrant lets a grant run out: its place goes to the next.
-func TestUnusedGrant(t *testing.T) {
+// TestUnusedGrantExpires checks that the slot of a grant that is not used in time goes to the next request.
+func TestUnusedGrantExpires(t *testing.T) {
 	c := qt.New(t)
 	s := New(Options{GrantTimeout: time.Second})
 	s.SetEndpoints(start, endpoints(1, 1))
@@ -187,8 +187,9 @@
 	c.Assert(grants(s), qt.DeepEquals, []string{"2"})
 }
 
-// TestUnconfigured submits to a scheduler that does not know its endpoints yet.
-func TestUnconfigured(t *testing.T) {
+// TestRequestsWaitForFirstConfiguration submits a request to a scheduler whose endpoints have not been set
+// yet.
+func TestRequestsWaitForFirstConfiguration(t *testing.T) {
 	c := qt.New(t)
 	s := New(Options{})
 	s.Submit(start, admission.Request{ID: "1", Arrived: start})
@@ -197,9 +198,9 @@
 	c.Assert(grants(s), qt.DeepEquals, []string{"1"})
 }
 
-// TestNextIsNotPast submits a request that is past its longest wait: a replay's
-// time must not go back for it.
-func TestNextIsNotPast(t *testing.T) {
+// TestNextTickIsNotInThePast submits a retry that has exceeded its maximum wait. The next tick must not be in
+// the past, or the time of a replay would go backwards.
+func TestNextTickIsNotInThePast(t *testing.T) {
 	c := qt.New(t)
 	s := New(Options{})
 	s.SetEndpoints(start, endpoints(1, 1))
@@ -209,8 +210,9 @@
 	c.Assert(s.NextTick(now), qt.Equals, now)
 }
 
-// TestLimits holds a workspace to its own limits without stopping others.
-func TestLimits(t *testing.T) {
+// TestWorkspaceLimitBlocksOnlyItsWorkspace checks that the limit of one workspace does not delay the requests
+// of another.
+func TestWorkspaceLimitBlocksOnlyItsWorkspace(t *testing.T) {
 	c := qt.New(t)
 	s := New(Options{})
 	s.SetEndpoints(start, endpoints(1, 100))
@@ -224,7 +226,7 @@
 	c.Assert(grants(s), qt.DeepEquals, []string{"a2"})
 }
 
-func TestTokensPerMinute(t *testing.T) {
+func TestTokensPerMinuteDelaysGrant(t *testing.T) {
 	c := qt.New(t)
 	s := New(Options{})
 	s.SetEndpoints(start, endpoints(1, 100))
@@ -240,8 +242,8 @@
 	c.Assert(grants(s), qt.DeepEquals, []string{"2"})
 }
 
-// TestSharesCostNoRefusal draws loads in which shares take places before higher
-// tiers. No request above is refused for time while a place is owed to it.
+// TestSharesCostNoRefusal draws random loads in which shares take slots before higher tiers. No request of a
+// higher tier may be refused for time while a slot is owed to it.
 func TestSharesCostNoRefusal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(Options{MaxWaiting: rapid.IntRange(2, 8).Draw(t, "room")})
@@ -278,29 +280,29 @@
 						shareAt[r.Tier] = now
 					}
 				case d.Kind == admission.Refuse:
-					checkOwed(t, s, &r, d.Reason, shareAt)
+					checkNoSlotOwed(t, s, &r, d.Reason, shareAt)
 				}
 			}
 		}
 	})
 }
 
-// checkOwed fails if a request is refused for want of capacity although a lower
-// tier's share took a place while it waited that was not given back.
-func checkOwed(t *rapid.T, s *Scheduler, r *admission.Request, reason admission.Reason, shareAt map[int]time.Time) {
+// checkNoSlotOwed fails if a request is refused for lack of capacity although a lower tier's share took a
+// slot while the request waited, and that slot has not been repaid.
+func checkNoSlotOwed(t *rapid.T, s *Scheduler, r *admission.Request, reason admission.Reason, shareAt map[int]time.Time) {
 	if reason != admission.ReasonTooLate && reason != admission.ReasonMaxWait {
 		return
 	}
 	for tier := r.Tier + 1; tier < Tiers; tier++ {
 		if s.shares.owed[tier] > 0 && !r.Arrived.After(shareAt[tier]) {
-			t.Fatalf("%s of tier %d refused as %s while tier %d owes %d places", r.ID, r.Tier, reason, tier, s.shares.owed[tier])
+			t.Fatalf("%s of tier %d refused as %s while tier %d owes %d slots", r.ID, r.Tier, reason, tier, s.shares.owed[tier])
 		}
 	}
 }
 
-// TestStepsPerGrant bounds the cost of a grant: it grows as the logarithm of
-// what waits and does not grow with the endpoints.
-func TestStepsPerGrant(t *testing.T) {
+// TestGrantCostIsBounded checks that the cost of a grant grows at most logarithmically with the number of
+// waiting requests and does not grow with the number of endpoints.
+func TestGrantCostIsBounded(t *testing.T) {
 	c := qt.New(t)
 	few := stepsPerGrant(500, 8)
 	many := stepsPerGrant(50_000, 8)
@@ -309,8 +311,9 @@
 	c.Assert(wide < 2*few, qt.IsTrue, qt.Commentf("%f with 8 endpoints, %f with 64", few, wide))
 }
 
-// loaded gives a scheduler with so many waiting and all places taken.
-func loaded(waiting, engines int) (*Scheduler, []string) {
+// loadedScheduler returns a scheduler with a number of waiting requests and all slots taken, and the running
+// requests.
+func loadedScheduler(waiting, engines int) (*Scheduler, []string) {
 	s := New(Options{MaxWaiting: waiting + 1000})
 	list := endpoints(engines, 16)
 	for i := range list {
@@ -339,17 +342,17 @@
 }
 
 func stepsPerGrant(waiting, engines int) float64 {
-	s, running := loaded(waiting, engines)
+	s, running := loadedScheduler(waiting, engines)
 	before := s.Steps
 	const rounds = 200
 	for i := range rounds {
-		running = cycle(s, running, i)
+		running = replaceOldest(s, running, i)
 	}
 	return float64(s.Steps-before) / rounds
 }
 
-// cycle ends the oldest running request and starts what is granted for it.
-func cycle(s *Scheduler, running []string, i int) []string {
+// replaceOldest ends the oldest running request and starts the requests that are granted after it.
+func replaceOldest(s *Scheduler, running []string, i int) []string {
 	now := start.Add(time.Duration(i) * time.Millisecond)
 	s.RecordEnd(now, running[0], admission.Answered, 20)
 	running = running[1:]
@@ -366,13 +369,13 @@
 	for _, waiting := range []int{500, 5000, 50_000} {
 		for _, engines := range []int{8, 64} {
 			b.Run(fmt.Sprintf("waiting=%d/endpoints=%d", waiting, engines), func(b *testing.B) {
-				s, running := loaded(waiting, engines)
+				s, running := loadedScheduler(waiting, engines)
 				random := rand.New(rand.NewPCG(3, 4))
 				before := s.Steps
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					s.Submit(start, benchRequest(random, 10_000_000+i))
-					running = cycle(s, running, i)
+					running = replaceOldest(s, running, i)
 				}
 				b.ReportMetric(float64(s.Steps-before)/float64(b.N), "steps/op")
 			})
@@ -380,12 +383,11 @@
 	}
 }
 
-// BenchmarkMemory is what a scheduler holds for each request that waits and each
-// that runs.
+// BenchmarkMemory measures the memory that a scheduler holds per waiting request.
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
 		before := heapBytes()
-		s, _ := loaded(50_000, 8)
+		s, _ := loadedScheduler(50_000, 8)
 		b.ReportMetric(float64(heapBytes()-before)/50_000, "B/waiting")
 		runtime.KeepAlive(s)
 	}
@@ -398,11 +400,11 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkProgress is what one report of progress costs the scheduler.
+// BenchmarkProgress measures the cost of one progress report.
 func BenchmarkProgress(b *testing.B) {
 	for _, engines := range []int{8, 64} {
 		b.Run(fmt.Sprintf("endpoints=%d", engines), func(b *testing.B) {
-			s, running := loaded(5000, engines)
+			s, running := loadedScheduler(5000, engines)
 			for _, id := range running {
 				s.RecordFirstToken(start, id)
 			}
--- a/internal/daemon/schedule/shares.go
+++ b/internal/daemon/schedule/shares.go
@@ -6,37 +6,34 @@
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-// shareBook keeps the guaranteed shares of the classes: deficit round robin
-// over the work granted.
+// shareTable implements the guaranteed shares of the classes by deficit round robin over the granted work.
 //
-// A share must never cost a higher tier a refusal. So each grant that a share
-// gets before a higher tier's waiting request leaves one slot owed to the
-// tiers above. A request of those tiers that was waiting then, and is about to
-// be refused, is granted over the limit instead (see giveBack).
-type shareBook struct {
+// A share must never cause the refusal of a higher tier's request. Each grant that a share gets before a
+// waiting request of a higher tier therefore leaves one slot owed to the tiers above. A request of those
+// tiers that was waiting at that time and is about to be refused is granted above the limit instead (see
+// repaySlot).
+type shareTable struct {
 	classes map[string]*shareAccount
 	order   []*shareAccount
-	// owed counts the slots owed by each tier, and owedAt is when the last of
-	// them was taken.
+	// owed counts the slots owed by each tier. owedAt is when the last of them was taken.
 	owed   [Tiers]int
 	owedAt [Tiers]time.Time
 }
 
-// shareAccount is what one class has saved up.
+// shareAccount holds the credit of one class.
 type shareAccount struct {
 	class   string
 	waiting int
 	credit  float64
-	// flows are those with a request that no limit holds, the one with the
-	// oldest first.
+	// flows holds the flows with a request that no limit blocks, ordered by their oldest request.
 	flows indexedHeap[*flow]
 }
 
-// maxCredit bounds what a class saves up, in grants of its own size: enough for the next one, not for a burst after a
-// lull.
+// maxCredit bounds the credit of a class, in grants of the size of its next request. It allows the next
+// grant, but no burst after a quiet period.
 const maxCredit = 2
 
-func (b *shareBook) account(class string) *shareAccount {
+func (b *shareTable) account(class string) *shareAccount {
 	a, ok := b.classes[class]
 	if !ok {
 		a = &shareAccount{class: class}
@@ -48,7 +45,7 @@
 	return a
 }
 
-// update puts a flow in its position, or removes it if it has no request to grant.
+// update moves a flow to its position, or removes it if it has no request to grant.
 func (a *shareAccount) update(f *flow) {
 	if f.len() == 0 || f.parked {
 		a.flows.remove(f)
@@ -57,7 +54,7 @@
 	a.flows.put(f)
 }
 
-// head returns the class's oldest request that no limit holds.
+// head returns the class's oldest request that no limit blocks.
 func (a *shareAccount) head() *item {
 	f, ok := a.flows.first()
 	if !ok {
@@ -66,18 +63,18 @@
 	return f.head()
 }
 
-// shareCandidates is how many flows are looked at for a request on time. It bounds the work of a
+// maxShareFlows is the number of flows that are searched for a request on time. It bounds the work of a
 // grant.
-const shareCandidates = 16
+const maxShareFlows = 16
 
-// next returns a request that can still meet its target, of the flows with the
-// oldest ones, else the oldest of all: a share should not go to a caller who is
-// about to give up while another can be answered in time.
+// next returns the most urgent request that can still meet its target, among the flows with the oldest
+// requests. If there is none, it returns the oldest request. A share should not go to a caller who is about
+// to time out while another can be answered in time.
 func (a *shareAccount) next(now time.Time) *item {
 	var best *item
-	for _, f := range a.flows.elements[:min(shareCandidates, len(a.flows.elements))] {
+	for _, f := range a.flows.elements[:min(maxShareFlows, len(a.flows.elements))] {
 		it, onTime := f.next(now)
-		if onTime && (best == nil || it.urgency().Before(best.urgency())) {
+		if onTime && (best == nil || it.deadline().Before(best.deadline())) {
 			best = it
 		}
 	}
@@ -87,7 +84,7 @@
 	return a.head()
 }
 
-// dueShare returns a request whose class has saved up enough for it.
+// dueShare returns a request whose class has enough credit for it, or nil.
 func (s *Scheduler) dueShare(now time.Time) *item {
 	for _, a := range s.shares.order {
 		s.Steps++
@@ -102,18 +99,19 @@
 	return nil
 }
 
-// work is the size of a request in tokens, as the shares and the fair division
-// count it.
+// work returns the size of a request, in tokens of an answer, for the shares and for the division among
+// workspaces.
 func (s *Scheduler) work(it *item) float64 {
 	return float64(max(1, it.request.PromptTokens/promptTokensPerAnswerToken+s.predictLength(&it.request)))
 }
 
-// promptTokensPerAnswerToken is how many prompt tokens cost an engine as much as one token of the answer, in the engine
-// model of the replays.
+// promptTokensPerAnswerToken is the number of prompt tokens that cost an engine as much as one token of the
+// answer, in the engine model of the replays.
 const promptTokensPerAnswerToken = 16
 
-// accountShare charges the work of a grant to its class and saves up for the others.
-func (s *Scheduler) accountShare(now time.Time, it *item, reason admission.Reason) {
+// chargeShare charges the work of a grant to its class and adds credit to the other classes with waiting
+// requests.
+func (s *Scheduler) chargeShare(now time.Time, it *item, reason admission.Reason) {
 	work := s.work(it)
 	for _, a := range s.shares.order {
 		s.Steps++
@@ -136,9 +134,9 @@
 	}
 }
 
-// giveBack grants a request that would be refused although a lower tier's share got
-// a slot while it waited. The endpoint gets one request more than its limit.
-func (s *Scheduler) giveBack(now time.Time, it *item) bool {
+// repaySlot grants a request that would be refused otherwise, if the share of a lower tier took a slot while
+// the request waited. The endpoint then has one request more than its limit.
+func (s *Scheduler) repaySlot(now time.Time, it *item) bool {
 	for tier := Tiers - 1; tier > it.request.Tier; tier-- {
 		if s.shares.owed[tier] == 0 || it.request.Arrived.After(s.shares.owedAt[tier]) {
 			continue
@@ -147,7 +145,7 @@
 		if e == nil {
 			return false
 		}
-		it.predicted = s.predictLength(&it.request)
+		it.predictedTokens = s.predictLength(&it.request)
 		s.shares.owed[tier]--
 		s.grant(now, it, e, admission.ReasonGiveBack)
 		return true
--- a/internal/daemon/schedule/takeover_test.go
+++ b/internal/daemon/schedule/takeover_test.go
@@ -11,9 +11,10 @@
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-// TestTakeover hands a shard from one scheduler to another: what ran is adopted,
-// what waited is submitted, and nothing is granted before the hold ends.
-func TestTakeover(t *testing.T) {
+// TestTakeoverAdoptsAndHolds moves a shard to a scheduler that adopts the running request and gets the
+// waiting one submitted. Nothing may be granted before the hold ends, and an adopted request must occupy its
+// slot once, although it is announced twice.
+func TestTakeoverAdoptsAndHolds(t *testing.T) {
 	c := qt.New(t)
 	s := New(Options{})
 	s.SetEndpoints(start, endpoints(1, 2))
@@ -32,9 +33,9 @@
 	c.Assert(grants(s), qt.DeepEquals, []string{"next"})
 }
 
-// TestHoldShedsNothing fills a scheduler that has just taken over: only the
-// lowest tier is refused until the hold ends.
-func TestHoldShedsNothing(t *testing.T) {
+// TestHoldShedsOnlyLowestTier overfills a scheduler during its hold. Only requests of the lowest tier may be
+// refused until the hold ends.
+func TestHoldShedsOnlyLowestTier(t *testing.T) {
 	c := qt.New(t)
 	s := New(Options{MaxWaiting: 1})
 	s.SetEndpoints(start, endpoints(1, 1))
@@ -50,7 +51,7 @@
 	c.Assert(refused, qt.DeepEquals, []string{"2"})
 }
 
-func TestDropOwner(t *testing.T) {
+func TestDropOwnerFreesItsSlots(t *testing.T) {
 	c := qt.New(t)
 	s := New(Options{})
 	s.SetEndpoints(start, endpoints(1, 1))
@@ -64,57 +65,56 @@
 	c.Assert(s.NumRunning(), qt.Equals, 1)
 }
 
-// book is an owner's books in TestHandover.
-type book struct {
-	waiting map[string]admission.Request
-	running map[string]admission.Request
-	at      map[string]string
+// ownerState holds the requests of an owner in TestHandover.
+type ownerState struct {
+	waiting   map[string]admission.Request
+	running   map[string]admission.Request
+	endpoints map[string]string
 }
 
-// TestHandover moves a shard at random between two schedulers, one of which may
-// be dead, while requests come and go. No place is leaked and every request
-// ends.
+// TestHandover moves a shard at random between two schedulers, the old one of which may have crashed, while
+// requests are submitted and end. No slot may leak and every request must end.
 func TestHandover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		schedulers := [2]*Scheduler{New(Options{}), New(Options{})}
 		for _, s := range schedulers {
 			s.SetEndpoints(start, endpoints(2, 2))
 		}
-		b := book{map[string]admission.Request{}, map[string]admission.Request{}, map[string]string{}}
-		now, in, next := start, 0, 0
+		state := ownerState{map[string]admission.Request{}, map[string]admission.Request{}, map[string]string{}}
+		now, current, next := start, 0, 0
 		for range 80 {
 			now = now.Add(time.Duration(rapid.IntRange(1, 50).Draw(t, "gap")) * time.Millisecond)
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
 				r := admission.Request{ID: fmt.Sprint(next), Owner: "o", Tier: next % 4, Arrived: now}
 				next++
-				b.waiting[r.ID] = r
-				schedulers[in].Submit(now, r)
+				state.waiting[r.ID] = r
+				schedulers[current].Submit(now, r)
 			case 2:
-				b.finishOne(now, schedulers[in])
+				state.finishOne(now, schedulers[current])
 			case 3:
-				in = b.move(t, now, &schedulers, in)
+				current = state.move(t, now, &schedulers, current)
 			}
-			schedulers[in].Tick(now)
-			b.take(now, schedulers[in])
+			schedulers[current].Tick(now)
+			state.take(now, schedulers[current])
 		}
-		for i := 0; len(b.waiting)+len(b.running) > 0; i++ {
+		for i := 0; len(state.waiting)+len(state.running) > 0; i++ {
 			now = now.Add(time.Second)
-			schedulers[in].Tick(now)
-			b.take(now, schedulers[in])
-			b.finishOne(now, schedulers[in])
-			b.take(now, schedulers[in])
+			schedulers[current].Tick(now)
+			state.take(now, schedulers[current])
+			state.finishOne(now, schedulers[current])
+			state.take(now, schedulers[current])
 			if i > 1000 {
-				t.Fatalf("%d wait and %d run for ever", len(b.waiting), len(b.running))
+				t.Fatalf("%d requests still wait and %d still run after 1000 rounds", len(state.waiting), len(state.running))
 			}
 		}
-		if s := schedulers[in]; s.NumWaiting() != 0 || s.NumRunning() != 0 {
-			t.Fatalf("leaked: %d waiting, %d running", s.NumWaiting(), s.NumRunning())
+		if s := schedulers[current]; s.NumWaiting() != 0 || s.NumRunning() != 0 {
+			t.Fatalf("the scheduler leaked %d waiting and %d running requests", s.NumWaiting(), s.NumRunning())
 		}
 	})
 }
 
-func (b *book) take(now time.Time, s *Scheduler) {
+func (b *ownerState) take(now time.Time, s *Scheduler) {
 	for _, d := range s.TakeDecisions() {
 		r, ok := b.waiting[d.ID]
 		if !ok || d.Kind != admission.Grant {
@@ -122,30 +122,29 @@
 		}
 		delete(b.waiting, d.ID)
 		b.running[d.ID] = r
-		b.at[d.ID] = d.Endpoint
+		b.endpoints[d.ID] = d.Endpoint
 		s.RecordStart(now, d.ID)
 	}
 }
 
-func (b *book) finishOne(now time.Time, s *Scheduler) {
-	least := ""
+func (b *ownerState) finishOne(now time.Time, s *Scheduler) {
+	first := ""
 	for id := range b.running {
-		if least == "" || id < least {
-			least = id
+		if first == "" || id < first {
+			first = id
 		}
 	}
-	if least != "" {
-		delete(b.running, least)
-		s.RecordEnd(now, least, admission.Answered, 5)
+	if first != "" {
+		delete(b.running, first)
+		s.RecordEnd(now, first, admission.Answered, 5)
 	}
 }
 
-// move gives the shard to the other scheduler. The old one may have died, and is
-// empty then.
-func (b *book) move(t *rapid.T, now time.Time, schedulers *[2]*Scheduler, from int) int {
+// move hands the shard to the other scheduler. The old scheduler may have crashed and is empty then.
+func (b *ownerState) move(t *rapid.T, now time.Time, schedulers *[2]*Scheduler, from int) int {
 	to := 1 - from
-	dead := rapid.Bool().Draw(t, "dead")
-	if dead {
+	crashed := rapid.Bool().Draw(t, "dead")
+	if crashed {
 		schedulers[from] = New(Options{})
 		schedulers[from].SetEndpoints(now, endpoints(2, 2))
 	}
@@ -156,7 +155,7 @@
 	}
 	for id, r := range b.running {
 		schedulers[from].Withdraw(now, id)
-		schedulers[to].Adopt(now, r, b.at[id], 1)
+		schedulers[to].Adopt(now, r, b.endpoints[id], 1)
 	}
 	return to
 }
