--- a/internal/daemon/dispatch/dispatch.go
+++ b/internal/daemon/dispatch/dispatch.go
@@ -1,7 +1,7 @@
-// Package dispatch is the owner's side of scheduling in oxbowslipd: it asks the scheduler of a shard
-// for grants, waits for its decisions, reports how the granted requests go on, and announces them to
-// the next scheduler when the shard moves. It owns the requests of this host that are open with a
-// scheduler; package fleet is the way there.
+// Package dispatch is the owner's side of scheduling in oxbowslipd. It asks the scheduler of a shard for
+// grants, waits for its decisions, reports the progress of granted requests, and announces them to the next
+// scheduler when the shard moves. It owns the requests of this host that are open at a scheduler, and relies
+// on package fleet to exchange messages with the schedulers.
 package dispatch
 
 import (
@@ -12,12 +12,12 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 )
 
-// Router is the way to the schedulers.
+// Router finds the schedulers and sends messages to them.
 type Router interface {
-	// Scheduler returns the host that schedules a shard now.
+	// Scheduler returns the host that currently schedules a shard.
 	Scheduler(shard string) string
-	// Send hands a message to a host's scheduler. It must not block, and may
-	// lose the message if the host can't be reached.
+	// Send sends a message to the scheduler of a shard on a host. It must not block, and may lose the message
+	// if the host is unreachable.
 	Send(host, shard string, m *shard.Message)
 }
 
@@ -29,15 +29,15 @@
 	tickets map[string]*Ticket
 }
 
-// New returns a dispatcher without requests. Connect it before use.
+// New returns a dispatcher without requests. Connect must be called before use.
 func New() *Dispatcher {
 	return &Dispatcher{tickets: make(map[string]*Ticket)}
 }
 
-// Connect sets the way to the schedulers.
+// Connect sets the router to the schedulers.
 func (d *Dispatcher) Connect(router Router) { d.router = router }
 
-// Ticket is one request's standing with its scheduler.
+// Ticket is the state of one request at its scheduler.
 type Ticket struct {
 	dispatcher *Dispatcher
 	shard      string
@@ -45,19 +45,19 @@
 	decisions  chan admission.Decision
 	preempted  chan struct{}
 
-	// The rest is guarded by the dispatcher's lock.
+	// The dispatcher's lock guards the fields below.
 
 	// scheduler is the host that has the request.
 	scheduler string
 	// endpoint is set once the request is granted.
 	endpoint string
-	// repeated is set if the request has waited through a call of Repeat.
-	repeated bool
-	tokens   int
+	// waitedForRound is set if the request was waiting during an earlier call of ResubmitWaiting.
+	waitedForRound bool
+	tokens         int
 }
 
-// Ask submits a request and waits for the decision. It fails only when ctx
-// ends; the request is withdrawn then. A granted ticket must be finished.
+// Ask submits a request and waits for the decision. It fails only when ctx ends, and then withdraws the
+// request. The caller must call Finished on a granted ticket.
 func (d *Dispatcher) Ask(ctx context.Context, shardName string, request admission.Request) (*Ticket, admission.Decision, error) {
 	t := &Ticket{
 		dispatcher: d,
@@ -69,8 +69,8 @@
 	d.mu.Lock()
 	d.tickets[request.ID] = t
 	d.mu.Unlock()
-	// The ticket is there before its scheduler is looked up, so that a move of
-	// the shard in between finds it.
+	// The ticket is stored before its scheduler is looked up, so that a move of the shard in between finds
+	// it.
 	scheduler := d.router.Scheduler(shardName)
 	d.mu.Lock()
 	if t.scheduler == "" {
@@ -81,19 +81,18 @@
 	select {
 	case decision := <-t.decisions:
 		if decision.Kind == admission.Refuse {
-			d.forget(request.ID)
+			d.remove(request.ID)
 		}
 		return t, decision, nil
 	case <-ctx.Done():
-		d.forget(request.ID)
+		d.remove(request.ID)
 		t.send(shard.Message{Kind: shard.Withdraw})
 		return nil, admission.Decision{}, ctx.Err()
 	}
 }
 
-// Deliver hands a scheduler's decision to the request that it is for. A decision
-// of a scheduler that does not have the request any more is dropped: its grant
-// becomes void by itself.
+// Deliver passes a scheduler's decision to its request. It drops the decision of a scheduler that no longer
+// has the request: the grant expires at that scheduler.
 func (d *Dispatcher) Deliver(host, _ string, decision admission.Decision) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -115,11 +114,11 @@
 	}
 }
 
-// MoveShard hands over the requests of a shard to its new scheduler.
+// MoveShard moves the requests of a shard to its new scheduler.
 func (d *Dispatcher) MoveShard(shardName string) {
 	to := d.router.Scheduler(shardName)
-	for _, t := range d.pick(func(t *Ticket) bool { return t.shard == shardName && t.scheduler != to }) {
-		from, open := d.hand(t, to)
+	for _, t := range d.ticketsWhere(func(t *Ticket) bool { return t.shard == shardName && t.scheduler != to }) {
+		from, open := d.reassign(t, to)
 		if !open {
 			continue
 		}
@@ -128,9 +127,9 @@
 	}
 }
 
-// hand passes a ticket that is still open to another scheduler, and reports which
-// had it. One that has ended stays with its scheduler: its end is still to be reported there.
-func (d *Dispatcher) hand(t *Ticket, to string) (from string, open bool) {
+// reassign moves an open ticket to another scheduler, and returns the previous one and whether the ticket is
+// open. A ticket that has ended keeps its scheduler, because its end is still to be reported there.
+func (d *Dispatcher) reassign(t *Ticket, to string) (from string, open bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	from, open = t.scheduler, d.isOpen(t)
@@ -140,20 +139,19 @@
 	return from, open
 }
 
-// isOpen reports whether a ticket has not ended. The lock is held.
+// isOpen reports whether a ticket has not ended. The dispatcher's lock must be held.
 func (d *Dispatcher) isOpen(t *Ticket) bool { return d.tickets[t.request.ID] == t }
 
-// AnnounceTo submits to a scheduler all requests that are its own, after its link
-// was opened. What it knows already it ignores.
+// AnnounceTo submits all requests of a scheduler to it after its link has been opened. The scheduler ignores
+// those that it has already.
 func (d *Dispatcher) AnnounceTo(host string) {
-	for _, t := range d.pick(func(t *Ticket) bool { return t.scheduler == host }) {
+	for _, t := range d.ticketsWhere(func(t *Ticket) bool { return t.scheduler == host }) {
 		d.announce(t, host)
 	}
 }
 
-// announce submits one request to a scheduler. The request may end meanwhile, and
-// its end may be reported before the announcement, so it is withdrawn then: an
-// announcement that comes last would hold a slot for good.
+// announce submits one request to a scheduler. If the request has ended by then, announce withdraws it: the
+// report of its end may have been sent before the announcement, which would then hold a slot forever.
 func (d *Dispatcher) announce(t *Ticket, host string) {
 	d.mu.Lock()
 	open := d.isOpen(t) && t.scheduler == host
@@ -171,21 +169,21 @@
 	}
 }
 
-// ResubmitWaiting submits again what has waited through the last call, at the scheduler
-// that has the shard now. A scheduler ignores what it knows. So a request gets
-// its decision even if a message was lost, or a grant was void before it came:
-// the scheduler has forgotten the request then.
+// ResubmitWaiting submits the requests that have been waiting since the last call again, to the current
+// scheduler of their shard. A scheduler ignores requests that it has already. A request thus gets its
+// decision even if a message was lost, or if a grant expired before it arrived and the scheduler has removed
+// the request.
 func (d *Dispatcher) ResubmitWaiting() {
-	for _, t := range d.pick(func(t *Ticket) bool { return t.endpoint == "" }) {
-		d.repeat(t, d.router.Scheduler(t.shard))
+	for _, t := range d.ticketsWhere(func(t *Ticket) bool { return t.endpoint == "" }) {
+		d.resubmit(t, d.router.Scheduler(t.shard))
 	}
 }
 
-// repeat submits a ticket again if it has waited since the last call.
-func (d *Dispatcher) repeat(t *Ticket, to string) {
+// resubmit submits a ticket again if it has been waiting since the last call.
+func (d *Dispatcher) resubmit(t *Ticket, to string) {
 	d.mu.Lock()
-	due := t.repeated && t.endpoint == "" && d.isOpen(t)
-	t.repeated = true
+	due := t.waitedForRound && t.endpoint == "" && d.isOpen(t)
+	t.waitedForRound = true
 	if due {
 		t.scheduler = to
 	}
@@ -195,7 +193,7 @@
 	}
 }
 
-func (d *Dispatcher) pick(match func(t *Ticket) bool) []*Ticket {
+func (d *Dispatcher) ticketsWhere(match func(t *Ticket) bool) []*Ticket {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var picked []*Ticket
@@ -207,8 +205,8 @@
 	return picked
 }
 
-// announcement is the message to a scheduler that does not know the request. The
-// dispatcher's lock is held.
+// announcement returns the message that submits the request to a scheduler that does not have it. The
+// dispatcher's lock must be held.
 func (t *Ticket) announcement() *shard.Message {
 	if t.endpoint == "" {
 		return &shard.Message{Kind: shard.Submit, ID: t.request.ID, Request: t.request}
@@ -218,32 +216,32 @@
 	}
 }
 
-func (d *Dispatcher) forget(id string) {
+func (d *Dispatcher) remove(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.tickets, id)
 }
 
-// Preempted is closed when the scheduler preempts the attempt.
+// Preempted returns a channel that is closed when the scheduler preempts the attempt.
 func (t *Ticket) Preempted() <-chan struct{} { return t.preempted }
 
-// MaySend reports true: a grant that its scheduler takes back is preempted.
+// MaySend always reports true, because a scheduler that revokes a grant preempts the attempt.
 func (t *Ticket) MaySend() bool { return true }
 
-// Started reports that the grant is used.
+// Started reports that the grant has been used.
 func (t *Ticket) Started() { t.send(shard.Message{Kind: shard.Started}) }
 
-// FirstToken reports that the first token came.
+// FirstToken reports that the first token has arrived.
 func (t *Ticket) FirstToken() { t.send(shard.Message{Kind: shard.FirstToken, Tokens: 1}) }
 
-// Progress is how many tokens came so far.
+// Progress reports the number of tokens that have arrived so far.
 func (t *Ticket) Progress(tokens int) {
 	t.send(shard.Message{Kind: shard.Progress, Tokens: tokens})
 }
 
-// Finished ends the attempt and frees its slot.
+// Finished reports the end of the attempt, which frees its slot.
 func (t *Ticket) Finished(result admission.Result, tokens int) {
-	t.dispatcher.forget(t.request.ID)
+	t.dispatcher.remove(t.request.ID)
 	t.send(shard.Message{Kind: shard.Finished, Result: result, Tokens: tokens})
 }
 
@@ -257,7 +255,7 @@
 	d.router.Send(host, t.shard, &m)
 }
 
-// preempt is called with the dispatcher's lock held.
+// preempt closes the channel of Preempted. The dispatcher's lock must be held.
 func (t *Ticket) preempt() {
 	select {
 	case <-t.preempted:
--- a/internal/daemon/dispatch/dispatch_test.go
+++ b/internal/daemon/dispatch/dispatch_test.go
@@ -13,13 +13,12 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 )
 
-// lossyRouter drops the first messages to a host and hands the rest to a
-// channel.
+// lossyRouter drops the first messages and sends the rest to a channel.
 type lossyRouter struct {
 	mu        sync.Mutex
 	scheduler string
-	lose      int
-	arrived   chan *shard.Message
+	numToDrop int
+	received  chan *shard.Message
 }
 
 func (r *lossyRouter) Scheduler(string) string {
@@ -31,19 +30,18 @@
 func (r *lossyRouter) Send(_, _ string, m *shard.Message) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.lose > 0 {
-		r.lose--
+	if r.numToDrop > 0 {
+		r.numToDrop--
 		return
 	}
-	r.arrived <- m
+	r.received <- m
 }
 
-// TestRepeat loses the submission of a request, and then a grant that became
-// void before it came: the scheduler at hand has forgotten the request. It is
-// submitted again each time.
-func TestRepeat(t *testing.T) {
+// TestLostSubmissionOrDecisionIsResubmitted loses the submission of a request, and then a decision, which
+// comes from a host that does not have the request. The request must be submitted again each time.
+func TestLostSubmissionOrDecisionIsResubmitted(t *testing.T) {
 	c := qt.New(t)
-	router := &lossyRouter{scheduler: "a", lose: 1, arrived: make(chan *shard.Message, 16)}
+	router := &lossyRouter{scheduler: "a", numToDrop: 1, received: make(chan *shard.Message, 16)}
 	d := New()
 	d.Connect(router)
 	granted := make(chan admission.Decision, 1)
@@ -54,56 +52,56 @@
 	}()
 	for lost := false; !lost; {
 		router.mu.Lock()
-		lost = router.lose == 0
+		lost = router.numToDrop == 0
 		router.mu.Unlock()
 	}
 	d.ResubmitWaiting()
-	c.Assert(router.arrived, qt.HasLen, 0)
+	c.Assert(router.received, qt.HasLen, 0)
 	d.ResubmitWaiting()
-	c.Assert((<-router.arrived).Kind, qt.Equals, shard.Submit)
-	// A decision of a host that does not have the request is dropped.
+	c.Assert((<-router.received).Kind, qt.Equals, shard.Submit)
+	// The decision of a host that does not have the request is dropped.
 	d.Deliver("b", "s", admission.Decision{ID: "1", Endpoint: "e", Until: time.Unix(0, 0)})
 	router.mu.Lock()
 	router.scheduler = "b"
 	router.mu.Unlock()
 	d.ResubmitWaiting()
-	c.Assert((<-router.arrived).Kind, qt.Equals, shard.Submit)
+	c.Assert((<-router.received).Kind, qt.Equals, shard.Submit)
 	d.Deliver("b", "s", admission.Decision{ID: "1", Endpoint: "f"})
 	c.Assert((<-granted).Endpoint, qt.Equals, "f")
 	d.ResubmitWaiting()
-	c.Assert(router.arrived, qt.HasLen, 0)
+	c.Assert(router.received, qt.HasLen, 0)
 }
 
-// endingRouter ends a request just as its announcement is under way.
+// endingRouter ends a request while its announcement is being sent.
 type endingRouter struct {
-	kinds []shard.Kind
-	end   func()
+	kinds      []shard.Kind
+	endRequest func()
 }
 
 func (r *endingRouter) Scheduler(string) string { return "b" }
 
 func (r *endingRouter) Send(_, _ string, m *shard.Message) {
 	if m.Kind == shard.Adopt {
-		// Word of the end overtakes the announcement.
-		r.end()
+		// The report of the end overtakes the announcement.
+		r.endRequest()
 	}
 	r.kinds = append(r.kinds, m.Kind)
 }
 
-// TestEndsWhileAnnounced ends a running request while it is announced to a new
-// scheduler: the last word must not be the announcement.
-func TestEndsWhileAnnounced(t *testing.T) {
+// TestRequestEndingDuringAnnouncementIsWithdrawn ends a running request while it is announced to a new
+// scheduler. A withdrawal must follow the announcement, or the new scheduler would keep the slot taken.
+func TestRequestEndingDuringAnnouncementIsWithdrawn(t *testing.T) {
 	c := qt.New(t)
 	d := New()
 	ticket := &Ticket{dispatcher: d, shard: "s", request: admission.Request{ID: "1"}, scheduler: "a", endpoint: "e"}
-	router := &endingRouter{end: func() { ticket.Finished(admission.Answered, 5) }}
+	router := &endingRouter{endRequest: func() { ticket.Finished(admission.Answered, 5) }}
 	d.Connect(router)
 	d.tickets["1"] = ticket
 	d.MoveShard("s")
 	c.Assert(router.kinds, qt.DeepEquals, []shard.Kind{shard.Withdraw, shard.Finished, shard.Adopt, shard.Withdraw})
 }
 
-// recordingRouter records the hosts that messages go to.
+// recordingRouter records the receivers and kinds of messages.
 type recordingRouter struct{ sent []string }
 
 func (r *recordingRouter) Scheduler(string) string { return "new" }
@@ -112,14 +110,13 @@
 	r.sent = append(r.sent, fmt.Sprint(host, " ", m.Kind))
 }
 
-// TestAnEndedRequestStaysWithItsScheduler is a slot that stayed taken after a partition (TestCut, twice
-// beside other load): a request that ended while its shard moved was handed over after it had been
-// forgotten and before its end was reported, so its end went to the new scheduler and the old one
-// held its slot for good.
-func TestAnEndedRequestStaysWithItsScheduler(t *testing.T) {
+// TestEndOfRequestIsReportedToItsScheduler guards against a slot that stays taken after a network partition.
+// If a request that ended while its shard moved were reassigned before its end was reported, the report would
+// go to the new scheduler and the old one would hold the slot forever.
+func TestEndOfRequestIsReportedToItsScheduler(t *testing.T) {
 	tests := map[string]func(d *Dispatcher, ticket *Ticket){
-		"moved":    func(d *Dispatcher, ticket *Ticket) { d.hand(ticket, "new") },
-		"repeated": func(d *Dispatcher, ticket *Ticket) { d.repeat(ticket, "new") },
+		"moved":    func(d *Dispatcher, ticket *Ticket) { d.reassign(ticket, "new") },
+		"repeated": func(d *Dispatcher, ticket *Ticket) { d.resubmit(ticket, "new") },
 	}
 	for name, move := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -127,9 +124,9 @@
 			router := new(recordingRouter)
 			d := New()
 			d.Connect(router)
-			ticket := &Ticket{dispatcher: d, request: admission.Request{ID: "id"}, scheduler: "old", repeated: true}
+			ticket := &Ticket{dispatcher: d, request: admission.Request{ID: "id"}, scheduler: "old", waitedForRound: true}
 			d.tickets["id"] = ticket
-			d.forget("id")
+			d.remove("id")
 			move(d, ticket)
 			ticket.send(shard.Message{Kind: shard.Finished})
 			c.Check(router.sent, qt.DeepEquals, []string{fmt.Sprint("old ", shard.Finished)})
--- a/internal/daemon/shard/shard.go
+++ b/internal/daemon/shard/shard.go
@@ -1,6 +1,6 @@
-// Package shard runs the schedulers of the shards that this host of oxbowslipd schedules: it passes
-// them the time, the owners' messages and timers, and their decisions to the owners. The decisions
-// themselves are made in package schedule, which does no input or output.
+// Package shard runs the schedulers of the shards that this host of oxbowslipd schedules. It passes the time
+// and the messages of owners to them, sets their timers, and delivers their decisions to the owners. It owns
+// the schedulers and their timers. Decisions are made in package schedule, which does no input or output.
 package shard
 
 import (
@@ -19,41 +19,40 @@
 const (
 	// Submit: a request asks for a grant.
 	Submit Kind = iota
-	// Withdraw: the caller is gone.
+	// Withdraw: the caller of the request is gone.
 	Withdraw
-	// Started: the grant was used.
+	// Started: the owner has used the grant.
 	Started
-	// FirstToken: the first token came.
+	// FirstToken: the first token has arrived.
 	FirstToken
-	// Progress: more tokens came.
+	// Progress: more tokens have arrived.
 	Progress
-	// Finished: the attempt ended.
+	// Finished: the attempt has ended.
 	Finished
-	// Adopt: a request that another scheduler granted goes on at Endpoint.
+	// Adopt: a request that another scheduler granted is still running at Endpoint.
 	Adopt
 )
 
-// Message is one message from a request's owner to the scheduler of its shard.
+// Message is a message from the owner of a request to the scheduler of its shard.
 type Message struct {
 	Kind Kind
-	// ID is the request's. Request is set for Submit and Adopt only.
+	// ID is the ID of the request. Request is set for Submit and Adopt only.
 	ID      string
 	Request admission.Request
 	// Endpoint is set for Adopt only.
 	Endpoint string
-	// Tokens is the length of the answer so far, Result the end of the attempt.
+	// Tokens is the length of the answer so far, and Result is how the attempt ended.
 	Tokens int
 	Result admission.Result
 }
 
-// Deliver hands a decision to the host that owns the request. It must not
-// block.
+// Deliver passes a decision to the host that owns the request. It must not block.
 type Deliver func(shard string, decision admission.Decision)
 
-// Clock returns the time.
+// Clock returns the current time.
 type Clock func() time.Time
 
-// Host holds the schedulers of this host.
+// Host runs the schedulers of this host.
 type Host struct {
 	clock   Clock
 	options schedule.Options
@@ -64,15 +63,15 @@
 	closed bool
 }
 
-// runner is one scheduler with its timer.
+// runner is a scheduler with its timer.
 type runner struct {
 	name string
-	// mu guards the core. Decisions are handed over under it, so that an owner
-	// gets them in the order in which they were taken.
-	mu    sync.Mutex
-	core  *schedule.Scheduler
-	timer *time.Timer
-	due   time.Time
+	// mu guards scheduler and dueAt. Decisions are delivered under it, so that an owner receives them in the
+	// order in which they were made.
+	mu        sync.Mutex
+	scheduler *schedule.Scheduler
+	timer     *time.Timer
+	dueAt     time.Time
 }
 
 // New returns a host without shards.
@@ -80,7 +79,7 @@
 	return &Host{clock: clock, options: options, deliver: deliver, shards: make(map[string]*runner)}
 }
 
-// Close stops all timers. Messages that come later change nothing.
+// Close stops all timers. Later messages have no effect.
 func (h *Host) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -90,32 +89,31 @@
 	}
 }
 
-// Config is what the settings say of a shard.
+// Config is the configuration of a shard.
 type Config struct {
 	Endpoints []schedule.Endpoint
-	// MaxWaiting bounds the waiting requests; 0 means the built-in bound.
+	// MaxWaiting bounds the waiting requests. 0 means the default.
 	MaxWaiting int
 }
 
-// Configure sets the endpoints and bounds of each shard. A shard that is not
-// named loses its endpoints.
+// Configure sets the endpoints and bounds of each shard. A shard that is not in the map loses its endpoints.
 func (h *Host) Configure(shards map[string]Config) {
 	for name, config := range shards {
-		h.with(name, func(now time.Time, core *schedule.Scheduler) {
-			core.SetMaxWaiting(config.MaxWaiting)
-			core.SetEndpoints(now, config.Endpoints)
+		h.withScheduler(name, func(now time.Time, scheduler *schedule.Scheduler) {
+			scheduler.SetMaxWaiting(config.MaxWaiting)
+			scheduler.SetEndpoints(now, config.Endpoints)
 		})
 	}
 	for _, name := range h.Names() {
 		if _, ok := shards[name]; !ok {
-			h.with(name, func(now time.Time, core *schedule.Scheduler) {
-				core.SetEndpoints(now, nil)
+			h.withScheduler(name, func(now time.Time, scheduler *schedule.Scheduler) {
+				scheduler.SetEndpoints(now, nil)
 			})
 		}
 	}
 }
 
-// Names lists the shards, sorted.
+// Names returns the names of the shards in ascending order.
 func (h *Host) Names() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -127,52 +125,52 @@
 	return names
 }
 
-// Apply passes one message to a shard's scheduler.
+// Apply passes a message to a shard's scheduler.
 func (h *Host) Apply(shard string, m *Message) {
-	h.with(shard, func(now time.Time, core *schedule.Scheduler) {
-		apply(core, now, m)
+	h.withScheduler(shard, func(now time.Time, scheduler *schedule.Scheduler) {
+		apply(scheduler, now, m)
 	})
 }
 
-func apply(core *schedule.Scheduler, now time.Time, m *Message) {
+func apply(scheduler *schedule.Scheduler, now time.Time, m *Message) {
 	switch m.Kind {
 	case Submit:
-		core.Submit(now, m.Request)
+		scheduler.Submit(now, m.Request)
 	case Withdraw:
-		core.Withdraw(now, m.ID)
+		scheduler.Withdraw(now, m.ID)
 	case Started:
-		core.RecordStart(now, m.ID)
+		scheduler.RecordStart(now, m.ID)
 	case FirstToken:
-		core.RecordFirstToken(now, m.ID)
+		scheduler.RecordFirstToken(now, m.ID)
 	case Progress:
-		core.RecordProgress(now, m.ID, m.Tokens)
+		scheduler.RecordProgress(now, m.ID, m.Tokens)
 	case Adopt:
-		core.Adopt(now, m.Request, m.Endpoint, m.Tokens)
+		scheduler.Adopt(now, m.Request, m.Endpoint, m.Tokens)
 	case Finished:
-		core.RecordEnd(now, m.ID, m.Result, m.Tokens)
+		scheduler.RecordEnd(now, m.ID, m.Result, m.Tokens)
 	}
 }
 
-// Hold keeps a shard's scheduler from granting and shedding for a while, until
-// the owners have announced their requests.
+// Hold stops a shard's scheduler from granting, preempting and, but for the lowest tier, shedding for a
+// duration, in which the owners announce their requests.
 func (h *Host) Hold(shard string, d time.Duration) {
-	h.with(shard, func(now time.Time, core *schedule.Scheduler) { core.Hold(now.Add(d)) })
+	h.withScheduler(shard, func(now time.Time, scheduler *schedule.Scheduler) { scheduler.Hold(now.Add(d)) })
 }
 
-// DropOwner drops all requests of a host that is gone.
+// DropOwner removes all requests of a host that is gone from the schedulers.
 func (h *Host) DropOwner(owner string) {
 	for _, name := range h.Names() {
-		h.with(name, func(now time.Time, core *schedule.Scheduler) { core.DropOwner(now, owner) })
+		h.withScheduler(name, func(now time.Time, scheduler *schedule.Scheduler) { scheduler.DropOwner(now, owner) })
 	}
 }
 
-// Inspect reads a shard's scheduler under its lock.
-func (h *Host) Inspect(shard string, read func(core *schedule.Scheduler)) {
-	h.with(shard, func(_ time.Time, core *schedule.Scheduler) { read(core) })
+// Inspect calls read with a shard's scheduler while its lock is held.
+func (h *Host) Inspect(shard string, read func(scheduler *schedule.Scheduler)) {
+	h.withScheduler(shard, func(_ time.Time, scheduler *schedule.Scheduler) { read(scheduler) })
 }
 
-// with runs f on a shard's core, delivers what it decided, and sets its timer.
-func (h *Host) with(shard string, f func(time.Time, *schedule.Scheduler)) {
+// withScheduler calls f with a shard's scheduler, delivers the decisions and sets the timer.
+func (h *Host) withScheduler(shard string, f func(time.Time, *schedule.Scheduler)) {
 	r := h.runner(shard)
 	if r == nil {
 		return
@@ -180,22 +178,24 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := h.clock()
-	f(now, r.core)
-	h.settle(r, now)
+	f(now, r.scheduler)
+	h.deliverDecisions(r, now)
 }
 
-func (h *Host) settle(r *runner, now time.Time) {
-	for _, decision := range r.core.TakeDecisions() {
+// deliverDecisions delivers the new decisions of a scheduler and sets its timer.
+func (h *Host) deliverDecisions(r *runner, now time.Time) {
+	for _, decision := range r.scheduler.TakeDecisions() {
 		h.deliver(r.name, decision)
 	}
-	next := r.core.NextTick(now)
-	if r.due.After(now) && !next.Before(r.due) {
+	next := r.scheduler.NextTick(now)
+	if r.dueAt.After(now) && !next.Before(r.dueAt) {
 		return
 	}
-	r.due = next
+	r.dueAt = next
 	r.timer.Reset(next.Sub(now))
 }
 
+// runner returns the runner of a shard and creates it on first use. It returns nil once the host is closed.
 func (h *Host) runner(shard string) *runner {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -205,7 +205,7 @@
 	if r, ok := h.shards[shard]; ok {
 		return r
 	}
-	r := &runner{name: shard, core: schedule.New(h.options)}
+	r := &runner{name: shard, scheduler: schedule.New(h.options)}
 	r.timer = time.AfterFunc(time.Hour, func() { h.tick(r) })
 	h.shards[shard] = r
 	return r
@@ -215,7 +215,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := h.clock()
-	r.due = time.Time{}
-	r.core.Tick(now)
-	h.settle(r, now)
+	r.dueAt = time.Time{}
+	r.scheduler.Tick(now)
+	h.deliverDecisions(r, now)
 }
