--- a/internal/daemon/change/capacity_test.go
+++ b/internal/daemon/change/capacity_test.go
@@ -9,9 +9,9 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// sized makes a tree with so many endpoints, and workspaces, classes and models
-// in the ratio of the fleet to come.
-func sized(endpoints int) *settings.Tree {
+// newTree returns a tree with a number of endpoints, and with workspaces, classes and models in the expected
+// ratio of a large fleet.
+func newTree(endpoints int) *settings.Tree {
 	tree := &settings.Tree{
 		Workspaces: make(map[string]settings.Workspace), Models: make(map[string]settings.Model),
 		Endpoints: make(map[string]settings.Endpoint),
@@ -39,11 +39,11 @@
 
 var sizes = []int{50, 500, 3500}
 
-// BenchmarkChange is what a change costs each host: apply the patch, check the
-// tree, put it in force.
+// BenchmarkChange measures a change of the settings at each host: it applies the patch and decodes and
+// validates the tree.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range sizes {
-		data, err := settings.Encode(sized(n))
+		data, err := settings.Encode(newTree(n))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -69,11 +69,11 @@
 	}
 }
 
-// BenchmarkIdentify is what a request costs before it is scheduled: its key's
-// workspace and its class's effective values.
+// BenchmarkIdentify measures the lookups for a request before it is scheduled: the workspace of its key and
+// the effective values of its class.
 func BenchmarkIdentify(b *testing.B) {
 	for _, n := range sizes {
-		tree := sized(n)
+		tree := newTree(n)
 		b.Run(fmt.Sprintf("workspaces=%d", len(tree.Workspaces)), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/daemon/change/change.go
+++ b/internal/daemon/change/change.go
@@ -1,6 +1,6 @@
-// Package change holds the rules for changes of the settings tree in oxbowslipd: what a patch
-// touches, when two changes conflict, and how a change makes the next revision. It does no input or
-// output. On the users' platform the settings are changed in the deployment's store.
+// Package change has the rules for changes of the settings tree in oxbowslipd: which paths a patch touches,
+// when two changes conflict, and how a change produces the next revision. It does no input or output. On the
+// users' platform, settings are changed in the deployment's store instead.
 package change
 
 import (
@@ -16,17 +16,17 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// ErrBadPatch means that a patch is no JSON object.
+// ErrBadPatch means that a patch is not a JSON object.
 var ErrBadPatch = merry.Sentinel("the patch is no JSON merge patch")
 
-// Document is a revision of the tree in its canonical form. All hosts that
-// apply the same changes hold the same bytes.
+// Document is a revision of the tree in canonical form. All hosts that apply the same changes hold the same
+// bytes.
 type Document struct {
 	Revision uint64
 	Data     []byte
 }
 
-// Apply returns the next revision. It does not check whether the tree is valid.
+// Apply returns the next revision. It does not validate the tree.
 func (d Document) Apply(c *settings.Change) (Document, error) {
 	data, err := jsonpatch.MergePatch(d.Data, c.Patch)
 	if err != nil {
@@ -39,12 +39,12 @@
 	return Document{Revision: c.Revision, Data: canonical}, nil
 }
 
-// Tree decodes and checks a revision.
+// Tree decodes and validates a revision.
 func (d Document) Tree() (*settings.Tree, error) {
 	return settings.Decode("settings", d.Data)
 }
 
-// Canonicalize sorts the members of all objects and drops white space.
+// Canonicalize sorts the members of all objects and removes white space.
 func Canonicalize(data []byte) ([]byte, error) {
 	value := jsontext.Value(bytes.Clone(data))
 	if err := value.Canonicalize(); err != nil {
@@ -53,17 +53,18 @@
 	return value, nil
 }
 
-// TouchedPaths lists the paths that a patch sets or removes, sorted.
+// TouchedPaths returns the paths that a patch sets or removes, in ascending order.
 func TouchedPaths(patch []byte) ([]string, error) {
 	var paths []string
-	if err := touched(patch, "", &paths); err != nil {
+	if err := appendTouchedPaths(patch, "", &paths); err != nil {
 		return nil, err
 	}
 	sort.Strings(paths)
 	return paths, nil
 }
 
-func touched(patch jsontext.Value, path string, paths *[]string) error {
+// appendTouchedPaths appends the paths that a patch touches below path.
+func appendTouchedPaths(patch jsontext.Value, path string, paths *[]string) error {
 	if patch.Kind() != '{' {
 		if path == "" {
 			return merry.Wrap(ErrBadPatch)
@@ -77,24 +78,24 @@
 	}
 	for name, member := range members {
 		escaped := strings.NewReplacer("~", "~0", "/", "~1").Replace(name)
-		if err := touched(member, path+"/"+escaped, paths); err != nil {
+		if err := appendTouchedPaths(member, path+"/"+escaped, paths); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// OverlappingPaths lists the paths of a that b also touches: the same value, or one
-// inside the other.
+// OverlappingPaths returns the paths of a that overlap with a path of b: they are equal, or one contains the
+// other.
 func OverlappingPaths(a, b []string) []string {
-	var both []string
+	var overlap []string
 	for _, p := range a {
 		for _, q := range b {
 			if p == q || strings.HasPrefix(p, q+"/") || strings.HasPrefix(q, p+"/") {
-				both = append(both, p)
+				overlap = append(overlap, p)
 				break
 			}
 		}
 	}
-	return both
+	return overlap
 }
--- a/internal/daemon/claims/claims_test.go
+++ b/internal/daemon/claims/claims_test.go
@@ -33,7 +33,7 @@
 	return p, tables
 }
 
-func TestClaim(t *testing.T) {
+func TestClaimOutcomes(t *testing.T) {
 	type step struct {
 		table   int
 		key     string
@@ -43,11 +43,11 @@
 		err     bool
 	}
 	tests := map[string][]step{
-		"the first wins":       {{key: "k", attempt: "1", won: true}, {key: "k", attempt: "2"}},
+		"the first claim wins": {{key: "k", attempt: "1", won: true}, {key: "k", attempt: "2"}},
 		"at another host":      {{key: "k", attempt: "1", won: true}, {table: 1, key: "k", attempt: "2"}},
 		"other keys are free":  {{key: "k", attempt: "1", won: true}, {table: 1, key: "l", attempt: "2", won: true}},
 		"the platform is down": {{key: "k", attempt: "1", faults: standin.PlatformFaults{Down: true}, err: true}, {table: 1, key: "k", attempt: "2", won: true}},
-		"a lost answer is found again": {
+		"the response is lost": {
 			{key: "k", attempt: "1", faults: standin.PlatformFaults{LoseAnswers: true}, won: true},
 			{table: 1, key: "k", attempt: "2"},
 		},
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestGiveBack gives a key back whose claim took effect although its caller was
-// told that nothing ran.
-func TestGiveBack(t *testing.T) {
+// TestOrphanedClaimIsReleased checks that a key becomes free again if its claim was committed after the
+// caller had been told that nothing ran.
+func TestOrphanedClaimIsReleased(t *testing.T) {
 	c := qt.New(t)
 	p, tables := startTables(c, 2)
 	p.SetFaults(standin.PlatformFaults{Slow: 20 * time.Millisecond})
@@ -79,8 +79,8 @@
 	for p.Calls().Writes == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	// The claim's caller is gone; its transaction is on its way. Each round looks
-	// for the row, and one of the first two finds it.
+	// The caller of the claim is gone while its transaction is in progress. Each round looks for the row, and
+	// the first or the second one finds it.
 	for range 2 {
 		tables[0].ReleaseOrphans(context.Background())
 	}
@@ -89,9 +89,9 @@
 	c.Assert(won, qt.IsTrue)
 }
 
-// TestRace has the same keys claimed at several hosts at once. Each key is won
-// once, and the claims share transactions.
-func TestRace(t *testing.T) {
+// TestConcurrentClaimsOfKeyHaveOneWinner claims the same keys at several hosts concurrently. Each key must be
+// won once, and claims must share transactions.
+func TestConcurrentClaimsOfKeyHaveOneWinner(t *testing.T) {
 	c := qt.New(t)
 	p, tables := startTables(c, 4)
 	const keys = 50
--- a/internal/daemon/commit/commit.go
+++ b/internal/daemon/commit/commit.go
@@ -1,7 +1,7 @@
-// Package commit stores operators' changes of the settings in the platform's table, for oxbowslipd.
-// A change is accepted by one transaction on the head row; its ID distinguishes a lost answer from a
-// lost race. The form of the rows is in package poller, which reads them; the rules for conflicts are
-// in package change.
+// Package commit stores operators' changes of the settings in the platform's table, for oxbowslipd. Each
+// change is accepted by one transaction on the head row. A row for the ID of the change tells a transaction
+// whose response was lost from one that lost to another operator. The package relies on package poller, which
+// defines and reads the rows, and on package change, which has the rules for conflicts.
 package commit
 
 import (
@@ -20,16 +20,16 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// ErrUnknown means that it is not known whether a change was accepted. Sending it
-// again with the same ID is safe.
+// ErrUnknown means that the outcome of a change is unknown. It is safe to send the change again with the same
+// ID.
 var ErrUnknown = merry.Sentinel("it is not known whether the change was accepted; send it again with the same ID")
 
-// ErrUnavailable means that the platform can't be reached and the change was not
-// accepted.
+// ErrUnavailable means that the change was not accepted, because the platform is unreachable or too many
+// transactions lost to those of other operators.
 var ErrUnavailable = merry.Sentinel("the platform is away; the change was not accepted")
 
-// Conflict is a change that was accepted after the base of another and touches
-// the same paths.
+// Conflict is the error for a change that touches the same paths as Other, which was accepted after the base
+// of the change.
 type Conflict struct {
 	Other settings.Change
 	Paths []string
@@ -42,19 +42,18 @@
 
 // The limits of one change.
 const (
-	// maxRaces bounds the transactions that may lose against other operators.
-	maxRaces = 8
-	// maxLookups bounds the tries to find out what became of a lost answer.
+	// maxConflicts bounds the transactions of one change that may lose to those of other operators.
+	maxConflicts = 8
+	// maxLookups bounds the attempts to find out the outcome of a transaction whose response was lost.
 	maxLookups = 5
-	// lookupPause is the time between them: a transaction whose answer was lost may still be
-	// on its way.
-	lookupPause = 200 * time.Millisecond
-	// snapshotEvery is how many changes a new host reads at most after the
-	// snapshot.
-	snapshotEvery = 32
+	// lookupInterval is the time between these attempts. The transaction may still be in progress.
+	lookupInterval = 200 * time.Millisecond
+	// snapshotInterval is the number of changes between two snapshots. It bounds the changes that a new host
+	// has to read.
+	snapshotInterval = 32
 )
 
-// Committer accepts changes for one host.
+// Committer commits the changes that one host accepts from operators.
 type Committer struct {
 	client *tableclient.Client
 	clock  func() time.Time
@@ -65,44 +64,45 @@
 	return &Committer{client: client, clock: clock}
 }
 
-// Commit stores a change whose ID, base, patch and operator are set, and returns
-// its revision. A change with an ID that was accepted before returns that revision
-// again. The error is a *Conflict, a *strictjson.Error if the tree would not be
-// valid, ErrUnavailable or ErrUnknown.
+// Commit stores a change whose ID, base, patch and operator are set, and returns its revision. If a change
+// with the same ID was accepted before, Commit returns the revision of that change. The error is a *Conflict,
+// a *strictjson.Error if the resulting tree would be invalid, change.ErrBadPatch, ErrUnavailable or
+// ErrUnknown.
 func (a *Committer) Commit(ctx context.Context, c settings.Change) (uint64, error) {
-	if revision, err := a.find(ctx, c.ID); err != nil || revision > 0 {
-		return revision, away(err)
+	if revision, err := a.findRevision(ctx, c.ID); err != nil || revision > 0 {
+		return revision, wrapUnavailable(err)
 	}
-	for range maxRaces {
-		revision, err := a.try(ctx, c)
+	for range maxConflicts {
+		revision, err := a.attempt(ctx, c)
 		switch {
 		case err == nil:
 			return revision, nil
 		case errors.Is(err, tableclient.ErrConflict):
-			if revision, err := a.find(ctx, c.ID); err != nil || revision > 0 {
-				return revision, away(err)
+			if revision, err := a.findRevision(ctx, c.ID); err != nil || revision > 0 {
+				return revision, wrapUnavailable(err)
 			}
-		case errors.Is(err, errLost):
-			return a.lookUp(ctx, c.ID)
+		case errors.Is(err, errAnswerLost):
+			return a.resolveUnknown(ctx, c.ID)
 		default:
-			return 0, away(err)
+			return 0, wrapUnavailable(err)
 		}
 	}
 	return 0, merry.Wrap(ErrUnavailable, merry.AppendMessage("too many operators at once"))
 }
 
-// errLost reports that the answer to the transaction was lost.
-var errLost = merry.Sentinel("answer lost")
+// errAnswerLost means that the response to the transaction was lost, so that its outcome is unknown.
+var errAnswerLost = merry.Sentinel("the response to the transaction was lost")
 
-func away(err error) error {
+// wrapUnavailable wraps an error of the client in ErrUnavailable if the platform is unreachable.
+func wrapUnavailable(err error) error {
 	if errors.Is(err, tableclient.ErrUnavailable) {
 		return merry.Wrap(ErrUnavailable, merry.WithCause(err))
 	}
 	return err
 }
 
-// try makes one transaction on the head as it is now.
-func (a *Committer) try(ctx context.Context, c settings.Change) (uint64, error) {
+// attempt makes one transaction on the current head.
+func (a *Committer) attempt(ctx context.Context, c settings.Change) (uint64, error) {
 	row, head, err := poller.ReadHead(ctx, a.client)
 	if err != nil {
 		return 0, err
@@ -124,9 +124,9 @@
 		return 0, err
 	}
 	head.Revision = c.Revision
-	if c.Revision-head.Snapshot >= snapshotEvery {
-		// The name carries the change's ID: another host may try to accept
-		// another change as the same revision.
+	if c.Revision-head.Snapshot >= snapshotInterval {
+		// The name contains the ID of the change, because another host may attempt to commit another change
+		// as the same revision.
 		name := poller.SnapshotName(c.Revision, c.ID)
 		if err := a.client.PutObject(ctx, name, next.Data); err != nil {
 			return 0, err
@@ -135,7 +135,7 @@
 	}
 	_, err = a.client.Commit(ctx, transaction(row, head, &c))
 	if errors.Is(err, tableclient.ErrUnavailable) {
-		return 0, merry.Wrap(errLost, merry.WithCause(err))
+		return 0, merry.Wrap(errAnswerLost, merry.WithCause(err))
 	}
 	return c.Revision, err
 }
@@ -146,13 +146,13 @@
 		Set: []tableclient.Write{
 			{Key: poller.HeadKey, Value: encode(head)},
 			{Key: poller.ChangeKey(c.Revision), Value: encode(c)},
-			{Key: idKey(c.ID), Value: encode(accepted{c.Revision})},
+			{Key: idKey(c.ID), Value: encode(changeIDRow{c.Revision})},
 		},
 	}
 }
 
-// accepted is the value of a change ID's row.
-type accepted struct {
+// changeIDRow is the value of the row of a change ID.
+type changeIDRow struct {
 	Revision uint64 `json:"revision"`
 }
 
@@ -166,9 +166,9 @@
 	return data
 }
 
-// checkConflict compares a change with all that were accepted since its base.
+// checkConflict compares a change with all changes that were accepted since its base.
 func (a *Committer) checkConflict(ctx context.Context, c *settings.Change, head uint64) error {
-	mine, err := change.TouchedPaths(c.Patch)
+	paths, err := change.TouchedPaths(c.Patch)
 	if err != nil {
 		return err
 	}
@@ -177,19 +177,19 @@
 		if err != nil {
 			return err
 		}
-		theirs, err := change.TouchedPaths(other.Patch)
+		otherPaths, err := change.TouchedPaths(other.Patch)
 		if err != nil {
 			return err
 		}
-		if both := change.OverlappingPaths(mine, theirs); len(both) > 0 {
-			return &Conflict{Other: other, Paths: both}
+		if overlap := change.OverlappingPaths(paths, otherPaths); len(overlap) > 0 {
+			return &Conflict{Other: other, Paths: overlap}
 		}
 	}
 	return nil
 }
 
-// find returns the revision of a change that was accepted, or 0.
-func (a *Committer) find(ctx context.Context, id string) (uint64, error) {
+// findRevision returns the revision of an accepted change, or 0 if there is no change with the ID.
+func (a *Committer) findRevision(ctx context.Context, id string) (uint64, error) {
 	row, err := a.client.Read(ctx, idKey(id))
 	if errors.Is(err, tableclient.ErrNotFound) {
 		return 0, nil
@@ -197,22 +197,22 @@
 	if err != nil {
 		return 0, err
 	}
-	var value accepted
+	var value changeIDRow
 	if err := json.Unmarshal(row.Value, &value); err != nil {
 		return 0, merry.Prepend(err, "change ID's row")
 	}
 	return value.Revision, nil
 }
 
-// lookUp finds out what became of a transaction whose answer was lost. That its
-// row is not there is no answer: the transaction may still be under way.
-func (a *Committer) lookUp(ctx context.Context, id string) (uint64, error) {
+// resolveUnknown finds out the outcome of a transaction whose response was lost. A missing row does not mean
+// that the transaction failed, since it may still be in progress.
+func (a *Committer) resolveUnknown(ctx context.Context, id string) (uint64, error) {
 	for range maxLookups {
-		if revision, err := a.find(ctx, id); err == nil && revision > 0 {
+		if revision, err := a.findRevision(ctx, id); err == nil && revision > 0 {
 			return revision, nil
 		}
 		select {
-		case <-time.After(lookupPause):
+		case <-time.After(lookupInterval):
 		case <-ctx.Done():
 			return 0, merry.Wrap(ErrUnknown)
 		}
--- a/internal/daemon/commit/commit_test.go
+++ b/internal/daemon/commit/commit_test.go
@@ -47,82 +47,83 @@
 	badTier = `{"root":{"classes":{"a":{"values":{"tier":9}}}}}`
 )
 
-func TestAccept(t *testing.T) {
+func TestCommitOutcomes(t *testing.T) {
 	type step struct {
 		change   settings.Change
 		faults   standin.PlatformFaults
 		revision uint64
-		// The kinds of failure.
-		conflict, invalid, away, bad bool
+		// The expected kinds of failure.
+		conflict, invalid, unavailable, badPatch bool
 	}
 	tests := map[string][]step{
-		"one":                       {{change: patch("1", 1, tierOfA), revision: 2}},
-		"the same ID again":         {{change: patch("1", 1, tierOfA), revision: 2}, {change: patch("1", 1, tierOfA), revision: 2}},
-		"another part, same base":   {{change: patch("1", 1, tierOfA), revision: 2}, {change: patch("2", 1, tierOfB), revision: 3}},
-		"the same value, same base": {{change: patch("1", 1, tierOfA), revision: 2}, {change: patch("2", 1, zeroOfA), conflict: true}},
-		"a node that was removed":   {{change: patch("1", 1, dropA), revision: 2}, {change: patch("2", 1, zeroOfA), conflict: true}},
-		"the same value, new base":  {{change: patch("1", 1, tierOfA), revision: 2}, {change: patch("2", 2, zeroOfA), revision: 3}},
-		"not valid":                 {{change: patch("1", 1, badTier), invalid: true}, {change: patch("1", 1, tierOfA), revision: 2}},
-		"no object":                 {{change: patch("1", 1, `7`), bad: true}},
-		"the platform is down":      {{change: patch("1", 1, tierOfA), faults: standin.PlatformFaults{Down: true}, away: true}, {change: patch("1", 1, tierOfA), revision: 2}},
-		"the answer is lost":        {{change: patch("1", 1, tierOfA), faults: standin.PlatformFaults{LoseAnswers: true}, revision: 2}, {change: patch("1", 1, tierOfA), revision: 2}},
+		"one":                          {{change: patch("1", 1, tierOfA), revision: 2}},
+		"the same ID twice":            {{change: patch("1", 1, tierOfA), revision: 2}, {change: patch("1", 1, tierOfA), revision: 2}},
+		"another part, same base":      {{change: patch("1", 1, tierOfA), revision: 2}, {change: patch("2", 1, tierOfB), revision: 3}},
+		"the same value, same base":    {{change: patch("1", 1, tierOfA), revision: 2}, {change: patch("2", 1, zeroOfA), conflict: true}},
+		"a node that has been removed": {{change: patch("1", 1, dropA), revision: 2}, {change: patch("2", 1, zeroOfA), conflict: true}},
+		"the same value, new base":     {{change: patch("1", 1, tierOfA), revision: 2}, {change: patch("2", 2, zeroOfA), revision: 3}},
+		"invalid tree":                 {{change: patch("1", 1, badTier), invalid: true}, {change: patch("1", 1, tierOfA), revision: 2}},
+		"patch is not an object":       {{change: patch("1", 1, `7`), badPatch: true}},
+		"the platform is down":         {{change: patch("1", 1, tierOfA), faults: standin.PlatformFaults{Down: true}, unavailable: true}, {change: patch("1", 1, tierOfA), revision: 2}},
+		"the response is lost":         {{change: patch("1", 1, tierOfA), faults: standin.PlatformFaults{LoseAnswers: true}, revision: 2}, {change: patch("1", 1, tierOfA), revision: 2}},
 	}
 	for name, steps := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			p, _, acceptor := start(c)
+			p, _, committer := start(c)
 			for i, s := range steps {
 				p.SetFaults(s.faults)
-				revision, err := acceptor.Commit(context.Background(), s.change)
+				revision, err := committer.Commit(context.Background(), s.change)
 				var conflict *commit.Conflict
 				var faults *strictjson.Error
 				note := qt.Commentf("step %d: %v", i, err)
 				c.Assert(revision, qt.Equals, s.revision, note)
 				c.Assert(errors.As(err, &conflict), qt.Equals, s.conflict, note)
 				c.Assert(errors.As(err, &faults), qt.Equals, s.invalid, note)
-				c.Assert(errors.Is(err, commit.ErrUnavailable), qt.Equals, s.away, note)
-				c.Assert(errors.Is(err, change.ErrBadPatch), qt.Equals, s.bad, note)
+				c.Assert(errors.Is(err, commit.ErrUnavailable), qt.Equals, s.unavailable, note)
+				c.Assert(errors.Is(err, change.ErrBadPatch), qt.Equals, s.badPatch, note)
 			}
 		})
 	}
 }
 
+// noPeers is a poller.Peers without an answer.
 func noPeers(context.Context, uint64) (change.Document, bool) { return change.Document{}, false }
 
-// TestRace has many operators change different classes at four hosts at once.
-// Every change is accepted once, and hosts that follow, one from the start and
-// one only at the end, hold the same bytes. No revision in force goes down.
-func TestRace(t *testing.T) {
+// TestConcurrentChangesAreAcceptedOnce lets several operators change different classes at different hosts
+// concurrently. Every change must be accepted exactly once. A follower that polls throughout and one that
+// starts at the end must hold the same bytes, and the revision in force must never decrease.
+func TestConcurrentChangesAreAcceptedOnce(t *testing.T) {
 	c := qt.New(t)
 	p, client, _ := start(c)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	follow := func() (*poller.Follower, *settings.Holder) {
+	newFollower := func() (*poller.Follower, *settings.Holder) {
 		holder := settings.NewHolder()
 		return poller.New(poller.Parts{
 			Client: client, Holder: holder, Counters: counters.New(), Log: logrus.NewEntry(log), Interval: time.Second,
 			Random: func() float64 { return 0 }, Peers: noPeers, Clock: time.Now,
 		}), holder
 	}
-	early, holder := follow()
+	follower, holder := newFollower()
 	ctx := context.Background()
-	early.Poll(ctx)
+	follower.Poll(ctx)
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	revisions := make(map[uint64]string)
 	const operators, each = 4, 12
 	for host := range operators {
-		acceptor := commit.New(tableclient.New(p.Address(), time.Minute, nil), time.Now)
+		committer := commit.New(tableclient.New(p.Address(), time.Minute, nil), time.Now)
 		group.Go(func() {
 			for i := range each {
 				id := fmt.Sprintf("op%d-%d", host, i)
 				text := fmt.Sprintf(`{"root":{"classes":{"c%s":{"values":{"tier":%d}}}}}`, id, i%4)
 				var revision uint64
 				for revision == 0 {
-					// Losing the race too often is told as not accepted; coming back
-					// with the same ID is what an operator does then.
+					// A change that loses too many transactions is not accepted. Operators send it again with the
+					// same ID.
 					var err error
-					revision, err = acceptor.Commit(ctx, patch(id, 1, text))
+					revision, err = committer.Commit(ctx, patch(id, 1, text))
 					if err != nil && !errors.Is(err, commit.ErrUnavailable) {
 						c.Errorf("%s: %v", id, err)
 						return
@@ -132,23 +133,23 @@
 				revisions[revision] = id
 				mu.Unlock()
 				before := holder.Current().Number
-				early.Poll(ctx)
+				follower.Poll(ctx)
 				c.Check(holder.Current().Number >= max(before, revision), qt.IsTrue)
 			}
 		})
 	}
 	group.Wait()
 	c.Assert(revisions, qt.HasLen, operators*each)
-	late, _ := follow()
-	late.Poll(ctx)
-	c.Assert(late.Document().Revision, qt.Equals, uint64(1+operators*each))
-	c.Assert(string(late.Document().Data), qt.Equals, string(early.Document().Data))
+	lateFollower, _ := newFollower()
+	lateFollower.Poll(ctx)
+	c.Assert(lateFollower.Document().Revision, qt.Equals, uint64(1+operators*each))
+	c.Assert(string(lateFollower.Document().Data), qt.Equals, string(follower.Document().Data))
 	_, head, err := poller.ReadHead(ctx, client)
 	c.Assert(err, qt.IsNil)
 	c.Assert(head.Snapshot > 1, qt.IsTrue)
 }
 
-func TestTouched(t *testing.T) {
+func TestOverlappingPathsOfChanges(t *testing.T) {
 	tests := map[string]struct {
 		a, b string
 		want bool
@@ -156,7 +157,7 @@
 		"the same value":        {tierOfA, zeroOfA, true},
 		"siblings":              {tierOfA, tierOfB, false},
 		"a node and its parent": {dropA, tierOfA, true},
-		"names that begin alike": {
+		"names with a common prefix": {
 			`{"root":{"classes":{"ab":{"values":{"tier":1}}}}}`, tierOfA, false,
 		},
 		"a slash in a name": {`{"x":{"a/b":1}}`, `{"x":{"a":{"b":1}}}`, false},
--- a/internal/daemon/commit/golden_test.go
+++ b/internal/daemon/commit/golden_test.go
@@ -13,8 +13,8 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// TestGoldenTransaction holds the rows of an accepted change to those of commit 4c58500,
-// which are still in the store.
+// TestGoldenTransaction compares the rows of an accepted change with the recorded format, because rows in
+// this format are still in the store.
 func TestGoldenTransaction(t *testing.T) {
 	c := qt.New(t)
 	at := time.Date(2026, 6, 1, 12, 0, 0, 5_000_000, time.UTC)
--- a/internal/daemon/membership/capacity_test.go
+++ b/internal/daemon/membership/capacity_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkReassign is what a change of the list of hosts costs: the scheduler
-// of each shard is found anew.
+// BenchmarkReassign measures a change of the list of hosts, after which the scheduler of each shard has to be
+// determined again.
 func BenchmarkReassign(b *testing.B) {
 	for _, n := range []int{8, 64, 380} {
 		b.Run(fmt.Sprintf("hosts=%d/shards=64", n), func(b *testing.B) {
--- a/internal/daemon/membership/membership.go
+++ b/internal/daemon/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership decides which host of oxbowslipd schedules which shard. It starts from the
-// platform's lagging list of hosts and corrects it by what this host sees of the peers that it works
-// with. It owns this host's view of the fleet and does no input or output.
+// Package membership decides which host of oxbowslipd schedules which shard. It starts from the platform's
+// list of hosts, which lags behind, and corrects it by the observations of this host about its peers. It owns
+// this host's view of the fleet and does no input or output.
 package membership
 
 import (
@@ -9,37 +9,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Host is one host of the fleet.
+// Host is a host of the fleet.
 type Host struct {
 	Name string
-	// Address is where its peers reach it.
+	// Address is where peers connect to the host.
 	Address string
 	Zone    string
-	// Leaving is set if the host takes no more work.
+	// Leaving is set if the host accepts no more work.
 	Leaving bool
 }
 
-// View is what one host knows of the fleet.
+// View is the fleet as one host sees it.
 type View struct {
 	self     Host
 	listed   map[string]Host
 	suspects map[string]bool
 	leaving  map[string]bool
-	// candidates caches the usable hosts; nil means that it is to be made anew.
-	candidates []Host
+	// usableHosts caches the usable hosts. It is nil if they have to be determined again.
+	usableHosts []Host
 }
 
-// New returns the view of a host that has not read the platform's list.
+// New returns the view of a host that has not read the platform's list yet.
 func New(self Host) *View {
 	return &View{
 		self: self, listed: make(map[string]Host), suspects: make(map[string]bool), leaving: make(map[string]bool),
 	}
 }
 
-// SetList replaces the platform's list. What was seen of hosts that are gone from
-// it is forgotten.
+// SetList replaces the platform's list. Observations about hosts that are no longer in it are discarded.
 func (v *View) SetList(hosts []Host) {
-	v.candidates = nil
+	v.usableHosts = nil
 	v.listed = make(map[string]Host, len(hosts))
 	for _, h := range hosts {
 		v.listed[h.Name] = h
@@ -56,25 +55,24 @@
 	}
 }
 
-// SetSuspected notes whether a peer can't be reached, and reports whether that has
-// changed.
+// SetSuspected records whether a peer is unreachable, and reports whether that is a change.
 func (v *View) SetSuspected(name string, suspect bool) bool {
 	if v.suspects[name] == suspect {
 		return false
 	}
 	v.suspects[name] = suspect
-	v.candidates = nil
+	v.usableHosts = nil
 	return true
 }
 
-// MarkLeaving notes that a host, perhaps this one, said itself that it is leaving.
+// MarkLeaving records that a host, which may be this one, has announced that it is leaving.
 func (v *View) MarkLeaving(name string) {
 	v.leaving[name] = true
-	v.candidates = nil
+	v.usableHosts = nil
 }
 
-// Scheduler returns the host that schedules a shard: the usable host with the
-// highest rendezvous hash. With no other usable, it is this host itself.
+// Scheduler returns the host that schedules a shard, which is the usable host with the highest rendezvous
+// hash. If no host is usable, it returns this host.
 func (v *View) Scheduler(shard string) Host {
 	best, bestWeight := v.self, uint64(0)
 	for _, h := range v.usable() {
@@ -86,7 +84,7 @@
 	return best
 }
 
-// NumOthers counts the usable hosts besides this one.
+// NumOthers returns the number of usable hosts other than this one.
 func (v *View) NumOthers() int {
 	n := 0
 	for _, h := range v.usable() {
@@ -97,8 +95,7 @@
 	return n
 }
 
-// Hosts lists the hosts of the platform's list with what is known of them,
-// sorted by name.
+// Hosts returns the hosts of the platform's list, sorted by name, with their known state.
 func (v *View) Hosts() []Host {
 	hosts := make([]Host, 0, len(v.listed))
 	for _, h := range v.listed {
@@ -109,21 +106,22 @@
 	return hosts
 }
 
-// usable lists the hosts that may schedule. A host that is not in the list yet
-// is left out, this one too: the others would not send it their requests.
+// usable returns the hosts that may schedule. A host that is not in the list yet is excluded, even this one,
+// because the others would not send their requests to it.
 func (v *View) usable() []Host {
-	if v.candidates != nil {
-		return v.candidates
+	if v.usableHosts != nil {
+		return v.usableHosts
 	}
-	v.candidates = []Host{}
+	v.usableHosts = []Host{}
 	for _, h := range v.Hosts() {
 		if !h.Leaving && !v.suspects[h.Name] {
-			v.candidates = append(v.candidates, h)
+			v.usableHosts = append(v.usableHosts, h)
 		}
 	}
-	return v.candidates
+	return v.usableHosts
 }
 
+// rendezvous returns the hash by which hosts are ranked for a shard.
 func rendezvous(shard, host string) uint64 {
 	return xxhash.Sum64String(shard + "\x00" + host)
 }
--- a/internal/daemon/membership/membership_test.go
+++ b/internal/daemon/membership/membership_test.go
@@ -15,8 +15,8 @@
 	return list
 }
 
-func TestScheduler(t *testing.T) {
-	// With all three, host b has the highest hash for the shard, then a.
+func TestSchedulerSelection(t *testing.T) {
+	// The two hosts with the highest hashes for the shard are determined from the full list.
 	const shard = "shard-1"
 	full := New(Host{Name: "a"})
 	full.SetList(hosts("a", "b", "c"))
@@ -29,15 +29,15 @@
 		edit func(v *View)
 		want string
 	}{
-		"the first in rank":                  {self: "a", list: hosts("a", "b", "c"), want: first},
-		"the same on every host":             {self: "c", list: hosts("c", "b", "a"), want: first},
-		"the next when it is lost":           {self: "c", list: hosts("a", "b", "c"), edit: func(v *View) { v.SetSuspected(first, true) }, want: second},
-		"the first again when it is back":    {self: "c", list: hosts("a", "b", "c"), edit: func(v *View) { v.SetSuspected(first, true); v.SetSuspected(first, false) }, want: first},
-		"the next when it says it is going":  {self: "c", list: hosts("a", "b", "c"), edit: func(v *View) { v.MarkLeaving(first) }, want: second},
-		"a leaving host of the list is none": {self: "x", list: []Host{{Name: "a", Leaving: true}, {Name: "b"}}, want: "b"},
-		"alone":                              {self: "x", want: "x"},
-		"all others lost":                    {self: "x", list: hosts("a"), edit: func(v *View) { v.SetSuspected("a", true) }, want: "x"},
-		"not in the list yet":                {self: "x", list: hosts("a"), want: "a"},
+		"the highest hash":                                   {self: "a", list: hosts("a", "b", "c"), want: first},
+		"the same on every host":                             {self: "c", list: hosts("c", "b", "a"), want: first},
+		"the second when the first is lost":                  {self: "c", list: hosts("a", "b", "c"), edit: func(v *View) { v.SetSuspected(first, true) }, want: second},
+		"the first when it is back":                          {self: "c", list: hosts("a", "b", "c"), edit: func(v *View) { v.SetSuspected(first, true); v.SetSuspected(first, false) }, want: first},
+		"the second when the first announces that it leaves": {self: "c", list: hosts("a", "b", "c"), edit: func(v *View) { v.MarkLeaving(first) }, want: second},
+		"a host listed as leaving is excluded":               {self: "x", list: []Host{{Name: "a", Leaving: true}, {Name: "b"}}, want: "b"},
+		"alone":                                              {self: "x", want: "x"},
+		"all others lost":                                    {self: "x", list: hosts("a"), edit: func(v *View) { v.SetSuspected("a", true) }, want: "x"},
+		"this host is not in the list yet":                   {self: "x", list: hosts("a"), want: "a"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -52,8 +52,9 @@
 	}
 }
 
-// TestSpread counts the shards that move when a host goes: only its own.
-func TestSpread(t *testing.T) {
+// TestLostHostMovesOnlyItsShards checks that shards are spread evenly over the hosts, and that the loss of a
+// host moves only the shards of that host.
+func TestLostHostMovesOnlyItsShards(t *testing.T) {
 	c := qt.New(t)
 	v := New(Host{Name: "h0"})
 	var names []string
