--- a/internal/daemon/claims/claims.go
+++ b/internal/daemon/claims/claims.go
@@ -43,8 +43,8 @@
 
 // claimRow is the value of a claim's row.
 type claimRow struct {
-	// Attempt is the ID of the request that holds the key. It tells a claim whose response was lost from one
-	// that lost to another request.
+	// Attempt is the ID of the request that holds the key. It distinguishes a claim whose response was lost
+	// from one that lost to another request.
 	Attempt string    `json:"attempt"`
 	Host    string    `json:"host"`
 	At      time.Time `json:"at"`
