--- a/internal/daemon/schedule/endpoint.go
+++ b/internal/daemon/schedule/endpoint.go
@@ -205,9 +205,9 @@
 		return
 	}
 	steps := float64(now.Sub(it.sentAt)-e.betweenTokens) / float64(e.betweenTokens)
-	chunk := float64(it.uncachedTokens) / max(steps, minPrefillSteps)
-	chunk = min(max(chunk, e.prefillPerStep/maxPrefillChange), e.prefillPerStep*maxPrefillChange)
-	e.prefillPerStep = max(1, e.prefillPerStep+(chunk-e.prefillPerStep)/prefillSmoothing)
+	sample := float64(it.uncachedTokens) / max(steps, minPrefillSteps)
+	sample = min(max(sample, e.prefillPerStep/maxPrefillChange), e.prefillPerStep*maxPrefillChange)
+	e.prefillPerStep = max(1, e.prefillPerStep+(sample-e.prefillPerStep)/prefillSmoothing)
 }
 
 // recordProgress adds to the measurement of the time between tokens and corrects the predicted length.
--- a/internal/daemon/schedule/health.go
+++ b/internal/daemon/schedule/health.go
@@ -111,7 +111,7 @@
 	return float64(ejected) <= max(1, maxShare*float64(len(s.order))) && len(s.order) > 1
 }
 
-// readmit readmits an endpoint for a probe and resets its estimates.
+// readmit readmits an endpoint for a probe, with the initial limit and the median time between tokens.
 func (s *endpointSet) readmit(now time.Time, e *endpoint) {
 	e.health.ejected = false
 	e.health.probing = true
--- a/internal/daemon/schedule/options.go
+++ b/internal/daemon/schedule/options.go
@@ -19,12 +19,12 @@
 	// defaultMaxWaiting is in requests. At 100 requests per second it is about 40 s, longer than callers
 	// wait.
 	defaultMaxWaiting = 4096
-	// defaultGrantTime is ample for a grant to reach its owner and be used, which takes a round trip between
+	// defaultGrantTimeout is ample for a grant to reach its owner and be used, which takes a round trip between
 	// hosts and a connection to the endpoint.
-	defaultGrantTime = 2 * time.Second
-	// defaultPrefillAhead is short, because prompts queued at an engine can't be moved to another engine or
+	defaultGrantTimeout = 2 * time.Second
+	// defaultMaxPrefillAhead is short, because prompts queued at an engine can't be moved to another engine or
 	// be overtaken by a higher tier.
-	defaultPrefillAhead = 250 * time.Millisecond
+	defaultMaxPrefillAhead = 250 * time.Millisecond
 	// defaultZoneCost is about the round trip between two availability zones of a region.
 	defaultZoneCost = time.Millisecond
 )
@@ -34,10 +34,10 @@
 		o.MaxWaiting = defaultMaxWaiting
 	}
 	if o.GrantTimeout == 0 {
-		o.GrantTimeout = defaultGrantTime
+		o.GrantTimeout = defaultGrantTimeout
 	}
 	if o.MaxPrefillAhead == 0 {
-		o.MaxPrefillAhead = defaultPrefillAhead
+		o.MaxPrefillAhead = defaultMaxPrefillAhead
 	}
 	if o.ZoneCost == 0 {
 		o.ZoneCost = defaultZoneCost
--- a/internal/daemon/schedule/room.go
+++ b/internal/daemon/schedule/room.go
@@ -32,9 +32,10 @@
 	return admission.ReasonNoRoom, false
 }
 
-// makeRoom refuses a waiting request to admit a new one. It refuses a request of the lowest tier below the
-// new one's. If there is none, it refuses a request of the same tier, from a workspace that has more waiting
-// requests by weight than the new one's. It never refuses a request of a higher tier.
+// makeRoom makes room for a new request. It refuses a waiting request of the lowest tier below the new one's.
+// If there is none, it repays a slot that is owed to the tier, or refuses a request of the same tier, from a
+// workspace that has more waiting requests by weight than the new one's. It never refuses a request of a
+// higher tier.
 func (s *Scheduler) makeRoom(now time.Time, r *admission.Request) bool {
 	for tier := Tiers - 1; tier > r.Tier; tier-- {
 		if w := s.tiers[tier].largest(); w != nil {
--- a/internal/daemon/schedule/shares.go
+++ b/internal/daemon/schedule/shares.go
@@ -109,8 +109,7 @@
 // answer, in the engine model of the replays.
 const promptTokensPerAnswerToken = 16
 
-// chargeShare charges the work of a grant to its class and adds credit to the other classes with waiting
-// requests.
+// chargeShare adds credit to the classes with waiting requests and charges the work of a grant to its class.
 func (s *Scheduler) chargeShare(now time.Time, it *item, reason admission.Reason) {
 	work := s.work(it)
 	for _, a := range s.shares.order {
