--- a/internal/daemon/fleet/fleet.go
+++ b/internal/daemon/fleet/fleet.go
@@ -92,8 +92,8 @@
 	}
 	f.shards = shard.New(parts.Clock, parts.Options, f.deliver)
 	f.server = peer.NewServer(peer.ServerParts{
-		Self: parts.Config.Self.Name, Key: parts.Config.Key, Clock: parts.Clock, Apply: f.shards.Apply, Drop: f.shards.DropOwner,
-		Settings: parts.Settings, Newer: parts.Newer,
+		Self: parts.Config.Self.Name, Key: parts.Config.Key, Clock: parts.Clock, Apply: f.shards.Apply, DropOwner: f.shards.DropOwner,
+		Settings: parts.Settings, OnRevision: parts.Newer,
 	})
 	parts.Dispatcher.Connect(f)
 	return f
@@ -213,7 +213,7 @@
 	f.mu.Lock()
 	f.view.Leave(f.parts.Config.Self.Name)
 	f.mu.Unlock()
-	f.server.Leave()
+	f.server.AnnounceLeaving()
 	f.reassign()
 }
 
