--- a/internal/daemon/fleet/links.go
+++ b/internal/daemon/fleet/links.go
@@ -14,7 +14,7 @@
 		Self: f.parts.Config.Self.Name, Host: host.Name, Address: host.Address, Key: f.parts.Config.Key, Clock: f.parts.Clock,
 		Events: peer.Events{
 			OnUp: f.linkUp, OnDown: f.linkDown, OnLeaving: f.linkLeaving, OnDecision: f.parts.Dispatcher.Deliver,
-			Revision: func() uint64 { return f.parts.Settings().Revision }, OnRevision: f.parts.Newer,
+			Revision: func() uint64 { return f.parts.Settings().Revision }, OnRevision: f.parts.OnRevision,
 		},
 	})
 }
