--- a/internal/daemon/api/api.go
+++ b/internal/daemon/api/api.go
@@ -38,9 +38,9 @@
 
 // The limits of calls.
 const (
-	// readHeaderTime bounds how long a caller may send its headers: slow networks pass, idle
+	// readHeaderTimeout bounds how long a caller may send its headers: slow networks pass, idle
 	// connections that hold memory do not.
-	readHeaderTime = 10 * time.Second
+	readHeaderTimeout = 10 * time.Second
 	// maxHeaderBytes bounds the headers of a call in memory.
 	maxHeaderBytes = 32 << 10
 	// maxIDLength bounds a caller's request ID in bytes, which stands in logs and explanations.
@@ -89,7 +89,7 @@
 	router.NotFoundHandler = s.handle(s.notFound)
 	return &http.Server{
 		Handler:           router,
-		ReadHeaderTimeout: readHeaderTime,
+		ReadHeaderTimeout: readHeaderTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          nil,
 	}
@@ -125,7 +125,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		c := &caller{id: requestID(r), arrived: s.parts.Clock()}
 		w.Header().Set(HeaderRequestID, c.id)
-		f := s.identify(r, c)
+		f := s.authenticate(r, c)
 		if f == nil {
 			f = next(w, r, c)
 		}
@@ -141,19 +141,19 @@
 // one otherwise. The router adds its own part, so that two callers with the
 // same ID are not mixed up.
 func requestID(r *http.Request) string {
-	own := uuid.NewString()
+	generated := uuid.NewString()
 	given := r.Header.Get(HeaderRequestID)
-	if given == "" || len(given) > maxIDLength || strings.ContainsFunc(given, notPlain) {
-		return own
+	if given == "" || len(given) > maxIDLength || strings.ContainsFunc(given, isInvalidIDRune) {
+		return generated
 	}
-	return given + "." + own[:8]
+	return given + "." + generated[:8]
 }
 
-func notPlain(c rune) bool {
+func isInvalidIDRune(c rune) bool {
 	return !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_' || c == '.')
 }
 
-func (s *Server) identify(r *http.Request, c *caller) *fault {
+func (s *Server) authenticate(r *http.Request, c *caller) *fault {
 	if refusal := s.parts.CheckReady(); refusal != nil {
 		return faultOf(refusal)
 	}
@@ -227,8 +227,8 @@
 	return names
 }
 
-// claim reserves the caller's idempotency key, if it sent one.
-func (s *Server) claim(r *http.Request, c *caller) *fault {
+// claimKey reserves the caller's idempotency key, if it sent one.
+func (s *Server) claimKey(r *http.Request, c *caller) *fault {
 	key := r.Header.Get(HeaderIdempotencyKey)
 	if key == "" {
 		return nil
@@ -256,8 +256,8 @@
 	writeRefusal(w, c.id, refusal, nil)
 }
 
-// scheduleRequest fills in what the scheduler needs to know.
-func (s *Server) scheduleRequest(c *caller) admission.Request {
+// admissionRequest fills in what the scheduler needs to know.
+func (s *Server) admissionRequest(c *caller) admission.Request {
 	p := &c.policy
 	return admission.Request{
 		ID: c.id, Owner: s.parts.Host, Workspace: c.workspace, Class: c.class, Tier: p.Tier, Arrived: c.arrived,
@@ -272,12 +272,12 @@
 // exception for which resuming is there.
 const maxResumes = 3
 
-func rules(p *settings.Policy) request.Rules {
+func attemptRules(p *settings.Policy) request.Rules {
 	return request.Rules{Repeatable: p.Repeatable, MaxTries: p.MaxTries, MaxResumes: maxResumes}
 }
 
-// attained reports whether an answer met its class's targets.
-func attained(p *settings.Policy, end *owner.End, whole time.Duration) bool {
+// metTargets reports whether an answer met its class's targets.
+func metTargets(p *settings.Policy, end *owner.End, whole time.Duration) bool {
 	if p.FirstToken > 0 && end.FirstToken > p.FirstToken {
 		return false
 	}
--- a/internal/daemon/api/body.go
+++ b/internal/daemon/api/body.go
@@ -64,17 +64,17 @@
 
 // engineBody writes the body for an engine. With a part of an answer, the
 // engine is asked to go on from it.
-func (b *chatBody) engineBody(priority int, salt string, maxTokens int, part string, partTokens int) ([]byte, error) {
+func (b *chatBody) engineBody(priority int, salt string, maxTokens int, partial string, partialTokens int) ([]byte, error) {
 	out := *b
 	out.Priority = &priority
 	out.CacheSalt = salt
-	left := max(1, maxTokens-partTokens)
+	left := max(1, maxTokens-partialTokens)
 	out.MaxTokens = &left
 	out.MaxCompletionTokens = nil
 	out.ContinueFinalMessage = false
 	out.AddGenerationPrompt = nil
-	if part != "" {
-		messages, err := appendMessage(b.Messages, message{Role: "assistant", Content: part})
+	if partial != "" {
+		messages, err := appendMessage(b.Messages, message{Role: "assistant", Content: partial})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/daemon/api/chat.go
+++ b/internal/daemon/api/chat.go
@@ -47,7 +47,7 @@
 	if !c.tree.MayCall(c.workspace, body.Model) {
 		return &fault{reason: request.ReasonUnknownModel, detail: "this workspace has no such model", known: c.modelNames()}
 	}
-	if f := s.claim(r, c); f != nil {
+	if f := s.claimKey(r, c); f != nil {
 		return f
 	}
 	x := &chatExchange{server: s, caller: c, body: body, w: w, maxTokens: body.maxTokens(c.policy.MaxAnswerTokens)}
@@ -70,14 +70,14 @@
 
 func (x *chatExchange) run(ctx context.Context) {
 	s, c := x.server, x.caller
-	req := s.scheduleRequest(c)
+	req := s.admissionRequest(c)
 	req.PromptTokens = prefix.Tokens(x.body.Messages)
 	req.MaxTokens = x.maxTokens
 	req.Prefix = prefix.Hashes(cacheSalt(c.workspace), x.body.Messages)
 	job := &owner.Job{
 		Request:     req,
 		Shard:       x.body.Model,
-		Rules:       rules(&c.policy),
+		Rules:       attemptRules(&c.policy),
 		RetryBudget: c.policy.RetryBudget,
 		Attempt:     x.unary,
 	}
@@ -88,7 +88,7 @@
 		x.stream = newStreamRelay(s, x.w, c)
 		job.Attempt = x.streamAttempt
 		job.Resume = x.streamResume
-		job.CanContinue = x.shardContinues()
+		job.CanContinue = x.allEnginesContinue()
 	}
 	end := s.parts.Owner.Run(ctx, job)
 	s.parts.Recorded.Add(record.Entry{
@@ -97,9 +97,9 @@
 	x.finish(&end)
 }
 
-// shardContinues reports whether all engines of the model can go on from a part
+// allEnginesContinue reports whether all engines of the model can go on from a part
 // of an answer, so that any of them may be granted.
-func (x *chatExchange) shardContinues() bool {
+func (x *chatExchange) allEnginesContinue() bool {
 	for _, e := range x.caller.tree.Endpoints {
 		if e.Model == x.body.Model && !e.Continues {
 			return false
@@ -116,18 +116,18 @@
 		if x.answer != nil {
 			x.answer.Send(x.w)
 		}
-		s.parts.Counters.Answered(c.class, end.FirstToken, attained(&c.policy, end, whole), end.Tokens)
+		s.parts.Counters.Answered(c.class, end.FirstToken, metTargets(&c.policy, end, whole), end.Tokens)
 	case request.OutcomeBroken:
-		x.stream.breakOff(end.Refusal)
+		x.stream.abort(end.Refusal)
 	case request.OutcomeRefused:
 		s.refuse(x.w, c, end.Refusal)
 	}
 }
 
 // call builds the call for an attempt.
-func (x *chatExchange) call(a *owner.Attempt, part string, partTokens int) (httpclient.Call, error) {
+func (x *chatExchange) call(a *owner.Attempt, partial string, partialTokens int) (httpclient.Call, error) {
 	c := x.caller
-	data, err := x.body.engineBody(c.policy.Tier, cacheSalt(c.workspace), x.maxTokens, part, partTokens)
+	data, err := x.body.engineBody(c.policy.Tier, cacheSalt(c.workspace), x.maxTokens, partial, partialTokens)
 	if err != nil {
 		return httpclient.Call{}, err
 	}
@@ -156,7 +156,7 @@
 	}
 	response, err := x.server.parts.Client.Do(ctx, call)
 	if err != nil {
-		return failed(err)
+		return clientErrorResult(err)
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
@@ -197,8 +197,8 @@
 	return owner.Result{Event: request.EventWhole}
 }
 
-// failed turns an error of the client into a result.
-func failed(err error) owner.Result {
+// clientErrorResult turns an error of the client into a result.
+func clientErrorResult(err error) owner.Result {
 	if errors.Is(err, request.ErrNotSent) {
 		return owner.Result{Event: request.EventDialFailed, Err: err}
 	}
@@ -207,25 +207,25 @@
 
 // streamAttempt sends a request for a stream, or the rest of one that broke.
 func (x *chatExchange) streamAttempt(ctx context.Context, a *owner.Attempt) owner.Result {
-	call, err := x.call(a, x.stream.text(), x.stream.tokens)
+	call, err := x.call(a, x.stream.textSoFar(), x.stream.tokens)
 	if err != nil {
 		return owner.Result{Event: request.EventBroken, Err: err}
 	}
-	x.stream.begin()
-	return x.relay(ctx, a, call)
+	x.stream.beginAttempt()
+	return x.relayStream(ctx, a, call)
 }
 
 // streamResume continues a broken stream at its engine, after the last event
 // that came.
 func (x *chatExchange) streamResume(ctx context.Context, a *owner.Attempt) owner.Result {
-	pause := time.NewTimer(resumePause)
+	pause := time.NewTimer(resumeDelay)
 	defer pause.Stop()
 	select {
 	case <-pause.C:
 	case <-ctx.Done():
 		return owner.Result{Event: request.EventCallerGone}
 	}
-	return x.relay(ctx, a, httpclient.Call{
+	return x.relayStream(ctx, a, httpclient.Call{
 		Address: a.Endpoint.Address,
 		Method:  http.MethodGet,
 		Path:    streamsPath + x.caller.id,
@@ -233,15 +233,15 @@
 	})
 }
 
-// resumePause is the time for a connection that broke to come back.
-const resumePause = 20 * time.Millisecond
+// resumeDelay is the time for a connection that broke to come back.
+const resumeDelay = 20 * time.Millisecond
 
-func (x *chatExchange) relay(ctx context.Context, a *owner.Attempt, call httpclient.Call) owner.Result {
-	ctx, watch := httprelay.WatchSilence(ctx, stallTime, owner.ErrStalled)
+func (x *chatExchange) relayStream(ctx context.Context, a *owner.Attempt, call httpclient.Call) owner.Result {
+	ctx, watch := httprelay.WatchSilence(ctx, stallTimeout, owner.ErrStalled)
 	defer watch.Stop()
 	response, err := x.server.parts.Client.Do(ctx, call)
 	if err != nil {
-		return failed(err)
+		return clientErrorResult(err)
 	}
 	defer response.Body.Close()
 	if !strings.HasPrefix(response.Header.Get("Content-Type"), eventType) {
--- a/internal/daemon/api/refuse.go
+++ b/internal/daemon/api/refuse.go
@@ -62,8 +62,8 @@
 	return http.StatusServiceUnavailable, typeUnavailable
 }
 
-// leastRetryAfter is what 429 and 503 carry when no better figure is known.
-const leastRetryAfter = time.Second
+// minRetryAfter is what 429 and 503 carry when no better figure is known.
+const minRetryAfter = time.Second
 
 func newErrorBody(id string, refusal *request.Refusal, known []string) errorBody {
 	_, kind := statusOf(refusal.Reason)
@@ -83,7 +83,7 @@
 	status, _ := statusOf(refusal.Reason)
 	header := w.Header()
 	if status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable {
-		after := max(refusal.RetryAfter, leastRetryAfter)
+		after := max(refusal.RetryAfter, minRetryAfter)
 		header.Set("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
 	}
 	if status == http.StatusUnauthorized {
--- a/internal/daemon/api/service.go
+++ b/internal/daemon/api/service.go
@@ -17,9 +17,9 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// heldBytes is how much of a call or an answer is held back: a call that fits can be tried again, and an answer that
+// maxHeldBytes is how much of a call or an answer is held back: a call that fits can be tried again, and an answer that
 // fits is passed on only when whole. In bytes.
-const heldBytes = 64 << 10
+const maxHeldBytes = 64 << 10
 
 // ServicePrefix begins the names of plain services' shards, which keeps them
 // apart from models.
@@ -49,7 +49,7 @@
 	if f := x.readHead(); f != nil {
 		return f
 	}
-	if f := s.claim(r, c); f != nil {
+	if f := s.claimKey(r, c); f != nil {
 		return f
 	}
 	x.run(r.Context())
@@ -88,7 +88,7 @@
 // readHead reads as much of the body as is held back.
 func (x *serviceExchange) readHead() *fault {
 	limit := int64(x.caller.policy.MaxBodyBytes)
-	head, whole, refusal := httprelay.ReadHead(x.w, x.r, limit, heldBytes, x.server.parts.Timeouts.Read)
+	head, whole, refusal := httprelay.ReadHead(x.w, x.r, limit, maxHeldBytes, x.server.parts.Timeouts.Read)
 	if refusal != nil {
 		return faultOf(refusal)
 	}
@@ -98,13 +98,13 @@
 
 func (x *serviceExchange) run(ctx context.Context) {
 	s, c := x.server, x.caller
-	jobRules := rules(&c.policy)
+	jobRules := attemptRules(&c.policy)
 	if !x.whole {
 		// The rest of the body can be read only once.
 		jobRules.MaxTries = 1
 	}
 	job := &owner.Job{
-		Request:     s.scheduleRequest(c),
+		Request:     s.admissionRequest(c),
 		Shard:       ServicePrefix + x.name,
 		Rules:       jobRules,
 		RetryBudget: c.policy.RetryBudget,
@@ -120,7 +120,7 @@
 		if x.answer != nil {
 			x.answer.Send(x.w)
 		}
-		s.parts.Counters.Answered(c.class, whole, attained(&c.policy, &end, whole), 0)
+		s.parts.Counters.Answered(c.class, whole, metTargets(&c.policy, &end, whole), 0)
 	case request.OutcomeBroken:
 		panic(http.ErrAbortHandler)
 	case request.OutcomeRefused:
@@ -132,10 +132,10 @@
 func (x *serviceExchange) attempt(ctx context.Context, a *owner.Attempt) owner.Result {
 	response, err := x.server.parts.Client.Do(ctx, x.call(a))
 	if err != nil {
-		return failed(err)
+		return clientErrorResult(err)
 	}
 	defer response.Body.Close()
-	head, err := io.ReadAll(io.LimitReader(response.Body, heldBytes))
+	head, err := io.ReadAll(io.LimitReader(response.Body, maxHeldBytes))
 	if err != nil {
 		return owner.Result{Event: request.EventBroken, Err: err}
 	}
@@ -148,7 +148,7 @@
 	if !a.Deliver() {
 		return owner.Result{Event: request.EventBroken}
 	}
-	if len(head) < heldBytes {
+	if len(head) < maxHeldBytes {
 		x.answer = &httprelay.HeldAnswer{Status: response.StatusCode, Header: response.Header, Body: head}
 		return owner.Result{Event: request.EventWhole}
 	}
@@ -191,12 +191,12 @@
 	}
 	x.w.WriteHeader(response.StatusCode)
 	control := http.NewResponseController(x.w)
-	buffer := make([]byte, heldBytes)
+	buffer := make([]byte, maxHeldBytes)
 	for part, readErr := head, error(nil); ; {
 		// The writers of tests have no deadlines; those of net/http do.
 		_ = control.SetWriteDeadline(time.Now().Add(x.server.parts.Timeouts.Write))
 		if _, err := x.w.Write(part); err != nil {
-			return callerLost(err)
+			return callerGoneResult(err)
 		}
 		if readErr == io.EOF {
 			return owner.Result{Event: request.EventWhole}
--- a/internal/daemon/api/stream.go
+++ b/internal/daemon/api/stream.go
@@ -21,9 +21,9 @@
 	endMark = "[DONE]"
 	// maxEventBytes bounds one event in memory.
 	maxEventBytes = 256 << 10
-	// stallTime is how long an engine may send nothing. A healthy engine with a long queue of prompts may be silent for
+	// stallTimeout is how long an engine may send nothing. A healthy engine with a long queue of prompts may be silent for
 	// seconds before the first token.
-	stallTime = 20 * time.Second
+	stallTimeout = 20 * time.Second
 )
 
 // streamRelay passes the events of a stream on to the caller. It outlives the
@@ -40,9 +40,9 @@
 	tokens  int
 	// lastID is the engine's ID of the last event that was passed on.
 	lastID string
-	// parts is the text passed on so far, needed to continue elsewhere.
-	parts   strings.Builder
-	scratch []byte
+	// sentText is the text passed on so far, needed to continue elsewhere.
+	sentText strings.Builder
+	scratch  []byte
 }
 
 func newStreamRelay(s *Server, w http.ResponseWriter, c *caller) *streamRelay {
@@ -51,17 +51,17 @@
 	}
 }
 
-// begin readies the relay for a new attempt.
-func (r *streamRelay) begin() { r.lastID = "" }
+// beginAttempt readies the relay for a new attempt.
+func (r *streamRelay) beginAttempt() { r.lastID = "" }
 
-// text is what the caller has got so far.
-func (r *streamRelay) text() string { return r.parts.String() }
+// textSoFar is what the caller has got so far.
+func (r *streamRelay) textSoFar() string { return r.sentText.String() }
 
 // copy passes events on until the stream ends or breaks.
 func (r *streamRelay) copy(body io.Reader, a *owner.Attempt, watch *httprelay.SilenceWatch) owner.Result {
 	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
-			return r.broken(err)
+			return r.brokenResult(err)
 		}
 		watch.Reset()
 		if event.Data == endMark {
@@ -70,22 +70,22 @@
 		if event.Data == "" {
 			continue
 		}
-		if result, ok := r.pass(&event, a); !ok {
+		if result, ok := r.relayEvent(&event, a); !ok {
 			return result
 		}
 	}
-	return r.broken(errors.New("stream ended without its end mark"))
+	return r.brokenResult(errors.New("stream ended without its end mark"))
 }
 
-func (r *streamRelay) broken(err error) owner.Result {
+func (r *streamRelay) brokenResult(err error) owner.Result {
 	return owner.Result{Event: request.EventBroken, CanResume: r.lastID != "", Err: err}
 }
 
-// pass checks one event and sends it to the caller.
-func (r *streamRelay) pass(event *sse.Event, a *owner.Attempt) (owner.Result, bool) {
+// relayEvent checks one event and sends it to the caller.
+func (r *streamRelay) relayEvent(event *sse.Event, a *owner.Attempt) (owner.Result, bool) {
 	chunk := gjson.GetMany(event.Data, "id", "choices.0.delta.content", "error")
 	if chunk[2].Exists() {
-		return r.engineFault(event.Data), false
+		return r.engineError(event.Data), false
 	}
 	if chunk[0].Str != r.chunkID {
 		return owner.Result{Event: request.EventWrongAnswer, Err: errors.New("chunk of another request")}, false
@@ -94,19 +94,19 @@
 		return owner.Result{Event: request.EventBroken}, false
 	}
 	if err := r.write(event.Data); err != nil {
-		return callerLost(err), false
+		return callerGoneResult(err), false
 	}
 	r.lastID = event.LastEventID
 	if chunk[1].Str != "" {
-		r.parts.WriteString(chunk[1].Str)
+		r.sentText.WriteString(chunk[1].Str)
 		r.tokens++
 		a.Tokens(r.tokens)
 	}
 	return owner.Result{}, true
 }
 
-// engineFault is an error that the engine sent inside the stream.
-func (r *streamRelay) engineFault(data string) owner.Result {
+// engineError is an error that the engine sent inside the stream.
+func (r *streamRelay) engineError(data string) owner.Result {
 	if gjson.Get(data, "error.ran").Str == string(request.RanNo) && !r.started {
 		return owner.Result{Event: request.EventNotStarted, Err: errors.New("engine did not start it")}
 	}
@@ -119,13 +119,13 @@
 		return owner.Result{Event: request.EventBroken}
 	}
 	if err := r.write(endMark); err != nil {
-		return callerLost(err)
+		return callerGoneResult(err)
 	}
 	return owner.Result{Event: request.EventWhole}
 }
 
-// callerLost distinguishes a caller that does not read from one that is gone.
-func callerLost(err error) owner.Result {
+// callerGoneResult distinguishes a caller that does not read from one that is gone.
+func callerGoneResult(err error) owner.Result {
 	if httprelay.IsTimeout(err) {
 		return owner.Result{Event: request.EventCallerGone, Err: owner.ErrSlowCaller}
 	}
@@ -154,9 +154,9 @@
 	return r.control.Flush()
 }
 
-// breakOff lets the caller see that the answer is not whole: an error event, and
+// abort lets the caller see that the answer is not whole: an error event, and
 // a transfer that ends without its proper end.
-func (r *streamRelay) breakOff(refusal *request.Refusal) {
+func (r *streamRelay) abort(refusal *request.Refusal) {
 	if data, err := json.Marshal(newErrorBody(r.caller.id, refusal, nil)); err == nil {
 		// A failed write means that the caller is gone; its connection is cut below.
 		_ = r.write(string(data))
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -22,8 +22,8 @@
 	"oxbowslip.dev/oxbowslip/internal/proof/standin"
 )
 
-// steady is an engine that gives a token every 5 ms whatever its load.
-var steady = emulator.Config{
+// steadyEngine is an engine that gives a token every 5 ms whatever its load.
+var steadyEngine = emulator.Config{
 	StepTime: 5 * time.Millisecond, PerRequest: time.Nanosecond, PerPromptToken: time.Nanosecond,
 	ChunkTokens: 1 << 20, MaxRunning: 4096, CacheTokens: 1 << 30,
 }
@@ -34,19 +34,19 @@
 	whole time.Duration
 }
 
-// streams opens so many streams at once, reads them to the end, and gives their
+// runStreams opens so many streams at once, reads them to the end, and gives their
 // timings.
-func streams(b *testing.B, address string, n int) []timing {
+func runStreams(b *testing.B, address string, n int) []timing {
 	timings := make([]timing, n)
 	var group sync.WaitGroup
 	for i := range n {
-		group.Go(func() { timings[i] = oneStream(b, address) })
+		group.Go(func() { timings[i] = runStream(b, address) })
 	}
 	group.Wait()
 	return timings
 }
 
-func oneStream(b *testing.B, address string) timing {
+func runStream(b *testing.B, address string) timing {
 	begun := time.Now()
 	r, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/chat/completions",
 		strings.NewReader(`{"model":"voyage","stream":true,"max_tokens":100,"messages":[{"role":"user","content":"answer_tokens=100"}]}`))
@@ -79,7 +79,7 @@
 
 var benchClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
 
-func firsts(timings []timing) []time.Duration {
+func sortedFirstTokens(timings []timing) []time.Duration {
 	var list []time.Duration
 	for _, t := range timings {
 		list = append(list, t.first)
@@ -96,7 +96,7 @@
 			config := demo.DefaultConfig
 			config.Hosts = 1
 			config.Engines = map[string]int{"voyage": 8}
-			config.Speed = steady
+			config.Speed = steadyEngine
 			cluster, err := demo.Start(context.Background(), config)
 			if err != nil {
 				b.Fatal(err)
@@ -104,22 +104,22 @@
 			defer cluster.Close()
 			router := cluster.Hosts()[0].Daemon.CallersAddress()
 			for range 4 {
-				streams(b, router, n) // The learned limits grow to what is asked of them.
+				runStreams(b, router, n) // The learned limits grow to what is asked of them.
 			}
 			var direct, routed []timing
 			for b.Loop() {
-				direct = append(direct, streams(b, cluster.Engines["voyage-1"].Address(), n)...)
-				routed = append(routed, streams(b, router, n)...)
+				direct = append(direct, runStreams(b, cluster.Engines["voyage-1"].Address(), n)...)
+				routed = append(routed, runStreams(b, router, n)...)
 			}
-			d, r := firsts(direct), firsts(routed)
+			d, r := sortedFirstTokens(direct), sortedFirstTokens(routed)
 			b.ReportMetric(float64(r[len(r)/2]-d[len(d)/2])/1e6, "added-p50-ms")
 			b.ReportMetric(float64(r[len(r)*99/100]-d[len(d)*99/100])/1e6, "added-p99-ms")
-			b.ReportMetric(total(direct).Seconds()/total(routed).Seconds(), "throughput-ratio")
+			b.ReportMetric(totalTime(direct).Seconds()/totalTime(routed).Seconds(), "throughput-ratio")
 		})
 	}
 }
 
-func total(timings []timing) time.Duration {
+func totalTime(timings []timing) time.Duration {
 	sum := time.Duration(0)
 	for _, t := range timings {
 		sum += t.whole
@@ -198,7 +198,7 @@
 		for _, engine := range cluster.Engines {
 			engine.SetFaults(standin.EngineFaults{Stall: true})
 		}
-		before := heap()
+		before := heapInUse()
 		var group sync.WaitGroup
 		ctx, cancel := context.WithCancel(context.Background())
 		for range n {
@@ -207,13 +207,13 @@
 		for cluster.Hosts()[0].Daemon.Open() < n {
 			time.Sleep(time.Millisecond)
 		}
-		b.ReportMetric(float64(heap()-before)/n, "B/stream")
+		b.ReportMetric(float64(heapInUse()-before)/n, "B/stream")
 		cancel()
 		group.Wait()
 	}
 }
 
-func heap() uint64 {
+func heapInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
@@ -225,17 +225,17 @@
 func BenchmarkSharedScheduler(b *testing.B) {
 	c := qt.New(b)
 	cluster := startFleet(c, 2, 2)
-	scheduler := settle(c, cluster)
+	scheduler := awaitScheduler(c, cluster)
 	other := cluster.Hosts()[0]
 	if other == scheduler {
 		other = cluster.Hosts()[1]
 	}
 	var here, there []timing
 	for b.Loop() {
-		here = append(here, oneStream(b, scheduler.Daemon.CallersAddress()))
-		there = append(there, oneStream(b, other.Daemon.CallersAddress()))
+		here = append(here, runStream(b, scheduler.Daemon.CallersAddress()))
+		there = append(there, runStream(b, other.Daemon.CallersAddress()))
 	}
-	h, t := firsts(here), firsts(there)
+	h, t := sortedFirstTokens(here), sortedFirstTokens(there)
 	b.ReportMetric(float64(t[len(t)/2]-h[len(h)/2])/1e6, "added-p50-ms")
 	b.ReportMetric(float64(t[len(t)*95/100]-h[len(h)*95/100])/1e6, "added-p95-ms")
 }
@@ -246,14 +246,14 @@
 	config := demo.DefaultConfig
 	config.Hosts = 8
 	config.Engines = map[string]int{"voyage": 1, "triage": 1}
-	config.Speed = fast
+	config.Speed = fastEngine
 	config.Poll = time.Second
 	cluster, err := demo.Start(context.Background(), config)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer cluster.Close()
-	settle(qt.New(b), cluster)
+	awaitScheduler(qt.New(b), cluster)
 	var lengths []time.Duration
 	for i := 0; b.Loop(); i++ {
 		begun := time.Now()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -48,13 +48,13 @@
 	callersAddress   string
 	operatorsAddress string
 	draining         atomic.Bool
-	cutShort         chan struct{}
-	cutShortOnce     sync.Once
-	cut              atomic.Int64
-	// configured is the revision that the schedulers know.
-	configured atomic.Uint64
-	done       chan struct{}
-	ended      chan struct{}
+	abortDrain       chan struct{}
+	abortDrainOnce   sync.Once
+	numAborted       atomic.Int64
+	// configuredRevision is the revision that the schedulers know.
+	configuredRevision atomic.Uint64
+	done               chan struct{}
+	ended              chan struct{}
 }
 
 // stopMargin is the time left to end honestly after the drain's limit.
@@ -84,12 +84,12 @@
 func New(p Parts) *Daemon {
 	d := &Daemon{
 		parts: p, log: logging.Part(p.Log, "daemon"), shards: p.Fleet.Shards(),
-		cutShort: make(chan struct{}), done: make(chan struct{}), ended: make(chan struct{}),
+		abortDrain: make(chan struct{}), done: make(chan struct{}), ended: make(chan struct{}),
 	}
 	d.callers = api.New(api.Parts{
 		Host: p.Config.Name, Zone: p.Config.Zone, Settings: p.Holder, Owner: p.Owner, Client: p.Client, Counters: p.Counters,
 		Claims: p.Claims, Recorded: p.Recorded, Clock: p.Clock,
-		Timeouts: httprelay.Timeouts{Read: p.Config.ReadTimeout, Write: p.Config.WriteTimeout}, CheckReady: d.notReady,
+		Timeouts: httprelay.Timeouts{Read: p.Config.ReadTimeout, Write: p.Config.WriteTimeout}, CheckReady: d.checkReady,
 	}).HTTP()
 	d.callers.Handler = lifetime.CloseWhen(&d.draining, d.callers.Handler)
 	d.operators = operator.New(operator.Parts{
@@ -122,7 +122,7 @@
 	go d.parts.Fleet.Run(d.done)
 	go d.parts.Follower.Run(d.done)
 	go d.parts.Claims.Run(d.done)
-	go d.followEndpoints()
+	go d.configureShards()
 	d.log.WithFields(logrus.Fields{
 		"host": d.parts.Config.Name, "callers": d.callersAddress, "operators": d.operatorsAddress,
 	}).Info("started")
@@ -164,7 +164,7 @@
 	defer cancel()
 	go func() {
 		select {
-		case <-d.cutShort:
+		case <-d.abortDrain:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -177,7 +177,7 @@
 	case <-ctx.Done():
 	}
 	cut := lifetime.Finish(ctx, d.callers, d.parts.Owner.Drain, stopMargin/2)
-	d.cut.Store(int64(cut))
+	d.numAborted.Store(int64(cut))
 	d.log.WithField("cut", cut).Info("stopped")
 	d.close()
 	return nil
@@ -185,10 +185,10 @@
 
 // AbortDrain ends the wait of a planned stop: what is still in flight is told that
 // the host stops.
-func (d *Daemon) AbortDrain() { d.cutShortOnce.Do(func() { close(d.cutShort) }) }
+func (d *Daemon) AbortDrain() { d.abortDrainOnce.Do(func() { close(d.abortDrain) }) }
 
 // NumAborted counts the requests that a stop did not let finish.
-func (d *Daemon) NumAborted() int { return int(d.cut.Load()) }
+func (d *Daemon) NumAborted() int { return int(d.numAborted.Load()) }
 
 // Kill ends the host at once, as a crash would: no one is notified.
 func (d *Daemon) Kill() {
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -22,8 +22,8 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// fast is an engine whose steps take so little that no test waits for it.
-var fast = emulator.Config{
+// fastEngine is an engine whose steps take so little that no test waits for it.
+var fastEngine = emulator.Config{
 	StepTime: 200 * time.Microsecond, PerRequest: time.Microsecond, PerPromptToken: time.Nanosecond,
 	ChunkTokens: 4096, MaxRunning: 64, CacheTokens: 1_000_000,
 }
@@ -32,7 +32,7 @@
 	config := demo.DefaultConfig
 	config.Hosts = 1
 	config.Engines = map[string]int{"voyage": engines, "triage": 1}
-	config.Speed = fast
+	config.Speed = fastEngine
 	config.Notice = time.Millisecond
 	config.CallerTimeout = 300 * time.Millisecond
 	cluster, err := demo.Start(context.Background(), config)
@@ -55,8 +55,8 @@
 }
 
 const (
-	messages = `[{"role":"user","content":"Which lock is next? answer_tokens=20"}]`
-	words    = 20
+	messages    = `[{"role":"user","content":"Which lock is next? answer_tokens=20"}]`
+	answerWords = 20
 )
 
 func chatBody(stream bool) string {
@@ -89,14 +89,14 @@
 	data, err := io.ReadAll(response.Body)
 	a.err = err
 	a.text = string(data)
-	a.note(a.text)
+	a.recordError(a.text)
 	if content := gjson.Get(a.text, "choices.0.message.content"); content.Exists() {
 		a.text = content.Str
 	}
 	return a
 }
 
-func (a *answer) note(data string) {
+func (a *answer) recordError(data string) {
 	if fault := gjson.Get(data, "error"); fault.Exists() {
 		a.reason = request.Reason(fault.Get("reason").Str)
 		a.ran = request.Ran(fault.Get("ran").Str)
@@ -113,7 +113,7 @@
 			a.done = true
 			continue
 		}
-		a.note(event.Data)
+		a.recordError(event.Data)
 		a.text += gjson.Get(event.Data, "choices.0.delta.content").Str
 	}
 }
@@ -129,11 +129,11 @@
 	return n
 }
 
-// TestFaults shows each fault on an endpoint and checks what the caller is told
+// TestEndpointFaults shows each fault on an endpoint and checks what the caller is told
 // and how often the request ran.
-func TestFaults(t *testing.T) {
+func TestEndpointFaults(t *testing.T) {
 	const chat, confirm = "/v1/chat/completions", "/v1/services/booking/confirm"
-	wholeAnswer := standin.Answer([]byte(messages), words)
+	wholeAnswer := standin.Answer([]byte(messages), answerWords)
 	first := wholeAnswer[:strings.Index(wholeAnswer, " ")+1]
 	tests := map[string]struct {
 		engines int
@@ -249,9 +249,9 @@
 	}
 }
 
-// TestKeyAfterRefusal has a service refuse a booking unstarted. The caller was
+// TestIdempotencyKeyIsFreeAfterRefusal has a service refuse a booking unstarted. The caller was
 // told that it did not run, so the same idempotency key must run later, once.
-func TestKeyAfterRefusal(t *testing.T) {
+func TestIdempotencyKeyIsFreeAfterRefusal(t *testing.T) {
 	c := qt.New(t)
 	cluster := startCluster(c, 1)
 	service := cluster.Services["booking"]
@@ -272,7 +272,7 @@
 	c.Assert(status, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(ran, qt.Equals, string(request.RanNo))
 	service.SetFaults(standin.ServiceFaults{})
-	until(c, "the key is free again", func() bool {
+	waitUntil(c, "the key is free again", func() bool {
 		status, _ := book()
 		return status == http.StatusOK
 	})
@@ -282,10 +282,10 @@
 	c.Assert(service.Executions(), qt.HasLen, 1)
 }
 
-// TestEngineDies kills an engine in the middle of a stream. The answer goes on
+// TestStreamContinuesAfterEngineCrash kills an engine in the middle of a stream. The answer goes on
 // at another engine from the words that the caller has, and none is missing or
 // doubled.
-func TestEngineDies(t *testing.T) {
+func TestStreamContinuesAfterEngineCrash(t *testing.T) {
 	c := qt.New(t)
 	cluster := startCluster(c, 2)
 	prompt := `[{"role":"user","content":"Tell it all. answer_tokens=400"}]`
@@ -316,9 +316,9 @@
 	c.Assert(executions(cluster, id), qt.Equals, 2)
 }
 
-// TestEngineDiesFirst kills an engine that has read a request and has not begun
+// TestEngineCrashBeforeFirstToken kills an engine that has read a request and has not begun
 // its answer.
-func TestEngineDiesFirst(t *testing.T) {
+func TestEngineCrashBeforeFirstToken(t *testing.T) {
 	c := qt.New(t)
 	cluster := startCluster(c, 2)
 	for _, engine := range cluster.Engines {
@@ -327,7 +327,7 @@
 	answers := make(chan answer, 1)
 	go func() { answers <- post(c, cluster, "/v1/chat/completions", "itinerary", chatBody(true)) }()
 	var dead *standin.Engine
-	until(c, "an engine has the request", func() bool {
+	waitUntil(c, "an engine has the request", func() bool {
 		for _, engine := range cluster.Engines {
 			if len(engine.Executions()) > 0 {
 				dead = engine
@@ -342,13 +342,13 @@
 		}
 	}
 	got := <-answers
-	c.Assert(got.text, qt.Equals, standin.Answer([]byte(messages), words))
+	c.Assert(got.text, qt.Equals, standin.Answer([]byte(messages), answerWords))
 	c.Assert(got.done, qt.IsTrue)
 }
 
-// TestCallerGone cancels a request in the middle: the engine must stop working
+// TestCancelledRequestStopsEngine cancels a request in the middle: the engine must stop working
 // on it, and its tokens count as wasted.
-func TestCallerGone(t *testing.T) {
+func TestCancelledRequestStopsEngine(t *testing.T) {
 	c := qt.New(t)
 	cluster := startCluster(c, 1)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -367,23 +367,23 @@
 	}
 	cancel()
 	response.Body.Close()
-	stop(c, cluster)
+	drain(c, cluster)
 	metrics := cluster.Hosts()[0].Daemon.Counters()
 	c.Assert(metrics.Refusals(request.ReasonCallerGone), qt.Equals, uint64(1))
 	c.Assert(metrics.WastedTokens(counters.WasteCallerGone) > 0, qt.IsTrue)
 	c.Assert(cluster.Engines["voyage-1"].Generated() < 500, qt.IsTrue)
 }
 
-// stop drains the only host, which waits for every request to end.
-func stop(c *qt.C, cluster *demo.Cluster) int {
+// drain drains the only host, which waits for every request to end.
+func drain(c *qt.C, cluster *demo.Cluster) int {
 	cut, err := cluster.Drain(context.Background(), cluster.Hosts()[0])
 	c.Assert(err, qt.IsNil)
 	return cut
 }
 
-// TestSlowCaller has a caller that reads nothing of a long answer. It is cut
+// TestSlowCallerIsDisconnected has a caller that reads nothing of a long answer. It is cut
 // off, and what it does not read is not kept.
-func TestSlowCaller(t *testing.T) {
+func TestSlowCallerIsDisconnected(t *testing.T) {
 	c := qt.New(t)
 	cluster := startCluster(c, 1)
 	host := cluster.Hosts()[0].Daemon
@@ -398,7 +398,7 @@
 	// Reading the header only shows that the answer has begun.
 	_, err = conn.Read(make([]byte, 16))
 	c.Assert(err, qt.IsNil)
-	stop(c, cluster)
+	drain(c, cluster)
 	c.Assert(host.Counters().Refusals(request.ReasonSlowCaller), qt.Equals, uint64(1))
 }
 
@@ -426,7 +426,7 @@
 				engine.SetFaults(standin.EngineFaults{Stall: true})
 				cluster.Hosts()[0].Daemon.AbortDrain()
 			}
-			c.Assert(stop(c, cluster), qt.Equals, test.cut)
+			c.Assert(drain(c, cluster), qt.Equals, test.cut)
 			got := <-answers
 			c.Assert(got.done, qt.Equals, !test.cutShort)
 			if test.cutShort {
@@ -434,14 +434,14 @@
 				c.Assert(got.ran, qt.Equals, request.RanUnknown)
 				return
 			}
-			c.Assert(got.text, qt.Equals, standin.Answer([]byte(messages), words))
+			c.Assert(got.text, qt.Equals, standin.Answer([]byte(messages), answerWords))
 		})
 	}
 }
 
-// TestBadInput sends what no caller should. Each is refused at once with a
+// TestInvalidInputIsRefused sends what no caller should. Each is refused at once with a
 // typed reason, and nothing is sent on.
-func TestBadInput(t *testing.T) {
+func TestInvalidInputIsRefused(t *testing.T) {
 	c := qt.New(t)
 	cluster := startCluster(c, 1)
 	const chat = "/v1/chat/completions"
--- a/internal/daemon/fleet/fleet.go
+++ b/internal/daemon/fleet/fleet.go
@@ -31,9 +31,9 @@
 // does not know what they have running. A round trip and the first back-offs of a link (100 and 200 ms) fit in it.
 const takeoverHold = 600 * time.Millisecond
 
-// listInterval is the mean time between two reads of the platform's list. The list lags by itself, and links report a
+// hostListInterval is the mean time between two reads of the platform's list. The list lags by itself, and links report a
 // dead host sooner.
-const listInterval = 2 * time.Second
+const hostListInterval = 2 * time.Second
 
 // repeatInterval is the mean time between two repeats of what waits.
 const repeatInterval = time.Second
@@ -55,18 +55,18 @@
 	listener net.Listener
 	shards   *shard.Host
 
-	// moving keeps two moves of shards apart.
-	moving sync.Mutex
+	// reassignMu keeps two moves of shards apart.
+	reassignMu sync.Mutex
 
 	mu    sync.Mutex
 	view  *membership.View
 	links map[string]*peer.Link
 	// schedulers is the host that each shard's requests go to now.
 	schedulers map[string]string
-	// expected are the shards of the settings.
-	expected  []string
-	takeovers int
-	closed    bool
+	// configuredShards are the shards of the settings.
+	configuredShards []string
+	takeovers        int
+	closed           bool
 }
 
 // Parts are what a fleet works with.
@@ -78,9 +78,9 @@
 	// Options are those of this host's schedulers.
 	Options schedule.Options
 	// Settings returns the settings in force, Newer is called with a peer's revision of them.
-	Settings func() change.Document
-	OnRevision    func(revision uint64)
-	Clock    func() time.Time
+	Settings   func() change.Document
+	OnRevision func(revision uint64)
+	Clock      func() time.Time
 	// Random returns numbers from 0 up to 1.
 	Random func() float64
 }
@@ -99,16 +99,16 @@
 	return f
 }
 
-// maxAsked bounds the peers that are asked for settings at a time, so that a platform that is away does not make every
+// maxPeersAsked bounds the peers that are asked for settings at a time, so that a platform that is away does not make every
 // host ask every other.
-const maxAsked = 3
+const maxPeersAsked = 3
 
 // FetchSettings asks a few peers, picked at random, for settings newer than a
 // revision. It returns the newest, and whether any peer answered.
 func (f *Fleet) FetchSettings(ctx context.Context, newer uint64) (change.Document, bool) {
 	var newest change.Document
 	answered := false
-	for _, address := range f.someAddresses() {
+	for _, address := range f.randomAddresses() {
 		document, err := peer.FetchSettings(ctx, f.parts.Config.Self.Name, address, f.parts.Config.Key, newer)
 		if err != nil {
 			continue // The next may answer; with none, the caller knows.
@@ -121,7 +121,7 @@
 	return newest, answered
 }
 
-func (f *Fleet) someAddresses() []string {
+func (f *Fleet) randomAddresses() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	addresses := append([]string(nil), f.parts.Config.FirstPeers...)
@@ -134,7 +134,7 @@
 		j := int(f.parts.Random() * float64(i+1))
 		addresses[i], addresses[j] = addresses[j], addresses[i]
 	}
-	return addresses[:min(maxAsked, len(addresses))]
+	return addresses[:min(maxPeersAsked, len(addresses))]
 }
 
 // Shards returns the schedulers of this host.
@@ -166,10 +166,10 @@
 // platform is away, the last list stays.
 func (f *Fleet) Run(done <-chan struct{}) {
 	go lifetime.Every(done, repeatInterval, f.parts.Random, func(context.Context) { f.parts.Dispatcher.Repeat() })
-	lifetime.Every(done, listInterval, f.parts.Random, f.readList)
+	lifetime.Every(done, hostListInterval, f.parts.Random, f.refreshHosts)
 }
 
-func (f *Fleet) readList(ctx context.Context) {
+func (f *Fleet) refreshHosts(ctx context.Context) {
 	if f.parts.Config.Listen == "" {
 		return
 	}
@@ -191,14 +191,14 @@
 // taken up before their first request, which then need not wait for the hold.
 func (f *Fleet) SetShards(shards []string) {
 	f.mu.Lock()
-	f.expected = shards
-	f.takeUp()
+	f.configuredShards = shards
+	f.assignOwnShards()
 	f.mu.Unlock()
 }
 
-// takeUp assigns the expected shards that fall to this host. The lock is held.
-func (f *Fleet) takeUp() {
-	for _, shardName := range f.expected {
+// assignOwnShards assigns the expected shards that fall to this host. The lock is held.
+func (f *Fleet) assignOwnShards() {
+	for _, shardName := range f.configuredShards {
 		if _, ok := f.schedulers[shardName]; ok {
 			continue
 		}
@@ -287,7 +287,7 @@
 	before, known := f.schedulers[shardName]
 	f.schedulers[shardName] = host.Name
 	if host.Name != f.parts.Config.Self.Name {
-		f.link(host)
+		f.openLink(host)
 		return
 	}
 	if known && before != host.Name {
@@ -302,8 +302,8 @@
 // reassign moves the shards whose scheduler has changed, with their requests,
 // and ends links that nothing needs.
 func (f *Fleet) reassign() {
-	f.moving.Lock()
-	defer f.moving.Unlock()
+	f.reassignMu.Lock()
+	defer f.reassignMu.Unlock()
 	f.mu.Lock()
 	var moved []string
 	for shardName, before := range f.schedulers {
@@ -313,7 +313,7 @@
 			moved = append(moved, shardName)
 		}
 	}
-	f.takeUp()
+	f.assignOwnShards()
 	idle := f.idleLinks()
 	f.mu.Unlock()
 	for _, shardName := range moved {
--- a/internal/daemon/fleet/links.go
+++ b/internal/daemon/fleet/links.go
@@ -5,22 +5,22 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/peer"
 )
 
-// link opens a link to a host if there is none. The lock is held.
-func (f *Fleet) link(host membership.Host) {
+// openLink opens a link to a host if there is none. The lock is held.
+func (f *Fleet) openLink(host membership.Host) {
 	if _, ok := f.links[host.Name]; ok || f.closed {
 		return
 	}
 	f.links[host.Name] = peer.Dial(peer.LinkParts{
 		Self: f.parts.Config.Self.Name, Host: host.Name, Address: host.Address, Key: f.parts.Config.Key, Clock: f.parts.Clock,
 		Events: peer.Events{
-			OnUp: f.linkUp, OnDown: f.linkDown, OnLeaving: f.linkLeaving, OnDecision: f.parts.Dispatcher.Deliver,
+			OnUp: f.handleLinkUp, OnDown: f.handleLinkDown, OnLeaving: f.handlePeerLeaving, OnDecision: f.parts.Dispatcher.Deliver,
 			Revision: func() uint64 { return f.parts.Settings().Revision }, OnRevision: f.parts.OnRevision,
 		},
 	})
 }
 
-// linkUp announces to a scheduler all requests that are its own.
-func (f *Fleet) linkUp(host string) {
+// handleLinkUp announces to a scheduler all requests that are its own.
+func (f *Fleet) handleLinkUp(host string) {
 	f.mu.Lock()
 	changed := f.view.Suspect(host, false)
 	f.mu.Unlock()
@@ -30,7 +30,7 @@
 	f.parts.Dispatcher.Announce(host)
 }
 
-func (f *Fleet) linkDown(host string) {
+func (f *Fleet) handleLinkDown(host string) {
 	f.mu.Lock()
 	changed := f.view.Suspect(host, true)
 	f.mu.Unlock()
@@ -40,7 +40,7 @@
 	}
 }
 
-func (f *Fleet) linkLeaving(host string) {
+func (f *Fleet) handlePeerLeaving(host string) {
 	f.mu.Lock()
 	f.view.Leave(host)
 	f.mu.Unlock()
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -21,7 +21,7 @@
 	config := demo.DefaultConfig
 	config.Hosts = hosts
 	config.Engines = map[string]int{"voyage": engines, "triage": 1}
-	config.Speed = fast
+	config.Speed = fastEngine
 	config.Notice = 300 * time.Millisecond
 	cluster, err := demo.Start(context.Background(), config)
 	c.Assert(err, qt.IsNil)
@@ -29,8 +29,8 @@
 	return cluster
 }
 
-// until waits for a state that is sure to come.
-func until(c *qt.C, what string, reached func() bool) {
+// waitUntil waits for a state that is sure to come.
+func waitUntil(c *qt.C, what string, reached func() bool) {
 	for range 30_000 {
 		if reached() {
 			return
@@ -40,9 +40,9 @@
 	c.Fatalf("%s: not reached", what)
 }
 
-// agreed reports whether all hosts that are up name the same scheduler for a
+// agreedScheduler reports whether all hosts that are up name the same scheduler for a
 // shard, and gives it.
-func agreed(cluster *demo.Cluster, shard string) (string, bool) {
+func agreedScheduler(cluster *demo.Cluster, shard string) (string, bool) {
 	name := ""
 	for _, host := range cluster.Hosts() {
 		if host.Down {
@@ -57,8 +57,8 @@
 	return name, true
 }
 
-// settle has every host ask for a shard until all agree on its scheduler.
-func settle(c *qt.C, cluster *demo.Cluster) *demo.Host {
+// awaitScheduler has every host ask for a shard until all agree on its scheduler.
+func awaitScheduler(c *qt.C, cluster *demo.Cluster) *demo.Host {
 	for _, host := range cluster.Hosts() {
 		if !host.Down {
 			got := postTo(c, host, "itinerary", chatBody(false))
@@ -66,8 +66,8 @@
 		}
 	}
 	var found *demo.Host
-	until(c, "one scheduler", func() bool {
-		name, ok := agreed(cluster, "voyage")
+	waitUntil(c, "one scheduler", func() bool {
+		name, ok := agreedScheduler(cluster, "voyage")
 		for _, host := range cluster.Hosts() {
 			if host.Name == name && !host.Down {
 				found = host
@@ -82,12 +82,12 @@
 	return sendTo(c, host, context.Background(), http.MethodPost, "/v1/chat/completions", class, body)
 }
 
-// TestOneScheduler has a host's flood of a low tier and another host's request
+// TestHostsShareOneQueue has a host's flood of a low tier and another host's request
 // of the highest tier meet in one waiting list.
-func TestOneScheduler(t *testing.T) {
+func TestHostsShareOneQueue(t *testing.T) {
 	c := qt.New(t)
 	cluster := startFleet(c, 3, 1)
-	settle(c, cluster)
+	awaitScheduler(c, cluster)
 	engine := cluster.Engines["voyage-1"]
 	engine.SetFaults(standin.EngineFaults{Stall: true})
 	var group sync.WaitGroup
@@ -97,11 +97,11 @@
 			c.Check(got.status, qt.Equals, http.StatusOK)
 		})
 	}
-	until(c, "the flood waits", func() bool { return cluster.Hosts()[0].Daemon.Open() == 30 })
+	waitUntil(c, "the flood waits", func() bool { return cluster.Hosts()[0].Daemon.Open() == 30 })
 	high := make(chan answer, 1)
 	go func() { high <- postTo(c, cluster.Hosts()[1], "itinerary", chatBody(false)) }()
-	until(c, "the high one waits", func() bool { return cluster.Hosts()[1].Daemon.Open() == 1 })
-	until(c, "the requests of the high one wait", func() bool { return waiting(cluster, "voyage") >= 20 })
+	waitUntil(c, "the high one waits", func() bool { return cluster.Hosts()[1].Daemon.Open() == 1 })
+	waitUntil(c, "the requests of the high one wait", func() bool { return numWaiting(cluster, "voyage") >= 20 })
 	engine.SetFaults(standin.EngineFaults{})
 	got := <-high
 	c.Assert(got.status, qt.Equals, http.StatusOK)
@@ -109,8 +109,8 @@
 	group.Wait()
 }
 
-// waiting counts what waits for a shard at any host.
-func waiting(cluster *demo.Cluster, shard string) int {
+// numWaiting counts what waits for a shard at any host.
+func numWaiting(cluster *demo.Cluster, shard string) int {
 	n := 0
 	for _, host := range cluster.Hosts() {
 		for _, s := range host.Daemon.Status().Shards {
@@ -122,7 +122,7 @@
 	return n
 }
 
-func running(cluster *demo.Cluster) int {
+func numOpen(cluster *demo.Cluster) int {
 	n := 0
 	for _, host := range cluster.Hosts() {
 		for _, s := range host.Daemon.Status().Shards {
@@ -148,7 +148,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			cluster := startFleet(c, 3, 2)
-			lost := settle(c, cluster)
+			lost := awaitScheduler(c, cluster)
 			for _, engine := range cluster.Engines {
 				engine.SetFaults(standin.EngineFaults{Stall: true})
 			}
@@ -161,11 +161,11 @@
 					group.Go(func() {
 						got := postTo(c, host, "handback-summary", chatBody(true))
 						c.Check(got.done, qt.IsTrue, qt.Commentf("%d %s", got.status, got.reason))
-						c.Check(got.text, qt.Equals, standin.Answer([]byte(messages), words))
+						c.Check(got.text, qt.Equals, standin.Answer([]byte(messages), answerWords))
 					})
 				}
 			}
-			until(c, "a full queue", func() bool { return waiting(cluster, "voyage") >= 30 })
+			waitUntil(c, "a full queue", func() bool { return numWaiting(cluster, "voyage") >= 30 })
 			if test.planned {
 				cut, err := cluster.Drain(context.Background(), lost)
 				c.Assert(err, qt.IsNil)
@@ -177,20 +177,20 @@
 				engine.SetFaults(standin.EngineFaults{})
 			}
 			group.Wait()
-			until(c, "no place taken", func() bool { return running(cluster) == 0 })
-			next, ok := agreed(cluster, "voyage")
+			waitUntil(c, "no place taken", func() bool { return numOpen(cluster) == 0 })
+			next, ok := agreedScheduler(cluster, "voyage")
 			c.Assert(ok, qt.IsTrue)
 			c.Assert(next, qt.Not(qt.Equals), lost.Name)
 		})
 	}
 }
 
-// TestEndpointOut orders an endpoint out under load. Once the order is in force
+// TestEndpointOutGetsNoRequests orders an endpoint out under load. Once the order is in force
 // on every host, it gets nothing more, and what it has ends.
-func TestEndpointOut(t *testing.T) {
+func TestEndpointOutGetsNoRequests(t *testing.T) {
 	c := qt.New(t)
 	cluster := startFleet(c, 3, 2)
-	settle(c, cluster)
+	awaitScheduler(c, cluster)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var group sync.WaitGroup
@@ -199,13 +199,13 @@
 			group.Go(func() {
 				for ctx.Err() == nil {
 					got := postTo(c, host, "itinerary", chatBody(true))
-					c.Check(got.text, qt.Equals, standin.Answer([]byte(messages), words))
+					c.Check(got.text, qt.Equals, standin.Answer([]byte(messages), answerWords))
 				}
 			})
 		}
 	}
 	engine := cluster.Engines["voyage-1"]
-	until(c, "it works", func() bool { return len(engine.Executions()) > 10 })
+	waitUntil(c, "it works", func() bool { return len(engine.Executions()) > 10 })
 	c.Assert(cluster.SetEndpointState("voyage-1", settings.StateOut), qt.IsNil)
 	// An attempt that was checked just before the order came into force may
 	// still arrive; the requests open now are all that can be.
@@ -215,10 +215,10 @@
 	}
 	before := len(engine.Executions())
 	other := len(cluster.Engines["voyage-2"].Executions())
-	until(c, "the other one works on", func() bool { return len(cluster.Engines["voyage-2"].Executions()) > other+200 })
+	waitUntil(c, "the other one works on", func() bool { return len(cluster.Engines["voyage-2"].Executions()) > other+200 })
 	c.Assert(len(engine.Executions())-before <= open, qt.IsTrue)
 	settled := len(engine.Executions())
-	until(c, "more work elsewhere", func() bool { return len(cluster.Engines["voyage-2"].Executions()) > other+400 })
+	waitUntil(c, "more work elsewhere", func() bool { return len(cluster.Engines["voyage-2"].Executions()) > other+400 })
 	c.Assert(engine.Executions(), qt.HasLen, settled)
 	cancel()
 	group.Wait()
@@ -229,7 +229,7 @@
 func TestRollingRestart(t *testing.T) {
 	c := qt.New(t)
 	cluster := startFleet(c, 3, 3)
-	settle(c, cluster)
+	awaitScheduler(c, cluster)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var group sync.WaitGroup
@@ -245,7 +245,7 @@
 				}
 				got := postTo(c, host, "itinerary", chatBody(n%2 == 0))
 				mu.Lock()
-				if got.text == standin.Answer([]byte(messages), words) {
+				if got.text == standin.Answer([]byte(messages), answerWords) {
 					answered++
 				} else {
 					failures = append(failures, fmt.Sprintf("caller %d: %d %s %v", i, got.status, got.reason, got.err))
@@ -266,15 +266,15 @@
 	c.Assert(cut, qt.Equals, 0)
 	c.Assert(failures, qt.HasLen, 0, qt.Commentf("%s", strings.Join(failures, "\n")))
 	c.Assert(answered > 20, qt.IsTrue, qt.Commentf("%d answered", answered))
-	until(c, "no place taken", func() bool { return running(cluster) == 0 })
+	waitUntil(c, "no place taken", func() bool { return numOpen(cluster) == 0 })
 }
 
-// TestPlatformAway takes the platform down: requests go on, and a host that
+// TestPlatformUnavailable takes the platform down: requests go on, and a host that
 // starts meanwhile takes its settings from a peer.
-func TestPlatformAway(t *testing.T) {
+func TestPlatformUnavailable(t *testing.T) {
 	c := qt.New(t)
 	cluster := startFleet(c, 2, 1)
-	settle(c, cluster)
+	awaitScheduler(c, cluster)
 	c.Assert(cluster.SetEndpointAddress("triage-1", "127.0.0.1:1"), qt.IsNil)
 	cluster.Platform.SetFaults(standin.PlatformFaults{Down: true})
 	c.Assert(cluster.AddHost(context.Background()), qt.IsNil)
@@ -286,26 +286,26 @@
 	}
 }
 
-// TestRevisionSpreads accepts a change at one host of a fleet that polls the
+// TestRevisionSpreadsOverLinks accepts a change at one host of a fleet that polls the
 // platform once an hour: the others hear of it over their links.
-func TestRevisionSpreads(t *testing.T) {
+func TestRevisionSpreadsOverLinks(t *testing.T) {
 	c := qt.New(t)
 	config := demo.DefaultConfig
 	config.Engines = map[string]int{"voyage": 1, "triage": 1}
-	config.Speed = fast
+	config.Speed = fastEngine
 	config.Poll = time.Hour
 	cluster, err := demo.Start(context.Background(), config)
 	c.Assert(err, qt.IsNil)
 	defer cluster.Close()
-	settle(c, cluster)
+	awaitScheduler(c, cluster)
 	c.Assert(cluster.SetEndpointAddress("triage-1", "127.0.0.1:1"), qt.IsNil)
 	for _, host := range cluster.Hosts() {
 		c.Assert(host.Daemon.Revision(), qt.Equals, uint64(2))
 	}
 }
 
-// TestStranger connects to a peer's port with the wrong key and with noise.
-func TestStranger(t *testing.T) {
+// TestInvalidPeerConnection connects to a peer's port with the wrong key and with noise.
+func TestInvalidPeerConnection(t *testing.T) {
 	c := qt.New(t)
 	cluster := startFleet(c, 2, 1)
 	conn, err := net.Dial("tcp", cluster.Hosts()[0].Daemon.PeersAddress())
@@ -313,5 +313,5 @@
 	_, err = conn.Write([]byte(strings.Repeat("GET / HTTP/1.1\r\n", 100)))
 	c.Assert(err, qt.IsNil)
 	conn.Close()
-	settle(c, cluster)
+	awaitScheduler(c, cluster)
 }
--- a/internal/daemon/fx.go
+++ b/internal/daemon/fx.go
@@ -79,8 +79,8 @@
 			Self:   membership.Host{Name: p.Config.Name, Address: p.Config.Peers, Zone: p.Config.Zone},
 			Listen: p.Config.Peers, Key: p.Config.PeerKey, FirstPeers: p.Config.FirstPeers,
 		},
-		Dispatcher: p.Dispatcher, Platform: p.Client, Log: logging.Part(p.Log, "fleet"), Settings: p.Document.get,
-		OnRevision: p.Document.newer, Clock: p.Clock, Random: p.Random,
+		Dispatcher: p.Dispatcher, Platform: p.Client, Log: logging.Part(p.Log, "fleet"), Settings: p.Document.document,
+		OnRevision: p.Document.handlePeerRevision, Clock: p.Clock, Random: p.Random,
 	})
 }
 
@@ -118,7 +118,7 @@
 	follower atomic.Pointer[poller.Follower]
 }
 
-func (s *documentSource) get() change.Document {
+func (s *documentSource) document() change.Document {
 	if follower := s.follower.Load(); follower != nil {
 		return follower.Document()
 	}
@@ -144,16 +144,16 @@
 		return e, ok && e.State != settings.StateOut
 	}
 	return owner.New(owner.Parts{
-		Host: p.Config.Name, Admitter: sharedQueue{p.Dispatcher}, Endpoints: endpoints, Budget: retrybudget.NewClass(),
+		Host: p.Config.Name, Admitter: fleetAdmitter{p.Dispatcher}, Endpoints: endpoints, Budget: retrybudget.NewClass(),
 		Counters: p.Counters, Explained: p.Explained, Clock: p.Clock, Random: p.Random,
 	})
 }
 
-// sharedQueue asks the host that schedules a shard. It implements owner.Admitter.
-type sharedQueue struct{ dispatcher *dispatch.Dispatcher }
+// fleetAdmitter asks the host that schedules a shard. It implements owner.Admitter.
+type fleetAdmitter struct{ dispatcher *dispatch.Dispatcher }
 
 // Ask submits a request to the host that schedules its shard.
-func (s sharedQueue) Ask(ctx context.Context, shardName string, r admission.Request) (owner.Ticket, admission.Decision, error) {
+func (s fleetAdmitter) Ask(ctx context.Context, shardName string, r admission.Request) (owner.Ticket, admission.Decision, error) {
 	return s.dispatcher.Ask(ctx, shardName, r)
 }
 
@@ -161,7 +161,7 @@
 	return claims.New(config.Name, client, logging.Part(log, "claims"), clock)
 }
 
-func (s *documentSource) newer(revision uint64) {
+func (s *documentSource) handlePeerRevision(revision uint64) {
 	if follower := s.follower.Load(); follower != nil {
 		follower.HandlePeerRevision(revision)
 	}
--- a/internal/daemon/httpclient/httpclient.go
+++ b/internal/daemon/httpclient/httpclient.go
@@ -24,10 +24,10 @@
 	dialTimeout = time.Second
 	// idleTimeout is how long a connection is kept without a call.
 	idleTimeout = 30 * time.Second
-	// idlePerHost is how many idle connections to one endpoint are kept.
-	idlePerHost = 64
-	// headerLimit bounds the headers of an answer, in bytes.
-	headerLimit = 64 << 10
+	// maxIdlePerEndpoint is how many idle connections to one endpoint are kept.
+	maxIdlePerEndpoint = 64
+	// maxHeaderBytes bounds the headers of an answer, in bytes.
+	maxHeaderBytes = 64 << 10
 	// writeBufSize and readBufSize are the buffers of one connection, in bytes.
 	writeBufSize = 8 << 10
 	readBufSize  = 8 << 10
@@ -54,24 +54,24 @@
 
 // Client holds the connections to endpoints.
 type Client struct {
-	kept  *http.Transport
-	fresh *http.Transport
+	pooled   *http.Transport
+	unpooled *http.Transport
 }
 
 // New returns a client without connections.
 func New() *Client {
-	return &Client{kept: newTransport(false), fresh: newTransport(true)}
+	return &Client{pooled: newTransport(false), unpooled: newTransport(true)}
 }
 
-func newTransport(fresh bool) *http.Transport {
+func newTransport(disableKeepAlives bool) *http.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
 		DialContext:            dialer.DialContext,
-		DisableKeepAlives:      fresh,
+		DisableKeepAlives:      disableKeepAlives,
 		DisableCompression:     true,
-		MaxIdleConnsPerHost:    idlePerHost,
+		MaxIdleConnsPerHost:    maxIdlePerEndpoint,
 		IdleConnTimeout:        idleTimeout,
-		MaxResponseHeaderBytes: headerLimit,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 		WriteBufferSize:        writeBufSize,
 		ReadBufferSize:         readBufSize,
 	}
@@ -79,17 +79,17 @@
 
 // Close closes the idle connections.
 func (c *Client) Close() {
-	c.kept.CloseIdleConnections()
-	c.fresh.CloseIdleConnections()
+	c.pooled.CloseIdleConnections()
+	c.unpooled.CloseIdleConnections()
 }
 
-// onceBody hides all but Read, so that http.Transport can't find a way to read
+// unreplayableBody hides all but Read, so that http.Transport can't find a way to read
 // the body again. With a body that it can't read again, the transport does not
 // resend by itself: it would resend a GET, or any call with an Idempotency-Key
 // header, on a kept connection that broke.
-type onceBody struct{ io.Reader }
+type unreplayableBody struct{ io.Reader }
 
-func (onceBody) Close() error { return nil }
+func (unreplayableBody) Close() error { return nil }
 
 type emptyReader struct{}
 
@@ -109,11 +109,11 @@
 			call.OnSend()
 		}
 	}}
-	transport := c.kept
+	transport := c.pooled
 	if call.Once {
-		transport = c.fresh
+		transport = c.unpooled
 	}
-	response, err := transport.RoundTrip(call.request(httptrace.WithClientTrace(ctx, trace), target))
+	response, err := transport.RoundTrip(call.httpRequest(httptrace.WithClientTrace(ctx, trace), target))
 	if err == nil {
 		return response, nil
 	}
@@ -123,8 +123,8 @@
 	return nil, merry.Wrap(request.ErrNotSent, merry.WithCause(err))
 }
 
-// request returns the call in the form of a transport.
-func (c *Call) request(ctx context.Context, target *url.URL) *http.Request {
+// httpRequest returns the call in the form of a transport.
+func (c *Call) httpRequest(ctx context.Context, target *url.URL) *http.Request {
 	header := c.Header
 	if header == nil {
 		header = make(http.Header)
@@ -137,7 +137,7 @@
 		Method:        c.Method,
 		URL:           target,
 		Header:        header,
-		Body:          onceBody{body},
+		Body:          unreplayableBody{body},
 		ContentLength: c.Length,
 		Host:          c.Address,
 	}).WithContext(ctx)
--- a/internal/daemon/httpclient/httpclient_test.go
+++ b/internal/daemon/httpclient/httpclient_test.go
@@ -17,18 +17,18 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// dropper answers the first call on each connection and keeps it; it reads the
+// droppingServer answers the first call on each connection and keeps it; it reads the
 // second call whole and then closes the connection without an answer.
-type dropper struct {
+type droppingServer struct {
 	listener net.Listener
 	calls    atomic.Int64
 	dropped  atomic.Int64
 }
 
-func startDropper(c *qt.C) *dropper {
+func startDroppingServer(c *qt.C) *droppingServer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	d := &dropper{listener: listener}
+	d := &droppingServer{listener: listener}
 	c.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
@@ -42,7 +42,7 @@
 	return d
 }
 
-func (d *dropper) serve(conn net.Conn) {
+func (d *droppingServer) serve(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for call := range 2 {
@@ -64,10 +64,10 @@
 	}
 }
 
-// TestNoResend breaks a kept connection after the endpoint has read the call.
+// TestBrokenCallIsNotResent breaks a kept connection after the endpoint has read the call.
 // http.Transport resends a GET, and any call with an Idempotency-Key, in that
 // case; the client must not.
-func TestNoResend(t *testing.T) {
+func TestBrokenCallIsNotResent(t *testing.T) {
 	tests := map[string]struct {
 		method string
 		body   string
@@ -82,7 +82,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			d := startDropper(c)
+			d := startDroppingServer(c)
 			client := httpclient.New()
 			defer client.Close()
 			call := func() (*http.Response, error) {
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestNotSent(t *testing.T) {
+func TestRefusedConnectionCountsAsNotSent(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
--- a/internal/daemon/partition_test.go
+++ b/internal/daemon/partition_test.go
@@ -13,23 +13,23 @@
 	"oxbowslip.dev/oxbowslip/internal/proof/demo"
 )
 
-// wire stands between a host and its peers, and can be cut.
-type wire struct {
+// proxy stands between a host and its peers, and can be cut.
+type proxy struct {
 	target   string
 	listener net.Listener
 
-	mu    sync.Mutex
-	cut   bool
-	conns map[net.Conn]bool
+	mu      sync.Mutex
+	blocked bool
+	conns   map[net.Conn]bool
 }
 
-func newWire(c *qt.C, target string) *wire {
+func newProxy(c *qt.C, target string) *proxy {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	w := &wire{target: target, listener: listener, conns: make(map[net.Conn]bool)}
+	w := &proxy{target: target, listener: listener, conns: make(map[net.Conn]bool)}
 	c.Cleanup(func() {
 		listener.Close()
-		w.set(true)
+		w.setBlocked(true)
 	})
 	go func() {
 		for {
@@ -37,16 +37,16 @@
 			if err != nil {
 				return
 			}
-			go w.carry(conn)
+			go w.forward(conn)
 		}
 	}()
 	return w
 }
 
-func (w *wire) carry(near net.Conn) {
+func (w *proxy) forward(near net.Conn) {
 	defer near.Close()
 	far, err := net.Dial("tcp", w.target)
-	if err != nil || !w.keep(near, far) {
+	if err != nil || !w.track(near, far) {
 		return
 	}
 	defer far.Close()
@@ -57,24 +57,24 @@
 	_, _ = io.Copy(near, far)
 }
 
-// keep notes the connections of a wire that is whole.
-func (w *wire) keep(conns ...net.Conn) bool {
+// track notes the connections of a wire that is whole.
+func (w *proxy) track(conns ...net.Conn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, conn := range conns {
-		if w.cut {
+		if w.blocked {
 			conn.Close()
 		}
 		w.conns[conn] = true
 	}
-	return !w.cut
+	return !w.blocked
 }
 
-// set cuts the wire, or makes it whole.
-func (w *wire) set(cut bool) {
+// setBlocked cuts the wire, or makes it whole.
+func (w *proxy) setBlocked(cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.cut = cut
+	w.blocked = cut
 	if !cut {
 		return
 	}
@@ -84,34 +84,34 @@
 	}
 }
 
-// wires gives each host a wire of its own.
-type wires struct {
-	c     *qt.C
-	mu    sync.Mutex
-	wires map[string]*wire
+// proxies gives each host a wire of its own.
+type proxies struct {
+	c       *qt.C
+	mu      sync.Mutex
+	proxies map[string]*proxy
 }
 
-func (w *wires) address(target string) string {
+func (w *proxies) address(target string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.wires[target] == nil {
-		w.wires[target] = newWire(w.c, target)
+	if w.proxies[target] == nil {
+		w.proxies[target] = newProxy(w.c, target)
 	}
-	return w.wires[target].listener.Addr().String()
+	return w.proxies[target].listener.Addr().String()
 }
 
-func (w *wires) set(cut bool, targets ...string) {
+func (w *proxies) setBlocked(cut bool, targets ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, target := range targets {
-		w.wires[target].set(cut)
+		w.proxies[target].setBlocked(cut)
 	}
 }
 
-// TestCut cuts the hosts off from each other, all of them or only towards the
+// TestRequestsAreAnsweredDuringPartition cuts the hosts off from each other, all of them or only towards the
 // scheduler of a shard, under load. Every request is answered meanwhile; when
 // the wires are whole again there is one scheduler, and no place is leaked.
-func TestCut(t *testing.T) {
+func TestRequestsAreAnsweredDuringPartition(t *testing.T) {
 	tests := map[string]struct {
 		// all cuts every host off; else only the shard's scheduler can't be
 		// reached, while it reaches the others.
@@ -123,15 +123,15 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			w := &wires{c: c, wires: make(map[string]*wire)}
+			links := &proxies{c: c, proxies: make(map[string]*proxy)}
 			config := demo.DefaultConfig
 			config.Engines = map[string]int{"voyage": 2, "triage": 1}
-			config.Speed = fast
-			config.PeerAddress = w.address
+			config.Speed = fastEngine
+			config.PeerAddress = links.address
 			cluster, err := demo.Start(context.Background(), config)
 			c.Assert(err, qt.IsNil)
 			defer cluster.Close()
-			scheduler := settle(c, cluster)
+			scheduler := awaitScheduler(c, cluster)
 			targets := []string{scheduler.Daemon.PeersAddress()}
 			if test.all {
 				targets = nil
@@ -165,36 +165,36 @@
 					})
 				}
 			}
-			until(c, "answers at every host", everywhere)
-			w.set(true, targets...)
-			until(c, "another scheduler", func() bool {
-				_, one := agreed(cluster, "voyage")
+			waitUntil(c, "answers at every host", everywhere)
+			links.setBlocked(true, targets...)
+			waitUntil(c, "another scheduler", func() bool {
+				_, one := agreedScheduler(cluster, "voyage")
 				return !one
 			})
 			mu.Lock()
 			clear(answered)
 			mu.Unlock()
-			until(c, "answers at every host while cut", everywhere)
-			w.set(false, targets...)
-			until(c, "one scheduler again", func() bool {
-				name, one := agreed(cluster, "voyage")
+			waitUntil(c, "answers at every host while cut", everywhere)
+			links.setBlocked(false, targets...)
+			waitUntil(c, "one scheduler again", func() bool {
+				name, one := agreedScheduler(cluster, "voyage")
 				return one && name == scheduler.Name
 			})
 			cancel()
 			group.Wait()
-			until(c, "no place taken", func() bool { return running(cluster) == 0 })
+			waitUntil(c, "no place taken", func() bool { return numOpen(cluster) == 0 })
 		})
 	}
 }
 
-// TestListWrong shows hosts a list in which only they themselves stand, or
+// TestWrongHostList shows hosts a list in which only they themselves stand, or
 // nobody: each schedules for itself, and all is answered.
-func TestListWrong(t *testing.T) {
+func TestWrongHostList(t *testing.T) {
 	c := qt.New(t)
 	cluster := startFleet(c, 3, 2)
-	settle(c, cluster)
+	awaitScheduler(c, cluster)
 	cluster.Platform.SetHosts(nil)
-	until(c, "hosts on their own", func() bool {
+	waitUntil(c, "hosts on their own", func() bool {
 		for _, host := range cluster.Hosts() {
 			if host.Daemon.Schedulers()["voyage"] != host.Name {
 				return false
@@ -206,5 +206,5 @@
 		got := postTo(c, host, "itinerary", chatBody(false))
 		c.Assert(got.status, qt.Equals, http.StatusOK, qt.Commentf("%s", got.text))
 	}
-	until(c, "no place taken", func() bool { return running(cluster) == 0 })
+	waitUntil(c, "no place taken", func() bool { return numOpen(cluster) == 0 })
 }
--- a/internal/daemon/peer/golden_test.go
+++ b/internal/daemon/peer/golden_test.go
@@ -35,7 +35,7 @@
 	kinds := []kind{kindHello, kindChallenge, kindProof, kindHeartbeat, kindMessages, kindDecisions, kindLeaving, kindSettingsRequest, kindSettings}
 	list := map[string]*frame{
 		"opening": {Kind: kindHello, Host: "host", Nonce: []byte("nonce"), Proof: []byte("proof")},
-		"messages": {Kind: kindMessages, Messages: []messageForm{
+		"messages": {Kind: kindMessages, Messages: []wireMessage{
 			{Shard: "s", Kind: shard.Submit, ID: "id", Request: fullRequest(), Age: time.Second},
 			{Shard: "s", Kind: shard.Adopt, ID: "id", Endpoint: "endpoint", Tokens: 5, Request: repeatable},
 			{Shard: "s", Kind: shard.Submit, ID: "id", Request: retry},
@@ -48,7 +48,7 @@
 			{Shard: "s", Kind: shard.Finished, ID: "id", Result: admission.Failed},
 			{Shard: "s", Kind: shard.Finished, ID: "id", Result: admission.Cancelled},
 		}},
-		"decisions": {Kind: kindDecisions, Decisions: []decisionForm{{Shard: "s", Left: time.Second, Decision: decision}}},
+		"decisions": {Kind: kindDecisions, Decisions: []wireDecision{{Shard: "s", Left: time.Second, Decision: decision}}},
 		"settings":  {Kind: kindSettings, Revision: 1, Data: []byte("{}")},
 	}
 	for i, k := range kinds {
--- a/internal/daemon/peer/link.go
+++ b/internal/daemon/peer/link.go
@@ -20,13 +20,13 @@
 // The times and bounds of a link.
 const (
 	heartbeatInterval = 250 * time.Millisecond
-	// silenceLimit is how long a peer may send nothing before its link is given up: four
+	// receiveTimeout is how long a peer may send nothing before its link is given up: four
 	// heartbeats.
-	silenceLimit = time.Second
+	receiveTimeout = time.Second
 	// dialTimeout bounds connecting to a peer.
 	dialTimeout = time.Second
-	// steadyTime is how long a link must have been open for the back-off to start again.
-	steadyTime = 2 * time.Second
+	// backoffResetTime is how long a link must have been open for the back-off to start again.
+	backoffResetTime = 2 * time.Second
 	// queueLength bounds the messages that wait for a link. A link that is
 	// further behind is given up; its owner announces everything anew then.
 	queueLength = 16384
@@ -47,8 +47,8 @@
 	OnLeaving func(host string)
 	// Revision returns this host's revision of the settings, Newer hands over the
 	// peer's.
-	Revision func() uint64
-	OnRevision    func(revision uint64)
+	Revision   func() uint64
+	OnRevision func(revision uint64)
 	// OnDecision hands over a decision of the peer's scheduler.
 	OnDecision func(host, shard string, decision admission.Decision)
 }
@@ -73,7 +73,7 @@
 
 	mu    sync.Mutex
 	open  bool
-	queue chan messageForm
+	queue chan wireMessage
 }
 
 // Dial starts a link. It connects, and connects again when it is lost, until
@@ -99,7 +99,7 @@
 		return
 	}
 	select {
-	case l.queue <- toForm(l.parts.Clock(), shardName, m):
+	case l.queue <- encodeMessage(l.parts.Clock(), shardName, m):
 	default:
 		l.open = false
 		close(l.queue)
@@ -114,19 +114,19 @@
 		begun := time.Now()
 		// The error is the reason for trying again; Down reports it.
 		_ = l.connect(ctx)
-		l.shut()
+		l.closeQueue()
 		if ctx.Err() != nil {
 			return
 		}
 		l.parts.Events.OnDown(l.parts.Host)
-		if time.Since(begun) > steadyTime {
+		if time.Since(begun) > backoffResetTime {
 			failures = 0
 		}
 		lifetime.Sleep(ctx, linkBackoff.Span(failures))
 	}
 }
 
-func (l *Link) shut() {
+func (l *Link) closeQueue() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open {
@@ -151,10 +151,10 @@
 	defer stream.Close()
 	watch := newWatchdog(raw)
 	defer watch.stop()
-	if err := greet(stream, l.parts.Self, l.parts.Key); err != nil {
+	if err := authenticate(stream, l.parts.Self, l.parts.Key); err != nil {
 		return err
 	}
-	queue := make(chan messageForm, queueLength)
+	queue := make(chan wireMessage, queueLength)
 	l.mu.Lock()
 	l.queue, l.open = queue, true
 	l.mu.Unlock()
@@ -163,8 +163,8 @@
 	return l.read(stream, watch)
 }
 
-// greet proves both sides to each other.
-func greet(stream drpc.Stream, self, key string) error {
+// authenticate proves both sides to each other.
+func authenticate(stream drpc.Stream, self, key string) error {
 	nonce := newNonce()
 	if err := stream.MsgSend(&frame{Kind: kindHello, Host: self, Nonce: nonce}, encoding{}); err != nil {
 		return merry.Wrap(err)
@@ -180,18 +180,18 @@
 }
 
 // write sends queued messages in batches; heartbeats go in between.
-func (l *Link) write(stream drpc.Stream, raw net.Conn, queue chan messageForm) {
+func (l *Link) write(stream drpc.Stream, raw net.Conn, queue chan wireMessage) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
 		f := frame{Kind: kindHeartbeat, Revision: l.parts.Events.Revision()}
 		select {
-		case form, ok := <-queue:
+		case message, ok := <-queue:
 			if !ok {
 				raw.Close()
 				return
 			}
-			f = frame{Kind: kindMessages, Messages: batch(form, queue)}
+			f = frame{Kind: kindMessages, Messages: batch(message, queue)}
 		case <-ticker.C:
 		case <-stream.Context().Done():
 			return
@@ -230,7 +230,7 @@
 		switch f.Kind {
 		case kindDecisions:
 			for i := range f.Decisions {
-				l.parts.Events.OnDecision(l.parts.Host, f.Decisions[i].Shard, f.Decisions[i].decision(now))
+				l.parts.Events.OnDecision(l.parts.Host, f.Decisions[i].Shard, f.Decisions[i].decode(now))
 			}
 		case kindLeaving:
 			l.parts.Events.OnLeaving(l.parts.Host)
@@ -246,9 +246,9 @@
 }
 
 func newWatchdog(conn net.Conn) *watchdog {
-	return &watchdog{timer: time.AfterFunc(silenceLimit, func() { conn.Close() })}
+	return &watchdog{timer: time.AfterFunc(receiveTimeout, func() { conn.Close() })}
 }
 
-func (w *watchdog) received() { w.timer.Reset(silenceLimit) }
+func (w *watchdog) received() { w.timer.Reset(receiveTimeout) }
 
 func (w *watchdog) stop() { w.timer.Stop() }
--- a/internal/daemon/peer/server.go
+++ b/internal/daemon/peer/server.go
@@ -16,9 +16,9 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 )
 
-// ownerGrace is how long an owner whose link is lost may stay away before its requests are dropped. Two silence limits,
+// ownerReconnectTimeout is how long an owner whose link is lost may stay away before its requests are dropped. Two silence limits,
 // time for a link to be made again.
-const ownerGrace = 2 * time.Second
+const ownerReconnectTimeout = 2 * time.Second
 
 // Server is this host's side, as a scheduler, of the links from owners.
 type Server struct {
@@ -36,10 +36,10 @@
 // session is one owner's open link.
 type session struct {
 	owner string
-	queue chan decisionForm
+	queue chan wireDecision
 	// closed is set once the queue is closed, which breaks the link.
-	closed bool
-	leave  chan struct{}
+	closed  bool
+	leaving chan struct{}
 	// ended is closed when no more of the owner's messages come from this link.
 	ended chan struct{}
 }
@@ -51,11 +51,11 @@
 	Key   string
 	Clock func() time.Time
 	// Apply hands an owner's message to a scheduler, Drop the end of an owner.
-	Apply func(shard string, m *shard.Message)
-	DropOwner  func(owner string)
+	Apply     func(shard string, m *shard.Message)
+	DropOwner func(owner string)
 	// Settings returns the settings in force, Newer is called with an owner's revision.
-	Settings func() change.Document
-	OnRevision    func(revision uint64)
+	Settings   func() change.Document
+	OnRevision func(revision uint64)
 }
 
 // NewServer returns a server that does not listen yet.
@@ -86,7 +86,7 @@
 	defer s.mu.Unlock()
 	s.leaving = true
 	for _, session := range s.sessions {
-		close(session.leave)
+		close(session.leaving)
 	}
 }
 
@@ -100,7 +100,7 @@
 		return
 	}
 	select {
-	case session.queue <- decisionToForm(s.parts.Clock(), shardName, &d):
+	case session.queue <- encodeDecision(s.parts.Clock(), shardName, &d):
 	default:
 		// An owner that is so far behind is as good as gone.
 		session.close()
@@ -117,18 +117,18 @@
 
 // HandleRPC serves one link.
 func (s *Server) HandleRPC(stream drpc.Stream, rpc string) error {
-	owner, err := s.greet(stream)
+	owner, err := s.authenticate(stream)
 	if err != nil {
 		return err
 	}
 	switch rpc {
 	case rpcLink:
 	case rpcSettings:
-		return s.answerSettings(stream)
+		return s.sendSettings(stream)
 	default:
 		return merry.Errorf("unknown call %q", rpc)
 	}
-	session, old := s.enter(owner)
+	session, old := s.openSession(owner)
 	if old != nil {
 		<-old.ended
 	}
@@ -138,11 +138,11 @@
 	go s.write(stream, session)
 	err = s.read(stream, owner)
 	close(session.ended)
-	s.leave(session)
+	s.endSession(session)
 	return err
 }
 
-func (s *Server) greet(stream drpc.Stream) (string, error) {
+func (s *Server) authenticate(stream drpc.Stream) (string, error) {
 	var hello frame
 	if err := stream.MsgRecv(&hello, encoding{}); err != nil {
 		return "", merry.Wrap(err)
@@ -162,9 +162,9 @@
 	return hello.Host, nil
 }
 
-// enter makes a session, and closes the owner's old one if there is one. No message of
+// openSession makes a session, and closes the owner's old one if there is one. No message of
 // the old one is applied after its ended is closed.
-func (s *Server) enter(owner string) (entered, old *session) {
+func (s *Server) openSession(owner string) (entered, old *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old, ok := s.sessions[owner]
@@ -172,18 +172,18 @@
 		old.close()
 	}
 	session := &session{
-		owner: owner, queue: make(chan decisionForm, queueLength), leave: make(chan struct{}), ended: make(chan struct{}),
+		owner: owner, queue: make(chan wireDecision, queueLength), leaving: make(chan struct{}), ended: make(chan struct{}),
 	}
 	if s.leaving {
-		close(session.leave)
+		close(session.leaving)
 	}
 	s.sessions[owner] = session
 	return session, old
 }
 
-// leave ends a session, and drops the owner's requests if it does not come back
+// endSession ends a session, and drops the owner's requests if it does not come back
 // in time.
-func (s *Server) leave(ended *session) {
+func (s *Server) endSession(ended *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.sessions[ended.owner] != ended {
@@ -191,20 +191,20 @@
 	}
 	delete(s.sessions, ended.owner)
 	ended.close()
-	time.AfterFunc(ownerGrace, func() {
+	time.AfterFunc(ownerReconnectTimeout, func() {
 		s.mu.Lock()
 		_, back := s.sessions[ended.owner]
 		s.mu.Unlock()
 		if !back {
 			s.parts.DropOwner(ended.owner)
-			s.renew(ended.owner)
+			s.forceReconnect(ended.owner)
 		}
 	})
 }
 
-// renew breaks an owner's link if it has come back while its requests were being
+// forceReconnect breaks an owner's link if it has come back while its requests were being
 // dropped: it announces them again on the next.
-func (s *Server) renew(owner string) {
+func (s *Server) forceReconnect(owner string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if session, ok := s.sessions[owner]; ok {
@@ -215,18 +215,18 @@
 func (s *Server) write(stream drpc.Stream, session *session) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
-	leave := session.leave
+	leave := session.leaving
 	for {
 		f := frame{Kind: kindHeartbeat, Revision: s.parts.Settings().Revision}
 		select {
-		case form, ok := <-session.queue:
+		case decision, ok := <-session.queue:
 			if !ok {
 				// The link of the same owner is open anew, or lost; either way this
 				// one is over.
 				_ = stream.Close()
 				return
 			}
-			f = frame{Kind: kindDecisions, Decisions: batch(form, session.queue)}
+			f = frame{Kind: kindDecisions, Decisions: batch(decision, session.queue)}
 		case <-leave:
 			f = frame{Kind: kindLeaving}
 			leave = nil
@@ -251,7 +251,7 @@
 		}
 		now := s.parts.Clock()
 		for i := range f.Messages {
-			s.parts.Apply(f.Messages[i].Shard, f.Messages[i].message(now, owner))
+			s.parts.Apply(f.Messages[i].Shard, f.Messages[i].decode(now, owner))
 		}
 	}
 }
--- a/internal/daemon/peer/settings.go
+++ b/internal/daemon/peer/settings.go
@@ -29,7 +29,7 @@
 	defer stream.Close()
 	watch := newWatchdog(raw)
 	defer watch.stop()
-	if err := greet(stream, self, key); err != nil {
+	if err := authenticate(stream, self, key); err != nil {
 		return none, err
 	}
 	if err := stream.MsgSend(&frame{Kind: kindSettingsRequest, Revision: newer}, encoding{}); err != nil {
@@ -42,7 +42,7 @@
 	return change.Document{Revision: answer.Revision, Data: answer.Data}, nil
 }
 
-func (s *Server) answerSettings(stream drpc.Stream) error {
+func (s *Server) sendSettings(stream drpc.Stream) error {
 	var want frame
 	if err := stream.MsgRecv(&want, encoding{}); err != nil {
 		return merry.Wrap(err)
--- a/internal/daemon/peer/wire.go
+++ b/internal/daemon/peer/wire.go
@@ -50,15 +50,15 @@
 	Host      string         `cbor:"2,keyasint,omitempty"`
 	Nonce     []byte         `cbor:"3,keyasint,omitempty"`
 	Proof     []byte         `cbor:"4,keyasint,omitempty"`
-	Messages  []messageForm  `cbor:"5,keyasint,omitempty"`
-	Decisions []decisionForm `cbor:"6,keyasint,omitempty"`
+	Messages  []wireMessage  `cbor:"5,keyasint,omitempty"`
+	Decisions []wireDecision `cbor:"6,keyasint,omitempty"`
 	Revision  uint64         `cbor:"7,keyasint,omitempty"`
 	Data      []byte         `cbor:"8,keyasint,omitempty"`
 }
 
-// messageForm is an owner's message. Times are sent as ages, since the hosts'
+// wireMessage is an owner's message. Times are sent as ages, since the hosts'
 // clocks differ. Only the first word of a request carries the request itself.
-type messageForm struct {
+type wireMessage struct {
 	_        struct{} `cbor:",toarray"`
 	Shard    string
 	Kind     shard.Kind
@@ -70,27 +70,27 @@
 	Request  *admission.Request
 }
 
-// decisionForm is a scheduler's decision, with the time left for a grant.
-type decisionForm struct {
+// wireDecision is a scheduler's decision, with the time left for a grant.
+type wireDecision struct {
 	Shard    string             `cbor:"1,keyasint"`
 	Left     time.Duration      `cbor:"2,keyasint,omitempty"`
 	Decision admission.Decision `cbor:"3,keyasint"`
 }
 
-func toForm(now time.Time, shardName string, m *shard.Message) messageForm {
-	form := messageForm{
+func encodeMessage(now time.Time, shardName string, m *shard.Message) wireMessage {
+	encoded := wireMessage{
 		Shard: shardName, Kind: m.Kind, ID: m.ID, Tokens: m.Tokens, Result: m.Result, Endpoint: m.Endpoint,
 	}
 	if m.Kind == shard.Submit || m.Kind == shard.Adopt {
 		request := m.Request
-		form.Age = now.Sub(request.Arrived)
+		encoded.Age = now.Sub(request.Arrived)
 		request.Arrived = time.Time{}
-		form.Request = &request
+		encoded.Request = &request
 	}
-	return form
+	return encoded
 }
 
-func (f *messageForm) message(now time.Time, owner string) *shard.Message {
+func (f *wireMessage) decode(now time.Time, owner string) *shard.Message {
 	m := &shard.Message{Kind: f.Kind, ID: f.ID, Tokens: f.Tokens, Result: f.Result, Endpoint: f.Endpoint}
 	if f.Request != nil {
 		m.Request = *f.Request
@@ -100,16 +100,16 @@
 	return m
 }
 
-func decisionToForm(now time.Time, shardName string, d *admission.Decision) decisionForm {
-	form := decisionForm{Shard: shardName, Decision: *d}
+func encodeDecision(now time.Time, shardName string, d *admission.Decision) wireDecision {
+	encoded := wireDecision{Shard: shardName, Decision: *d}
 	if !d.Until.IsZero() {
-		form.Left = d.Until.Sub(now)
-		form.Decision.Until = time.Time{}
+		encoded.Left = d.Until.Sub(now)
+		encoded.Decision.Until = time.Time{}
 	}
-	return form
+	return encoded
 }
 
-func (f *decisionForm) decision(now time.Time) admission.Decision {
+func (f *wireDecision) decode(now time.Time) admission.Decision {
 	d := f.Decision
 	if d.Kind == admission.Grant {
 		d.Until = now.Add(f.Left)
--- a/internal/daemon/peer/wire_test.go
+++ b/internal/daemon/peer/wire_test.go
@@ -25,27 +25,27 @@
 	return &shard.Message{Kind: shard.Submit, ID: r.ID, Request: r}
 }
 
-func TestWire(t *testing.T) {
+func TestWireRoundTrip(t *testing.T) {
 	c := qt.New(t)
-	later := now.Add(time.Second)
-	form := toForm(later, "voyage", submit(1))
-	data, err := encoding{}.Marshal(&frame{Kind: kindMessages, Messages: []messageForm{form}})
+	sentAt := now.Add(time.Second)
+	encoded := encodeMessage(sentAt, "voyage", submit(1))
+	data, err := encoding{}.Marshal(&frame{Kind: kindMessages, Messages: []wireMessage{encoded}})
 	c.Assert(err, qt.IsNil)
 	var got frame
 	c.Assert(encoding{}.Unmarshal(data, &got), qt.IsNil)
 	// The other host's clock is an hour ahead; the age is what counts.
-	there := later.Add(time.Hour)
-	m := got.Messages[0].message(there, "host-1")
+	receivedAt := sentAt.Add(time.Hour)
+	m := got.Messages[0].decode(receivedAt, "host-1")
 	want := submit(1)
-	want.Request.Arrived = there.Add(-time.Second)
+	want.Request.Arrived = receivedAt.Add(-time.Second)
 	c.Assert(m, qt.DeepEquals, want)
 	grant := admission.Decision{Kind: admission.Grant, ID: "x", Owner: "host-1", Endpoint: "voyage-1", Until: now.Add(2 * time.Second)}
-	decision := decisionToForm(now, "voyage", &grant)
-	c.Assert(decision.decision(there).Until, qt.Equals, there.Add(2*time.Second))
+	decision := encodeDecision(now, "voyage", &grant)
+	c.Assert(decision.decode(receivedAt).Until, qt.Equals, receivedAt.Add(2*time.Second))
 }
 
-// bytesOf is the size of a frame with one message.
-func bytesOf(f *frame) int {
+// encodedSize is the size of a frame with one message.
+func encodedSize(f *frame) int {
 	data, err := cbor.Marshal(f)
 	if err != nil {
 		panic(err) // Plain structs always marshal.
@@ -57,19 +57,19 @@
 // started, first token, progress every 16 tokens, finished.
 func requestBytes(tokens int) (owner, scheduler int) {
 	id := submit(1).ID
-	owner = bytesOf(&frame{Kind: kindMessages, Messages: []messageForm{toForm(now, "voyage", submit(1))}})
+	owner = encodedSize(&frame{Kind: kindMessages, Messages: []wireMessage{encodeMessage(now, "voyage", submit(1))}})
 	kinds := []shard.Kind{shard.Started, shard.FirstToken, shard.Finished}
 	for range tokens / 16 {
 		kinds = append(kinds, shard.Progress)
 	}
 	for _, k := range kinds {
-		owner += bytesOf(&frame{Kind: kindMessages, Messages: []messageForm{toForm(now, "voyage", &shard.Message{Kind: k, ID: id, Tokens: 99})}})
+		owner += encodedSize(&frame{Kind: kindMessages, Messages: []wireMessage{encodeMessage(now, "voyage", &shard.Message{Kind: k, ID: id, Tokens: 99})}})
 	}
 	grant := admission.Decision{
 		Kind: admission.Grant, ID: id, Owner: "host-1", Endpoint: "voyage-01", Reason: admission.ReasonNext, Until: now.Add(time.Second),
 		Figures: admission.Figures{Waited: time.Second, Ahead: 5, PredictedFirstToken: time.Second, Limit: 25.5, AnswerTokens: 300},
 	}
-	scheduler = bytesOf(&frame{Kind: kindDecisions, Decisions: []decisionForm{decisionToForm(now, "voyage", &grant)}})
+	scheduler = encodedSize(&frame{Kind: kindDecisions, Decisions: []wireDecision{encodeDecision(now, "voyage", &grant)}})
 	return owner, scheduler
 }
 
@@ -77,7 +77,7 @@
 func TestWireBytes(t *testing.T) {
 	c := qt.New(t)
 	owner, scheduler := requestBytes(310)
-	c.Logf("a heartbeat: %d bytes", bytesOf(&frame{Kind: kindHeartbeat}))
+	c.Logf("a heartbeat: %d bytes", encodedSize(&frame{Kind: kindHeartbeat}))
 	c.Logf("a request of 310 tokens: %d bytes to the scheduler, %d bytes back", owner, scheduler)
 	c.Assert(owner < 2600, qt.IsTrue, qt.Commentf("%d bytes", owner))
 	c.Assert(scheduler < 400, qt.IsTrue, qt.Commentf("%d bytes", scheduler))
--- a/internal/daemon/poller/poller.go
+++ b/internal/daemon/poller/poller.go
@@ -55,17 +55,17 @@
 
 	// ctx ends with Run. nudged says that a poll for a peer's newer revision is
 	// under way.
-	ctx    context.Context
-	cancel context.CancelFunc
-	nudged atomic.Bool
+	ctx         context.Context
+	cancel      context.CancelFunc
+	pollPending atomic.Bool
 
 	mu       sync.Mutex
 	document change.Document
 	// problem is why nothing newer is in force, or nil.
 	problem error
-	// currentAt is when the platform or a peer last showed that nothing newer is
+	// confirmedAt is when the platform or a peer last showed that nothing newer is
 	// known.
-	currentAt time.Time
+	confirmedAt time.Time
 }
 
 // FetchFromPeers asks other hosts for their settings while the platform is away. It
@@ -73,9 +73,9 @@
 // any peer answered.
 type FetchFromPeers func(ctx context.Context, newer uint64) (document change.Document, answered bool)
 
-// grace is how long a host that reaches neither the platform nor a peer trusts its settings. The same as maxIsolation
+// maxIsolation is how long a host that reaches neither the platform nor a peer trusts its settings. The same as maxIsolation
 // of package front.
-const grace = 30 * time.Second
+const maxIsolation = 30 * time.Second
 
 // Parts are what a follower works with.
 type Parts struct {
@@ -87,7 +87,7 @@
 	Interval time.Duration
 	// FetchFromPeers are asked while the platform is away.
 	FetchFromPeers FetchFromPeers
-	Clock func() time.Time
+	Clock          func() time.Time
 	// Random returns numbers from 0 up to 1.
 	Random func() float64
 }
@@ -95,7 +95,7 @@
 // New returns a follower that has read nothing.
 func New(p Parts) *Follower {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Follower{parts: p, ctx: ctx, cancel: cancel, currentAt: p.Clock()}
+	return &Follower{parts: p, ctx: ctx, cancel: cancel, confirmedAt: p.Clock()}
 }
 
 // IsStale reports whether the host has been cut off for so long, from the platform
@@ -103,7 +103,7 @@
 func (f *Follower) IsStale() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.parts.Clock().Sub(f.currentAt) > grace
+	return f.parts.Clock().Sub(f.confirmedAt) > maxIsolation
 }
 
 // Problem returns why the last read brought nothing, or nil.
@@ -126,18 +126,18 @@
 	lifetime.Every(done, f.parts.Interval, f.parts.Random, f.Poll)
 }
 
-// nudgeSpread is the time over which hosts that learn of a newer revision at once spread their reads.
-const nudgeSpread = 200 * time.Millisecond
+// maxPollDelay is the time over which hosts that learn of a newer revision at once spread their reads.
+const maxPollDelay = 200 * time.Millisecond
 
 // HandlePeerRevision reports that a peer has a revision. If it is newer, the platform is asked
 // soon.
 func (f *Follower) HandlePeerRevision(revision uint64) {
 	current := f.parts.Holder.Current()
-	if current == nil || revision <= current.Number || !f.nudged.CompareAndSwap(false, true) {
+	if current == nil || revision <= current.Number || !f.pollPending.CompareAndSwap(false, true) {
 		return
 	}
-	time.AfterFunc(time.Duration(f.parts.Random()*float64(nudgeSpread)), func() {
-		defer f.nudged.Store(false)
+	time.AfterFunc(time.Duration(f.parts.Random()*float64(maxPollDelay)), func() {
+		defer f.pollPending.Store(false)
 		if f.ctx.Err() == nil {
 			f.Poll(f.ctx)
 		}
@@ -148,39 +148,39 @@
 func (f *Follower) Poll(ctx context.Context) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	err := f.advance(ctx)
+	err := f.refresh(ctx)
 	if ctx.Err() != nil {
 		return
 	}
 	if err == nil {
-		f.currentAt = f.parts.Clock()
+		f.confirmedAt = f.parts.Clock()
 	}
 	if err != nil && f.problem == nil {
 		f.parts.Log.WithError(err).Warn("settings can't be read, the last ones stay in force")
 	}
 	f.problem = err
 	if errors.Is(err, tableclient.ErrUnavailable) {
-		f.askPeers(ctx)
+		f.fetchFromPeers(ctx)
 	}
 }
 
-// askPeers adopts newer settings of a peer: one that started earlier, or that
+// fetchFromPeers adopts newer settings of a peer: one that started earlier, or that
 // still reaches the platform.
-func (f *Follower) askPeers(ctx context.Context) {
+func (f *Follower) fetchFromPeers(ctx context.Context) {
 	document, answered := f.parts.FetchFromPeers(ctx, f.document.Revision)
 	if !answered {
 		return
 	}
-	f.currentAt = f.parts.Clock()
+	f.confirmedAt = f.parts.Clock()
 	if document.Revision <= f.document.Revision {
 		return
 	}
-	if err := f.put(document); err != nil {
+	if err := f.apply(document); err != nil {
 		f.parts.Log.WithError(err).Warn("a peer's settings can't be read")
 	}
 }
 
-func (f *Follower) advance(ctx context.Context) error {
+func (f *Follower) refresh(ctx context.Context) error {
 	_, head, err := ReadHead(ctx, f.parts.Client)
 	if err != nil {
 		return err
@@ -192,7 +192,7 @@
 	if err != nil {
 		return err
 	}
-	return f.put(document)
+	return f.apply(document)
 }
 
 // ReadHead reads the head row.
@@ -247,9 +247,9 @@
 	return c, merry.Prepend(err, "settings change")
 }
 
-// put checks a revision and puts it in force. One that this program can't read
+// apply checks a revision and puts it in force. One that this program can't read
 // is left out, and the last one stays in force.
-func (f *Follower) put(document change.Document) error {
+func (f *Follower) apply(document change.Document) error {
 	tree, err := document.Tree()
 	if err != nil {
 		f.parts.Counters.SettingsRejected.Inc()
--- a/internal/daemon/poller/poller_test.go
+++ b/internal/daemon/poller/poller_test.go
@@ -17,9 +17,9 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// TestCutOff takes the platform and then the peers away: the last settings stay
+// TestIsolatedHostKeepsSettings takes the platform and then the peers away: the last settings stay
 // in force, and the host finds out when it can no longer trust them.
-func TestCutOff(t *testing.T) {
+func TestIsolatedHostKeepsSettings(t *testing.T) {
 	c := qt.New(t)
 	p := standin.NewPlatform(standin.PlatformConfig{})
 	c.Assert(p.Start("127.0.0.1:0"), qt.IsNil)
--- a/internal/daemon/shards.go
+++ b/internal/daemon/shards.go
@@ -7,15 +7,15 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// followEndpoints keeps the schedulers informed which endpoints are in.
-func (d *Daemon) followEndpoints() {
+// configureShards keeps the schedulers informed which endpoints are in.
+func (d *Daemon) configureShards() {
 	defer close(d.ended)
 	for {
 		changed := d.parts.Holder.Changed()
 		if revision := d.parts.Holder.Current(); revision != nil {
 			d.shards.Configure(shardConfigs(revision.Tree))
 			d.parts.Fleet.SetShards(d.shards.Names())
-			d.configured.Store(revision.Number)
+			d.configuredRevision.Store(revision.Number)
 		}
 		select {
 		case <-changed:
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -15,9 +15,9 @@
 	return operator.SettingsAnswer{Revision: document.Revision, Tree: document.Data}
 }
 
-// notReady returns the refusal for a host without settings.
-func (d *Daemon) notReady() *request.Refusal {
-	if d.configured.Load() > 0 {
+// checkReady returns the refusal for a host without settings.
+func (d *Daemon) checkReady() *request.Refusal {
+	if d.configuredRevision.Load() > 0 {
 		return nil
 	}
 	return request.Refuse(request.ReasonNotReady, d.Problem())
@@ -30,7 +30,7 @@
 		return "the host is leaving"
 	case d.parts.Holder.Current() == nil && d.parts.Follower.Problem() != nil:
 		return "no settings yet: " + d.parts.Follower.Problem().Error()
-	case d.configured.Load() == 0:
+	case d.configuredRevision.Load() == 0:
 		return "no settings yet"
 	case d.parts.Follower.IsStale():
 		return "cut off from the platform and from all peers: the settings may be old"
--- a/internal/daemon/tableclient/tableclient.go
+++ b/internal/daemon/tableclient/tableclient.go
@@ -101,23 +101,23 @@
 
 // Client talks to the platform.
 type Client struct {
-	base   string
-	http   *http.Client
-	failed func()
+	baseURL       string
+	http          *http.Client
+	onUnavailable func()
 }
 
 // The bounds of idle connections to the table service.
 const (
-	// idleConnections is how many are kept: polls, changes, claims, and one to spare.
-	idleConnections = 4
+	// maxIdleConns is how many are kept: polls, changes, claims, and one to spare.
+	maxIdleConns = 4
 	// idleTimeout is how long one is kept.
 	idleTimeout = time.Minute
 )
 
 // New returns a client. Failed is called for each call without an answer.
-func New(address string, timeout time.Duration, failed func()) *Client {
-	transport := &http.Transport{MaxIdleConnsPerHost: idleConnections, IdleConnTimeout: idleTimeout}
-	return &Client{base: "http://" + address, http: &http.Client{Timeout: timeout, Transport: transport}, failed: failed}
+func New(address string, timeout time.Duration, onUnavailable func()) *Client {
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: idleTimeout}
+	return &Client{baseURL: "http://" + address, http: &http.Client{Timeout: timeout, Transport: transport}, onUnavailable: onUnavailable}
 }
 
 // Close closes the idle connections.
@@ -180,7 +180,7 @@
 
 // do makes one call. It returns the answer's body also for ErrConflict.
 func (c *Client) do(ctx context.Context, method, path string, body []byte) ([]byte, error) {
-	request, err := http.NewRequestWithContext(ctx, method, c.base+path, nil)
+	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, nil)
 	if err != nil {
 		return nil, merry.Wrap(ErrRejected, merry.WithCause(err))
 	}
@@ -217,8 +217,8 @@
 }
 
 func (c *Client) unavailable(err error) error {
-	if c.failed != nil {
-		c.failed()
+	if c.onUnavailable != nil {
+		c.onUnavailable()
 	}
 	return merry.Wrap(ErrUnavailable, merry.WithCause(err))
 }
