--- a/internal/daemon/fleet/fleet.go
+++ b/internal/daemon/fleet/fleet.go
@@ -1,9 +1,9 @@
-// Package fleet joins the hosts of oxbowslipd into one: it sends each request to the host that
-// schedules its shard, moves the requests when that changes, and schedules the shards that fall to
-// this host. oxbowslip-front has no schedulers (package placement).
+// Package fleet connects the hosts of oxbowslipd: it sends each request to the host that schedules
+// its shard, moves the requests when that host changes, and schedules the shards assigned to this
+// host. oxbowslip-front has no schedulers (package placement).
 //
-// It owns the links to other hosts and the assignment of shards, which follows from the platform's
-// list of hosts and what this host sees of them (package membership).
+// It owns the links to other hosts and the assignment of shards, which is derived from the
+// platform's list of hosts and the state of this host's links (package membership).
 package fleet
 
 import (
@@ -27,65 +27,67 @@
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
 
-// takeoverHold is how long a host that takes over a shard waits for the other owners before it grants: until then it
-// does not know what they have running. A round trip and the first back-offs of a link (100 and 200 ms) fit in it.
+// takeoverHold is how long a host that takes over a shard waits before its first grant. Until the
+// other owners have announced their requests, it can't count those already running. The hold covers
+// a round trip and the first two back-offs of a link (100 and 200 ms).
 const takeoverHold = 600 * time.Millisecond
 
-// hostListInterval is the mean time between two reads of the platform's list. The list lags by itself, and links report a
-// dead host sooner.
+// hostListInterval is the mean time between two reads of the platform's list of hosts. The list
+// lags in any case, and links report a failed host sooner.
 const hostListInterval = 2 * time.Second
 
-// repeatInterval is the mean time between two repeats of what waits.
+// repeatInterval is the mean time between two resubmissions of the waiting requests.
 const repeatInterval = time.Second
 
-// Config is who a host is among its peers.
+// Config is a host's identity in the fleet and how it reaches its peers.
 type Config struct {
 	Self membership.Host
-	// Listen is where peers connect; empty means that the host is alone.
+	// Listen is the address for links from peers. If it is empty, the host runs alone.
 	Listen string
 	Key    string
-	// FirstPeers are addresses to ask before the platform's list is known.
+	// FirstPeers are the addresses of peers to ask for settings before the platform's list has been
+	// read.
 	FirstPeers []string
 }
 
-// Fleet is one host's part in the fleet.
+// Fleet is this host's membership in the fleet.
 type Fleet struct {
 	parts    Parts
 	server   *peer.Server
 	listener net.Listener
 	shards   *shard.Host
 
-	// reassignMu keeps two moves of shards apart.
+	// reassignMu serializes the reassignments of shards.
 	reassignMu sync.Mutex
 
 	mu    sync.Mutex
 	view  *membership.View
 	links map[string]*peer.Link
-	// schedulers is the host that each shard's requests go to now.
+	// schedulers maps each shard to the host that its requests are sent to.
 	schedulers map[string]string
-	// configuredShards are the shards of the settings.
+	// configuredShards are the shards named by the settings.
 	configuredShards []string
 	takeovers        int
 	closed           bool
 }
 
-// Parts are what a fleet works with.
+// Parts are the dependencies of a Fleet.
 type Parts struct {
 	Config     Config
 	Dispatcher *dispatch.Dispatcher
 	Platform   *tableclient.Client
 	Log        *logrus.Entry
-	// Options are those of this host's schedulers.
+	// Options configure this host's schedulers.
 	Options schedule.Options
-	// Settings returns the settings in force, Newer is called with a peer's revision of them.
+	// Settings returns the settings in force. OnRevision receives a peer's revision of them.
 	Settings   func() change.Document
 	OnRevision func(revision uint64)
 	Clock      func() time.Time
-	// Random returns numbers from 0 up to 1.
+	// Random returns numbers in [0, 1).
 	Random func() float64
 }
 
-// New returns a host's part of the fleet that does not listen yet.
+// New returns a fleet that is not listening yet.
 func New(parts Parts) *Fleet {
 	f := &Fleet{
 		parts: parts, view: membership.New(parts.Config.Self), links: make(map[string]*peer.Link), schedulers: make(map[string]string),
@@ -99,19 +101,19 @@
 	return f
 }
 
-// maxPeersAsked bounds the peers that are asked for settings at a time, so that a platform that is away does not make every
-// host ask every other.
+// maxPeersAsked bounds the peers that a host asks for settings at a time. Without it, an outage of
+// the platform would make every host ask all others.
 const maxPeersAsked = 3
 
-// FetchSettings asks a few peers, picked at random, for settings newer than a
-// revision. It returns the newest, and whether any peer answered.
+// FetchSettings asks up to maxPeersAsked random peers for settings newer than a revision. It
+// returns the newest document, and whether any peer answered.
 func (f *Fleet) FetchSettings(ctx context.Context, newer uint64) (change.Document, bool) {
 	var newest change.Document
 	answered := false
 	for _, address := range f.randomAddresses() {
 		document, err := peer.FetchSettings(ctx, f.parts.Config.Self.Name, address, f.parts.Config.Key, newer)
 		if err != nil {
-			continue // The next may answer; with none, the caller knows.
+			continue // Another peer may answer; the result reports whether any did.
 		}
 		answered = true
 		if document.Revision > newest.Revision {
@@ -137,10 +139,10 @@
 	return addresses[:min(maxPeersAsked, len(addresses))]
 }
 
-// Shards returns the schedulers of this host.
+// Shards returns this host's schedulers.
 func (f *Fleet) Shards() *shard.Host { return f.shards }
 
-// Start listens for peers.
+// Start listens for links from peers.
 func (f *Fleet) Start() error {
 	if f.parts.Config.Listen == "" {
 		return nil
@@ -154,7 +156,7 @@
 	return nil
 }
 
-// PeersAddress is where peers reach the host, or empty.
+// PeersAddress returns the address on which peers reach the host, or "".
 func (f *Fleet) PeersAddress() string {
 	if f.listener == nil {
 		return ""
@@ -162,8 +164,8 @@
 	return f.listener.Addr().String()
 }
 
-// Run reads the platform's list of hosts until done is closed. While the
-// platform is away, the last list stays.
+// Run refreshes the list of hosts and resubmits waiting requests until done is closed. While the
+// platform is unavailable, the last list stays in use.
 func (f *Fleet) Run(done <-chan struct{}) {
 	go lifetime.Every(done, repeatInterval, f.parts.Random, func(context.Context) { f.parts.Dispatcher.Repeat() })
 	lifetime.Every(done, hostListInterval, f.parts.Random, f.refreshHosts)
@@ -175,7 +177,7 @@
 	}
 	list, err := f.parts.Platform.Hosts(ctx)
 	if err != nil {
-		return // The client counts it.
+		return // The client counts the error.
 	}
 	hosts := make([]membership.Host, 0, len(list))
 	for _, h := range list {
@@ -187,8 +189,8 @@
 	f.reassign()
 }
 
-// SetShards replaces the shards of the settings. Those that fall to this host are
-// taken up before their first request, which then need not wait for the hold.
+// SetShards replaces the shards of the settings. Those assigned to this host are taken over before
+// their first request, which then need not wait for takeoverHold.
 func (f *Fleet) SetShards(shards []string) {
 	f.mu.Lock()
 	f.configuredShards = shards
@@ -196,7 +198,8 @@
 	f.mu.Unlock()
 }
 
-// assignOwnShards assigns the expected shards that fall to this host. The lock is held.
+// assignOwnShards takes over the configured shards that are assigned to this host and have no
+// scheduler yet. The lock is held.
 func (f *Fleet) assignOwnShards() {
 	for _, shardName := range f.configuredShards {
 		if _, ok := f.schedulers[shardName]; ok {
@@ -208,7 +211,7 @@
 	}
 }
 
-// Leave hands this host's shards over: it schedules no more.
+// Leave stops scheduling on this host and hands its shards over to other hosts.
 func (f *Fleet) Leave() {
 	f.mu.Lock()
 	f.view.Leave(f.parts.Config.Self.Name)
@@ -217,7 +220,7 @@
 	f.reassign()
 }
 
-// Close ends all links and schedulers.
+// Close closes all links and schedulers.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	f.closed = true
@@ -233,21 +236,22 @@
 	f.shards.Close()
 }
 
-// Takeovers counts the shards that came to this host from another.
+// Takeovers returns the number of shards that this host took over from another.
 func (f *Fleet) Takeovers() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.takeovers
 }
 
-// Schedulers returns the host that each known shard's requests go to.
+// Schedulers returns the host that each known shard's requests are sent to.
 func (f *Fleet) Schedulers() map[string]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Clone(f.schedulers)
 }
 
-// Scheduler returns the host that a shard's requests go to.
+// Scheduler returns the host that a shard's requests are sent to, and assigns one if the shard is
+// not known yet.
 func (f *Fleet) Scheduler(shardName string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -259,7 +263,7 @@
 	return host.Name
 }
 
-// Send hands a message to a host's scheduler.
+// Send passes a message to the scheduler on a host. It is dropped if there is no link to the host.
 func (f *Fleet) Send(host, shardName string, m *shard.Message) {
 	if host == f.parts.Config.Self.Name {
 		f.shards.Apply(shardName, m)
@@ -273,7 +277,7 @@
 	}
 }
 
-// deliver hands a scheduler's decision to the request's owner.
+// deliver passes a scheduler's decision to the owner of the request.
 func (f *Fleet) deliver(shardName string, d admission.Decision) {
 	if d.Owner == f.parts.Config.Self.Name || d.Owner == "" {
 		f.parts.Dispatcher.Deliver(f.parts.Config.Self.Name, shardName, d)
@@ -282,7 +286,8 @@
 	f.server.Deliver(shardName, d)
 }
 
-// assign notes a shard's scheduler, and opens a link to it. The lock is held.
+// assign records a shard's scheduler, and opens a link to it or prepares this host to schedule the
+// shard. The lock is held.
 func (f *Fleet) assign(shardName string, host membership.Host) {
 	before, known := f.schedulers[shardName]
 	f.schedulers[shardName] = host.Name
@@ -292,15 +297,15 @@
 	}
 	if known && before != host.Name {
 		f.takeovers++
-		f.parts.Log.WithField("shard", shardName).Info("took over")
+		f.parts.Log.WithField("shard", shardName).Info("shard taken over from another host")
 	}
 	if f.view.Others() > 0 {
 		f.shards.Hold(shardName, takeoverHold)
 	}
 }
 
-// reassign moves the shards whose scheduler has changed, with their requests,
-// and ends links that nothing needs.
+// reassign moves the shards whose scheduler has changed, with their requests, and closes links that
+// are no longer needed.
 func (f *Fleet) reassign() {
 	f.reassignMu.Lock()
 	defer f.reassignMu.Unlock()
@@ -320,7 +325,7 @@
 		f.parts.Dispatcher.Move(shardName)
 	}
 	for _, link := range idle {
-		// In the background: a link's own goroutine may have called.
+		// Close waits for the link's goroutine, which may be the caller.
 		go link.Close()
 	}
 }
--- a/internal/daemon/fleet/links.go
+++ b/internal/daemon/fleet/links.go
@@ -5,7 +5,7 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/peer"
 )
 
-// openLink opens a link to a host if there is none. The lock is held.
+// openLink opens a link to a host unless there is one. The lock is held.
 func (f *Fleet) openLink(host membership.Host) {
 	if _, ok := f.links[host.Name]; ok || f.closed {
 		return
@@ -19,7 +19,8 @@
 	})
 }
 
-// handleLinkUp announces to a scheduler all requests that are its own.
+// handleLinkUp clears the suspicion of a host and announces to it the requests whose shards it
+// schedules.
 func (f *Fleet) handleLinkUp(host string) {
 	f.mu.Lock()
 	changed := f.view.Suspect(host, false)
@@ -35,7 +36,7 @@
 	changed := f.view.Suspect(host, true)
 	f.mu.Unlock()
 	if changed {
-		f.parts.Log.WithField("peer", host).Warn("lost")
+		f.parts.Log.WithField("peer", host).Warn("link to peer is down, its shards move to other hosts")
 		f.reassign()
 	}
 }
@@ -47,8 +48,8 @@
 	f.reassign()
 }
 
-// idleLinks removes the links to hosts that are gone from the list and
-// schedule nothing for this host. The lock is held.
+// idleLinks removes and returns the links to hosts that are neither in the list nor the scheduler
+// of a known shard. The lock is held.
 func (f *Fleet) idleLinks() []*peer.Link {
 	needed := make(map[string]bool)
 	for _, host := range f.schedulers {
--- a/internal/daemon/peer/golden_test.go
+++ b/internal/daemon/peer/golden_test.go
@@ -11,7 +11,7 @@
 	"oxbowslip.dev/oxbowslip/internal/proof/golden"
 )
 
-// fullRequest is a request with every field set and no two of them alike.
+// fullRequest returns a request with all fields set to distinct values.
 func fullRequest() *admission.Request {
 	return &admission.Request{
 		ID: "id", Owner: "owner", Workspace: "workspace", Class: "class", Tier: 1, Urgency: 2,
@@ -57,8 +57,8 @@
 	return list
 }
 
-// TestGoldenFrames holds the encoded form of each frame to what hosts of commit 4c58500
-// send, and decodes what they sent.
+// TestGoldenFrames compares the encoding of each frame with that of hosts of commit 4c58500, and
+// decodes their frames.
 func TestGoldenFrames(t *testing.T) {
 	for name, f := range frames() {
 		t.Run(name, func(t *testing.T) { golden.Message(t, name, f) })
--- a/internal/daemon/peer/link.go
+++ b/internal/daemon/peer/link.go
@@ -17,45 +17,44 @@
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
 
-// The times and bounds of a link.
+// Timeouts and bounds of a link.
 const (
 	heartbeatInterval = 250 * time.Millisecond
-	// receiveTimeout is how long a peer may send nothing before its link is given up: four
-	// heartbeats.
+	// receiveTimeout closes a link on which nothing is received: four heartbeat intervals.
 	receiveTimeout = time.Second
 	// dialTimeout bounds connecting to a peer.
 	dialTimeout = time.Second
-	// backoffResetTime is how long a link must have been open for the back-off to start again.
+	// backoffResetTime is how long a link must have been open for its back-off to be reset.
 	backoffResetTime = 2 * time.Second
-	// queueLength bounds the messages that wait for a link. A link that is
-	// further behind is given up; its owner announces everything anew then.
+	// queueLength bounds the messages queued for a link. A link whose queue overflows is closed;
+	// its owner announces its requests again on the next one.
 	queueLength = 16384
-	// maxBatch bounds the messages of one frame.
+	// maxBatch bounds the messages in a frame.
 	maxBatch = 256
 )
 
-// linkBackoff is the wait between two tries to connect.
+// linkBackoff is the delay between attempts to connect.
 var linkBackoff = backoff.Doubling{First: 100 * time.Millisecond, Longest: 2 * time.Second}
 
-// Events are what a link reports to the host that it belongs to. The functions must
-// not block.
+// Events are the callbacks of a link. They must not block.
 type Events struct {
-	// OnUp is called when a link is open, Down when it is lost or can't be opened.
+	// OnUp is called when a link has opened, OnDown when it was lost or can't be opened.
 	OnUp   func(host string)
 	OnDown func(host string)
-	// OnLeaving is called when the peer says that it schedules no more.
+	// OnLeaving is called when the peer reports that it no longer schedules.
 	OnLeaving func(host string)
-	// Revision returns this host's revision of the settings, Newer hands over the
-	// peer's.
+	// Revision returns this host's revision of the settings. OnRevision receives the peer's
+	// revision.
 	Revision   func() uint64
 	OnRevision func(revision uint64)
-	// OnDecision hands over a decision of the peer's scheduler.
+	// OnDecision receives a decision of the peer's scheduler.
 	OnDecision func(host, shard string, decision admission.Decision)
 }
 
-// LinkParts are what a link works with.
+// LinkParts are the dependencies of a Link.
 type LinkParts struct {
-	// Self is this host's name, Host and Address are the peer's, Key is the one that all share.
+	// Self is this host's name. Host and Address are the peer's name and address. Key is the key
+	// that all hosts share.
 	Self    string
 	Host    string
 	Address string
@@ -64,8 +63,7 @@
 	Events  Events
 }
 
-// Link is this host's connection, as an owner of requests, to the schedulers of
-// a peer.
+// Link is the connection from this host, as an owner of requests, to the schedulers of a peer.
 type Link struct {
 	parts LinkParts
 	done  chan struct{}
@@ -76,7 +74,7 @@
 	queue chan wireMessage
 }
 
-// Dial starts a link. It connects, and connects again when it is lost, until
+// Dial starts a link. The link connects in the background, and reconnects when it is lost, until
 // Close.
 func Dial(parts LinkParts) *Link {
 	l := &Link{parts: parts, done: make(chan struct{}), ended: make(chan struct{})}
@@ -84,14 +82,14 @@
 	return l
 }
 
-// Close ends the link.
+// Close closes the link and waits for its goroutine to end.
 func (l *Link) Close() {
 	close(l.done)
 	<-l.ended
 }
 
-// Send queues a message. While the link is down messages are dropped: once it
-// is up, the owner announces everything.
+// Send queues a message. Messages are dropped while the link is down: the owner announces all its
+// requests when the link is up again.
 func (l *Link) Send(shardName string, m *shard.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,7 +110,7 @@
 	defer cancel()
 	for failures := 0; ctx.Err() == nil; failures++ {
 		begun := time.Now()
-		// The error is the reason for trying again; Down reports it.
+		// The error only triggers the next attempt; OnDown reports the failure.
 		_ = l.connect(ctx)
 		l.closeQueue()
 		if ctx.Err() != nil {
@@ -135,7 +133,7 @@
 	}
 }
 
-// connect opens the link and serves it until it breaks.
+// connect opens the link and serves it until it fails.
 func (l *Link) connect(ctx context.Context) error {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", l.parts.Address)
@@ -163,7 +161,7 @@
 	return l.read(stream, watch)
 }
 
-// authenticate proves both sides to each other.
+// authenticate runs the client's side of the mutual authentication with the shared key.
 func authenticate(stream drpc.Stream, self, key string) error {
 	nonce := newNonce()
 	if err := stream.MsgSend(&frame{Kind: kindHello, Host: self, Nonce: nonce}, encoding{}); err != nil {
@@ -179,7 +177,7 @@
 	return merry.Wrap(stream.MsgSend(&frame{Kind: kindProof, Proof: proof(key, roleOwner, challenge.Nonce)}, encoding{}))
 }
 
-// write sends queued messages in batches; heartbeats go in between.
+// write sends queued messages in batches, and heartbeats at each interval.
 func (l *Link) write(stream drpc.Stream, raw net.Conn, queue chan wireMessage) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -202,7 +200,7 @@
 	}
 }
 
-// batch collects what is queued, up to the bound of a frame.
+// batch takes queued items without waiting, up to the bound of a frame.
 func batch[T any](first T, queue <-chan T) []T {
 	list := []T{first}
 	for len(list) < maxBatch {
@@ -240,7 +238,7 @@
 	}
 }
 
-// watchdog closes a connection on which nothing is received.
+// watchdog closes a connection on which nothing is received for receiveTimeout.
 type watchdog struct {
 	timer *time.Timer
 }
--- a/internal/daemon/peer/server.go
+++ b/internal/daemon/peer/server.go
@@ -16,16 +16,16 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 )
 
-// ownerReconnectTimeout is how long an owner whose link is lost may stay away before its requests are dropped. Two silence limits,
-// time for a link to be made again.
+// ownerReconnectTimeout is how long after the loss of its link an owner's requests are kept. It is
+// twice receiveTimeout, which leaves time for a new link.
 const ownerReconnectTimeout = 2 * time.Second
 
-// Server is this host's side, as a scheduler, of the links from owners.
+// Server accepts the links of owners on behalf of this host's schedulers.
 type Server struct {
 	parts ServerParts
 
 	mu sync.Mutex
-	// sessions holds the newest session of each owner, until none of its messages can be
+	// sessions holds the newest session of each owner, until no message of the session can be
 	// applied any more.
 	sessions map[string]*session
 	leaving  bool
@@ -33,32 +33,32 @@
 	ended    chan struct{}
 }
 
-// session is one owner's open link.
+// session is an owner's link.
 type session struct {
 	owner string
 	queue chan wireDecision
-	// closed is set once the queue is closed, which breaks the link.
+	// closed is set once the queue is closed, which closes the link.
 	closed  bool
 	leaving chan struct{}
-	// ended is closed when no more of the owner's messages come from this link.
+	// ended is closed once all messages received on this link have been applied.
 	ended chan struct{}
 }
 
-// ServerParts are what a server works with.
+// ServerParts are the dependencies of a Server.
 type ServerParts struct {
-	// Self is this host's name, Key the one that all peers share.
+	// Self is this host's name. Key is the key that all peers share.
 	Self  string
 	Key   string
 	Clock func() time.Time
-	// Apply hands an owner's message to a scheduler, Drop the end of an owner.
+	// Apply passes an owner's message to a scheduler. DropOwner removes all requests of an owner.
 	Apply     func(shard string, m *shard.Message)
 	DropOwner func(owner string)
-	// Settings returns the settings in force, Newer is called with an owner's revision.
+	// Settings returns the settings in force. OnRevision receives an owner's revision of them.
 	Settings   func() change.Document
 	OnRevision func(revision uint64)
 }
 
-// NewServer returns a server that does not listen yet.
+// NewServer returns a server that is not listening yet.
 func NewServer(parts ServerParts) *Server {
 	return &Server{parts: parts, sessions: make(map[string]*session), ended: make(chan struct{})}
 }
@@ -69,18 +69,18 @@
 	s.cancel = cancel
 	go func() {
 		defer close(s.ended)
-		// It ends when ctx is cancelled; its error says just that.
+		// Serve returns only when ctx is cancelled, and its error reports just that.
 		_ = drpcserver.New(s).Serve(ctx, listener)
 	}()
 }
 
-// Close breaks all links.
+// Close closes all links.
 func (s *Server) Close() {
 	s.cancel()
 	<-s.ended
 }
 
-// AnnounceLeaving informs all owners that this host schedules no more.
+// AnnounceLeaving notifies all owners that this host no longer schedules.
 func (s *Server) AnnounceLeaving() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,8 +90,8 @@
 	}
 }
 
-// Deliver sends a decision to an owner. Without a link it is dropped: the owner
-// announces its requests when it comes back, or another scheduler has them.
+// Deliver sends a decision to an owner. Without a link the decision is dropped: the owner announces
+// its requests again when it reconnects, or has moved them to another scheduler.
 func (s *Server) Deliver(shardName string, d admission.Decision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,12 +102,12 @@
 	select {
 	case session.queue <- encodeDecision(s.parts.Clock(), shardName, &d):
 	default:
-		// An owner that is so far behind is as good as gone.
+		// An owner whose queue overflows is treated as disconnected.
 		session.close()
 	}
 }
 
-// close breaks the link if it is open. The server's lock is held.
+// close closes the link if it is open. The server's lock is held.
 func (s *session) close() {
 	if !s.closed {
 		s.closed = true
@@ -115,7 +115,7 @@
 	}
 }
 
-// HandleRPC serves one link.
+// HandleRPC authenticates the owner and serves a link or a request for the settings.
 func (s *Server) HandleRPC(stream drpc.Stream, rpc string) error {
 	owner, err := s.authenticate(stream)
 	if err != nil {
@@ -132,8 +132,8 @@
 	if old != nil {
 		<-old.ended
 	}
-	// The owner announces all it has on a new link. What is held of it from
-	// before is dropped first: it may have ended while no link was there.
+	// The owner announces all its requests on a new link. Its earlier state is dropped first, since
+	// requests may have ended while there was no link.
 	s.parts.DropOwner(owner)
 	go s.write(stream, session)
 	err = s.read(stream, owner)
@@ -162,8 +162,8 @@
 	return hello.Host, nil
 }
 
-// openSession makes a session, and closes the owner's old one if there is one. No message of
-// the old one is applied after its ended is closed.
+// openSession creates a session and closes the owner's previous one, if any. No message of the
+// previous session is applied after its ended channel is closed.
 func (s *Server) openSession(owner string) (entered, old *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,8 +181,8 @@
 	return session, old
 }
 
-// endSession ends a session, and drops the owner's requests if it does not come back
-// in time.
+// endSession removes a session, and drops the owner's requests if it does not reconnect within
+// ownerReconnectTimeout.
 func (s *Server) endSession(ended *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -202,8 +202,8 @@
 	})
 }
 
-// forceReconnect breaks an owner's link if it has come back while its requests were being
-// dropped: it announces them again on the next.
+// forceReconnect closes the owner's link if it reconnected while its requests were being dropped,
+// so that it announces them again on the next link.
 func (s *Server) forceReconnect(owner string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -221,8 +221,8 @@
 		select {
 		case decision, ok := <-session.queue:
 			if !ok {
-				// The link of the same owner is open anew, or lost; either way this
-				// one is over.
+				// The owner has opened a newer link, or this one was lost. Closing the stream ends
+				// the session in either case.
 				_ = stream.Close()
 				return
 			}
--- a/internal/daemon/peer/server_test.go
+++ b/internal/daemon/peer/server_test.go
@@ -9,22 +9,20 @@
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-// TestNewLinkWaitsForOldSession is a fault that was found by reading, in search of the slot that
-// stayed taken in TestCut (see TestAnEndedRequestStaysWithItsScheduler of package dispatch): a
-// session that the server itself had ended could still apply an owner's message after the owner's
-// next link had dropped its requests. If the request had ended meanwhile, nothing would ever free its
-// slot.
+// TestNewLinkWaitsForOldSession guards against a session that the server closed and that still
+// applies a message after the owner's next link has dropped its requests. If the request had ended
+// in between, its slot would never be freed.
 func TestNewLinkWaitsForOldSession(t *testing.T) {
 	tests := map[string]struct {
-		// end ends the first session of the owner.
+		// end ends the owner's first session.
 		end  func(s *Server, first *session)
 		want bool
 	}{
-		"replaced by a new link":       {func(*Server, *session) {}, true},
-		"renewed after the grace":      {func(s *Server, _ *session) { s.forceReconnect("owner") }, true},
-		"too far behind":               {func(s *Server, first *session) { overflow(s, first) }, true},
-		"renewed, and has ended since": {func(s *Server, first *session) { s.forceReconnect("owner"); s.endSession(first) }, false},
-		"left by itself":               {func(s *Server, first *session) { s.endSession(first) }, false},
+		"replaced by a new link":         {func(*Server, *session) {}, true},
+		"reconnect forced after timeout": {func(s *Server, _ *session) { s.forceReconnect("owner") }, true},
+		"queue overflowed":               {func(s *Server, first *session) { overflow(s, first) }, true},
+		"reconnect forced, then ended":   {func(s *Server, first *session) { s.forceReconnect("owner"); s.endSession(first) }, false},
+		"closed by the owner":            {func(s *Server, first *session) { s.endSession(first) }, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -39,15 +37,16 @@
 	}
 }
 
-// overflow delivers decisions until the owner counts as gone.
+// overflow delivers decisions until the owner's queue overflows.
 func overflow(s *Server, session *session) {
 	for range cap(session.queue) + 1 {
 		s.Deliver("shard", admission.Decision{Owner: session.owner})
 	}
 }
 
-// TestOwnerThatFellBehindIsDropped failed while only links that the owner itself ended
-// counted: an owner that fell too far behind and never came back kept its slots for good.
+// TestOwnerThatFellBehindIsDropped guards against a slot leak: the requests of an owner whose queue
+// overflowed, and which never reconnects, must be dropped as if the owner had closed the link
+// itself.
 func TestOwnerThatFellBehindIsDropped(t *testing.T) {
 	c := qt.New(t)
 	dropped := make(chan string, 1)
--- a/internal/daemon/peer/settings.go
+++ b/internal/daemon/peer/settings.go
@@ -11,8 +11,8 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/change"
 )
 
-// FetchSettings asks a peer for its settings. It returns a document of revision 0
-// if the peer has none newer than the given revision.
+// FetchSettings requests the settings of a peer. It returns a document of revision 0 if the peer
+// has none newer than the given revision.
 func FetchSettings(ctx context.Context, self, address, key string, newer uint64) (change.Document, error) {
 	var none change.Document
 	dialer := net.Dialer{Timeout: dialTimeout}
--- a/internal/daemon/peer/wire.go
+++ b/internal/daemon/peer/wire.go
@@ -14,37 +14,37 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 )
 
-// ErrWrongKey means that a peer does not know the shared key.
-var ErrWrongKey = merry.Sentinel("peer does not know the shared key")
+// ErrWrongKey is returned when a peer fails to prove that it has the shared key.
+var ErrWrongKey = merry.Sentinel("peer failed to prove knowledge of the shared key")
 
-// The calls: a link for scheduling, and one answer with the settings in force.
+// RPC names: a link for scheduling, and a single request for the settings in force.
 const (
 	rpcLink     = "/oxbowslip.Peer/Link"
 	rpcSettings = "/oxbowslip.Peer/Settings"
 )
 
-// kind is what a frame carries.
+// kind is the type of a frame.
 type kind uint8
 
 const (
-	// kindHello opens a link: the owner's name and a nonce.
+	// kindHello opens a link with the owner's name and a nonce.
 	kindHello kind = iota
-	// kindChallenge answers it: the scheduler's proof and a nonce of its own.
+	// kindChallenge answers it with the scheduler's proof and a nonce of its own.
 	kindChallenge
-	// kindProof ends the opening: the owner's proof.
+	// kindProof completes the handshake with the owner's proof.
 	kindProof
-	// kindHeartbeat shows that the sender is alive, and its revision of the settings.
+	// kindHeartbeat shows that the sender is alive, and carries its revision of the settings.
 	kindHeartbeat
 	kindMessages
 	kindDecisions
-	// kindLeaving: the sender schedules no more.
+	// kindLeaving reports that the sender no longer schedules.
 	kindLeaving
-	// kindSettingsRequest asks for settings newer than Revision, kindSettings answers.
+	// kindSettingsRequest requests settings newer than Revision; kindSettings is the response.
 	kindSettingsRequest
 	kindSettings
 )
 
-// frame is one message of a link. Unused fields are empty.
+// frame is a message of a link. Unused fields are empty.
 type frame struct {
 	Kind      kind           `cbor:"1,keyasint"`
 	Host      string         `cbor:"2,keyasint,omitempty"`
@@ -56,8 +56,8 @@
 	Data      []byte         `cbor:"8,keyasint,omitempty"`
 }
 
-// wireMessage is an owner's message. Times are sent as ages, since the hosts'
-// clocks differ. Only the first word of a request carries the request itself.
+// wireMessage is the encoded form of an owner's message. Times are sent as ages, since the hosts'
+// clocks differ. Only Submit and Adopt messages carry the request itself.
 type wireMessage struct {
 	_        struct{} `cbor:",toarray"`
 	Shard    string
@@ -70,7 +70,8 @@
 	Request  *admission.Request
 }
 
-// wireDecision is a scheduler's decision, with the time left for a grant.
+// wireDecision is the encoded form of a scheduler's decision. Left is the remaining time of a
+// grant.
 type wireDecision struct {
 	Shard    string             `cbor:"1,keyasint"`
 	Left     time.Duration      `cbor:"2,keyasint,omitempty"`
@@ -117,7 +118,7 @@
 	return d
 }
 
-// encoding is CBOR for drpc.
+// encoding implements drpc.Encoding with CBOR.
 type encoding struct{}
 
 // Marshal encodes a frame.
@@ -128,18 +129,18 @@
 	return cbor.Unmarshal(data, message)
 }
 
-// nonceBytes is the length of a challenge: 128 bits are not guessed or seen twice.
+// nonceBytes is the length of a challenge: 128 bits can't be guessed and don't repeat.
 const nonceBytes = 16
 
 func newNonce() []byte {
 	nonce := make([]byte, nonceBytes)
-	// Read never fails; the package says so.
+	// Read is documented never to return an error.
 	_, _ = rand.Read(nonce)
 	return nonce
 }
 
-// proof shows knowledge of the key for a nonce of the other side. The role
-// keeps a proof from being sent back as the other side's own.
+// proof proves knowledge of the key for the other side's nonce. The role prevents a proof from
+// being reflected to its sender.
 func proof(key, role string, nonce []byte) []byte {
 	mac := hmac.New(sha256.New, []byte(key))
 	mac.Write([]byte(role))
--- a/internal/daemon/peer/wire_test.go
+++ b/internal/daemon/peer/wire_test.go
@@ -14,7 +14,7 @@
 
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// submit is a request of ordinary size: a prompt of 1,500 tokens.
+// submit returns the message for a request of ordinary size, with a prompt of 1,500 tokens.
 func submit(i int) *shard.Message {
 	r := admission.Request{
 		ID: fmt.Sprintf("0c5f3ad2-1111-4222-8333-%012d", i), Owner: "host-1", Workspace: "prairie-boats", Class: "itinerary", Tier: 1,
@@ -33,7 +33,7 @@
 	c.Assert(err, qt.IsNil)
 	var got frame
 	c.Assert(encoding{}.Unmarshal(data, &got), qt.IsNil)
-	// The other host's clock is an hour ahead; the age is what counts.
+	// The receiving host's clock is an hour ahead; only the age counts.
 	receivedAt := sentAt.Add(time.Hour)
 	m := got.Messages[0].decode(receivedAt, "host-1")
 	want := submit(1)
@@ -44,16 +44,16 @@
 	c.Assert(decision.decode(receivedAt).Until, qt.Equals, receivedAt.Add(2*time.Second))
 }
 
-// encodedSize is the size of a frame with one message.
+// encodedSize returns the size of a frame in bytes.
 func encodedSize(f *frame) int {
 	data, err := cbor.Marshal(f)
 	if err != nil {
-		panic(err) // Plain structs always marshal.
+		panic(err) // A frame can always be encoded.
 	}
 	return len(data)
 }
 
-// requestBytes is what one request costs on a link, both ways: submit, grant,
+// requestBytes returns the bytes that a request costs on a link in each direction: submit, grant,
 // started, first token, progress every 16 tokens, finished.
 func requestBytes(tokens int) (owner, scheduler int) {
 	id := submit(1).ID
@@ -73,7 +73,7 @@
 	return owner, scheduler
 }
 
-// TestWireBytes bounds what a request costs on a link.
+// TestWireBytes bounds the bytes that a request costs on a link.
 func TestWireBytes(t *testing.T) {
 	c := qt.New(t)
 	owner, scheduler := requestBytes(310)
--- a/internal/daemon/poller/poller.go
+++ b/internal/daemon/poller/poller.go
@@ -1,10 +1,10 @@
-// Package poller keeps the newest accepted settings in force on a host of oxbowslipd. It polls
-// the head row of the platform's table with jitter, reads the changes since the revision that it
-// has, and keeps what it has while the platform is away. oxbowslip-front follows a feed instead
-// (package follow).
+// Package poller keeps the newest accepted settings in force on a host of oxbowslipd. It polls the
+// head row of the platform's table with jitter, reads the changes since its own revision, and keeps
+// its settings while the platform is unavailable. oxbowslip-front follows a feed instead (package
+// follow).
 //
-// It owns the document in force, and the form of the rows that hold the settings; package commit
-// writes them.
+// It owns the document in force and the format of the rows that hold the settings; package commit
+// writes the rows.
 package poller
 
 import (
@@ -27,57 +27,56 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// HeadKey is the row that names the newest revision.
+// HeadKey is the key of the row that names the newest revision.
 const HeadKey = "settings/head"
 
 // Head is the value of the head row.
 type Head struct {
 	Revision uint64 `json:"revision"`
-	// Snapshot is the revision of the newest whole tree in the object store,
-	// SnapshotName its object.
+	// Snapshot is the revision of the newest whole tree in the object store, and SnapshotName the
+	// name of its object.
 	Snapshot     uint64 `json:"snapshot"`
 	SnapshotName string `json:"snapshot_name"`
 }
 
-// ChangeKey returns the key of the row of an accepted change.
+// ChangeKey returns the key of the row that holds the accepted change of a revision.
 func ChangeKey(revision uint64) string {
 	return fmt.Sprintf("settings/change/%020d", revision)
 }
 
-// SnapshotName returns the name of the object that holds a whole revision.
+// SnapshotName returns the name of the object that holds the whole tree of a revision.
 func SnapshotName(revision uint64, changeID string) string {
 	return "settings-" + strconv.FormatUint(revision, 10) + "-" + changeID
 }
 
-// Follower keeps a holder up to date.
+// Follower keeps a settings holder up to date.
 type Follower struct {
 	parts Parts
 
-	// ctx ends with Run. nudged says that a poll for a peer's newer revision is
-	// under way.
+	// ctx ends with Run. pollPending is set while a poll that a peer's newer revision caused is
+	// scheduled or running.
 	ctx         context.Context
 	cancel      context.CancelFunc
 	pollPending atomic.Bool
 
 	mu       sync.Mutex
 	document change.Document
-	// problem is why nothing newer is in force, or nil.
+	// problem is the error of the last poll, or nil.
 	problem error
-	// confirmedAt is when the platform or a peer last showed that nothing newer is
-	// known.
+	// confirmedAt is when the platform or a peer last confirmed that the host has the newest
+	// settings known to it.
 	confirmedAt time.Time
 }
 
-// FetchFromPeers asks other hosts for their settings while the platform is away. It
-// returns the newest document that is newer than the revision, if any, and whether
-// any peer answered.
+// FetchFromPeers requests settings from other hosts while the platform is unavailable. It returns a
+// document newer than the given revision, if any, and whether any peer answered.
 type FetchFromPeers func(ctx context.Context, newer uint64) (document change.Document, answered bool)
 
-// maxIsolation is how long a host that reaches neither the platform nor a peer trusts its settings. The same as maxIsolation
-// of package front.
+// maxIsolation is how long a host that reaches neither the platform nor a peer trusts its settings.
+// It equals maxIsolation of package front.
 const maxIsolation = 30 * time.Second
 
-// Parts are what a follower works with.
+// Parts are the dependencies of a Follower.
 type Parts struct {
 	Client   *tableclient.Client
 	Holder   *settings.Holder
@@ -85,35 +84,35 @@
 	Log      *logrus.Entry
 	// Interval is the mean time between two reads of the head row.
 	Interval time.Duration
-	// FetchFromPeers are asked while the platform is away.
+	// FetchFromPeers is called while the platform is unavailable.
 	FetchFromPeers FetchFromPeers
 	Clock          func() time.Time
-	// Random returns numbers from 0 up to 1.
+	// Random returns numbers in [0, 1).
 	Random func() float64
 }
 
-// New returns a follower that has read nothing.
+// New returns a follower that has no settings yet.
 func New(p Parts) *Follower {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Follower{parts: p, ctx: ctx, cancel: cancel, confirmedAt: p.Clock()}
 }
 
-// IsStale reports whether the host has been cut off for so long, from the platform
-// and from all peers, that it can't know whether its settings are current.
+// IsStale reports whether the host has reached neither the platform nor a peer for longer than
+// maxIsolation, so that its settings may be outdated.
 func (f *Follower) IsStale() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.parts.Clock().Sub(f.confirmedAt) > maxIsolation
 }
 
-// Problem returns why the last read brought nothing, or nil.
+// Problem returns the error of the last poll, or nil.
 func (f *Follower) Problem() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.problem
 }
 
-// Document returns the revision that the host has read.
+// Document returns the settings document that the host has read.
 func (f *Follower) Document() change.Document {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -126,11 +125,12 @@
 	lifetime.Every(done, f.parts.Interval, f.parts.Random, f.Poll)
 }
 
-// maxPollDelay is the time over which hosts that learn of a newer revision at once spread their reads.
+// maxPollDelay bounds the random delay of a poll after a peer reports a newer revision. It spreads
+// the reads of hosts that receive the report at the same time.
 const maxPollDelay = 200 * time.Millisecond
 
-// HandlePeerRevision reports that a peer has a revision. If it is newer, the platform is asked
-// soon.
+// HandlePeerRevision processes the settings revision that a peer reports. If it is newer than the
+// one in force, the platform is polled within maxPollDelay.
 func (f *Follower) HandlePeerRevision(revision uint64) {
 	current := f.parts.Holder.Current()
 	if current == nil || revision <= current.Number || !f.pollPending.CompareAndSwap(false, true) {
@@ -144,7 +144,7 @@
 	})
 }
 
-// Poll reads the head once and puts what is new in force.
+// Poll reads the head row once and puts newer settings in force.
 func (f *Follower) Poll(ctx context.Context) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -156,7 +156,7 @@
 		f.confirmedAt = f.parts.Clock()
 	}
 	if err != nil && f.problem == nil {
-		f.parts.Log.WithError(err).Warn("settings can't be read, the last ones stay in force")
+		f.parts.Log.WithError(err).Warn("settings can't be read from the platform, the last ones stay in force")
 	}
 	f.problem = err
 	if errors.Is(err, tableclient.ErrUnavailable) {
@@ -164,8 +164,8 @@
 	}
 }
 
-// fetchFromPeers adopts newer settings of a peer: one that started earlier, or that
-// still reaches the platform.
+// fetchFromPeers adopts newer settings from a peer, which may have started earlier or may still
+// reach the platform.
 func (f *Follower) fetchFromPeers(ctx context.Context) {
 	document, answered := f.parts.FetchFromPeers(ctx, f.document.Revision)
 	if !answered {
@@ -176,7 +176,7 @@
 		return
 	}
 	if err := f.apply(document); err != nil {
-		f.parts.Log.WithError(err).Warn("a peer's settings can't be read")
+		f.parts.Log.WithError(err).Warn("settings from a peer can't be decoded, they are ignored")
 	}
 }
 
@@ -209,8 +209,8 @@
 	return row, head, merry.Prepend(err, "settings head")
 }
 
-// ReadDocument reads the revision of a head, from the snapshot or from an older
-// revision that is known, whichever is newer.
+// ReadDocument reads the document of a head, starting from the snapshot or the known document,
+// whichever is newer.
 func ReadDocument(ctx context.Context, client *tableclient.Client, head Head, known change.Document) (change.Document, error) {
 	document := known
 	if document.Revision < head.Snapshot {
@@ -236,7 +236,7 @@
 	return document, nil
 }
 
-// ReadChange reads one accepted change.
+// ReadChange reads the accepted change of a revision.
 func ReadChange(ctx context.Context, client *tableclient.Client, revision uint64) (settings.Change, error) {
 	var c settings.Change
 	row, err := client.Read(ctx, ChangeKey(revision))
@@ -247,8 +247,8 @@
 	return c, merry.Prepend(err, "settings change")
 }
 
-// apply checks a revision and puts it in force. One that this program can't read
-// is left out, and the last one stays in force.
+// apply validates a document and puts it in force. If this program can't decode the document, the
+// previous one stays in force.
 func (f *Follower) apply(document change.Document) error {
 	tree, err := document.Tree()
 	if err != nil {
--- a/internal/daemon/poller/poller_test.go
+++ b/internal/daemon/poller/poller_test.go
@@ -17,8 +17,8 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// TestIsolatedHostKeepsSettings takes the platform and then the peers away: the last settings stay
-// in force, and the host finds out when it can no longer trust them.
+// TestIsolatedHostKeepsSettings takes down the platform and then the peers. The last settings must
+// stay in force, and IsStale must report true once neither has answered for a minute.
 func TestIsolatedHostKeepsSettings(t *testing.T) {
 	c := qt.New(t)
 	p := standin.NewPlatform(standin.PlatformConfig{})
@@ -46,13 +46,13 @@
 		revision uint64
 		stale    bool
 	}{
-		{name: "the platform is there", revision: 1},
-		{name: "a peer has nothing newer", down: true, answers: true, revision: 1},
-		{name: "a peer has a newer revision", down: true, answers: true, offered: change.Document{Revision: 4, Data: []byte(`{"root":{}}`)}, revision: 4},
-		{name: "a peer has an older revision", down: true, answers: true, offered: change.Document{Revision: 2, Data: []byte(`{"root":{}}`)}, revision: 4},
-		{name: "a peer has one that can't be read", down: true, answers: true, offered: change.Document{Revision: 9, Data: []byte(`{"stem":{}}`)}, revision: 4},
-		{name: "nobody answers", down: true, revision: 4, stale: true},
-		{name: "the platform is back, behind", revision: 4},
+		{name: "platform available", revision: 1},
+		{name: "peer has nothing newer", down: true, answers: true, revision: 1},
+		{name: "peer has a newer revision", down: true, answers: true, offered: change.Document{Revision: 4, Data: []byte(`{"root":{}}`)}, revision: 4},
+		{name: "peer has an older revision", down: true, answers: true, offered: change.Document{Revision: 2, Data: []byte(`{"root":{}}`)}, revision: 4},
+		{name: "peer has a newer revision that can't be decoded", down: true, answers: true, offered: change.Document{Revision: 9, Data: []byte(`{"stem":{}}`)}, revision: 4},
+		{name: "neither platform nor peers answer", down: true, revision: 4, stale: true},
+		{name: "platform is back with an older revision", revision: 4},
 	}
 	for _, s := range steps {
 		p.SetFaults(standin.PlatformFaults{Down: s.down})
