--- a/internal/daemon/api/api.go
+++ b/internal/daemon/api/api.go
@@ -1,8 +1,9 @@
-// Package api is the callers' interface of oxbowslipd: chat requests as OpenAI clients send them, and
-// calls of plain services. It finds the workspace and class of a request, checks it, and relays the
-// answer. oxbowslip-front routes by host name and path instead (package relay).
+// Package api implements the callers' HTTP interface of oxbowslipd: chat requests in the format of
+// OpenAI clients, and calls of plain services. It resolves the workspace and class of a request,
+// validates it, and relays the answer. oxbowslip-front routes by host name and path instead
+// (package relay).
 //
-// It owns one exchange for each open request; package owner leads it through its attempts.
+// It owns an exchange for each open request; package owner runs the attempts of the exchange.
 package api
 
 import (
@@ -27,7 +28,7 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// The headers of the callers' interface.
+// Headers of the callers' interface.
 const (
 	HeaderClass          = "X-Request-Class"
 	HeaderRequestID      = "X-Request-Id"
@@ -36,28 +37,29 @@
 	HeaderWorkspace      = "X-Workspace"
 )
 
-// The limits of calls.
+// Limits of calls.
 const (
-	// readHeaderTimeout bounds how long a caller may send its headers: slow networks pass, idle
-	// connections that hold memory do not.
+	// readHeaderTimeout bounds the time in which a caller must send its headers. It admits slow
+	// networks, and drops idle connections, which hold memory.
 	readHeaderTimeout = 10 * time.Second
-	// maxHeaderBytes bounds the headers of a call in memory.
+	// maxHeaderBytes bounds the size of a call's headers.
 	maxHeaderBytes = 32 << 10
-	// maxIDLength bounds a caller's request ID in bytes, which stands in logs and explanations.
+	// maxIDLength bounds the bytes of a caller's request ID, which appears in logs and
+	// explanations.
 	maxIDLength = 128
 )
 
-// Claims reserves an idempotency key for one request, so that no other host runs
-// the same.
+// Claims reserves idempotency keys, so that only one of the requests with a key runs, whichever
+// hosts receive them.
 type Claims interface {
-	// Claim reports whether the key is this request's. An error means that
-	// nothing is known; the request must not run then.
+	// Claim reports whether the key is reserved for this request. An error means that this is not
+	// known, and the request must not run.
 	Claim(ctx context.Context, workspace, key, requestID string) (bool, error)
-	// Release frees the key of a request whose request did not run.
+	// Release frees the key of a request that did not run.
 	Release(workspace, key, requestID string)
 }
 
-// Parts are what a server works with.
+// Parts are the dependencies of a Server.
 type Parts struct {
 	// Host and Zone are this host's name and availability zone.
 	Host     string
@@ -70,17 +72,17 @@
 	Recorded *record.Ring
 	Clock    func() time.Time
 	Timeouts httprelay.Timeouts
-	// CheckReady returns the refusal for a host that can't take requests yet, or nil.
+	// CheckReady returns the refusal if the host can't accept requests yet, or nil.
 	CheckReady func() *request.Refusal
 }
 
-// Server answers callers.
+// Server serves callers.
 type Server struct{ parts Parts }
 
-// New returns the callers' server.
+// New returns a server of the callers' interface.
 func New(parts Parts) *Server { return &Server{parts: parts} }
 
-// HTTP returns the HTTP server, with the limits on what a caller may send.
+// HTTP returns the HTTP server, with its limits on the time and size of headers.
 func (s *Server) HTTP() *http.Server {
 	router := mux.NewRouter().UseEncodedPath().SkipClean(true)
 	router.HandleFunc("/v1/chat/completions", s.handle(s.chat)).Methods(http.MethodPost)
@@ -95,7 +97,7 @@
 	}
 }
 
-// caller is a request with what was found out about its sender.
+// caller is a call with the workspace, class and settings that apply to it.
 type caller struct {
 	id        string
 	arrived   time.Time
@@ -103,24 +105,24 @@
 	workspace string
 	class     string
 	policy    settings.Policy
-	// key is the idempotency key that the request holds, or empty.
+	// key is the idempotency key reserved for the request, or "".
 	key string
 }
 
-// fault is a refusal before the request has begun.
+// fault describes why a call is refused before its request begins.
 type fault struct {
 	reason request.Reason
 	detail string
 	known  []string
 }
 
-// faultOf turns a refusal into a fault.
+// faultOf converts a refusal to a fault.
 func faultOf(refusal *request.Refusal) *fault {
 	return &fault{reason: refusal.Reason, detail: refusal.Detail}
 }
 
-// handle assigns each request its ID, checks the key and the class, and turns a
-// fault into an answer.
+// handle assigns an ID to each call, authenticates the caller, and writes a fault as an error
+// response.
 func (s *Server) handle(next func(http.ResponseWriter, *http.Request, *caller) *fault) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		c := &caller{id: requestID(r), arrived: s.parts.Clock()}
@@ -137,9 +139,8 @@
 	}
 }
 
-// requestID returns the caller's ID if it is fit for logs and headers, and makes
-// one otherwise. The router adds its own part, so that two callers with the
-// same ID are not mixed up.
+// requestID returns the caller's ID if it is safe for logs and headers, with a random suffix that
+// distinguishes two requests of the same ID. Otherwise it returns a random ID.
 func requestID(r *http.Request) string {
 	generated := uuid.NewString()
 	given := r.Header.Get(HeaderRequestID)
@@ -169,7 +170,7 @@
 	return nil
 }
 
-// classify finds the class and its effective settings.
+// classify resolves the request class and its effective settings.
 func (c *caller) classify(class string) *fault {
 	if class == "" {
 		class = c.tree.DefaultClass(c.workspace)
@@ -194,7 +195,7 @@
 	}
 }
 
-// modelList is the answer of /v1/models.
+// modelList is the response of /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelInfo `json:"data"`
@@ -215,7 +216,7 @@
 	return nil
 }
 
-// modelNames lists the models that the workspace may call, sorted.
+// modelNames returns the sorted names of the models that the workspace may call.
 func (c *caller) modelNames() []string {
 	var names []string
 	for name := range c.tree.Models {
@@ -227,7 +228,7 @@
 	return names
 }
 
-// claimKey reserves the caller's idempotency key, if it sent one.
+// claimKey reserves the caller's idempotency key, if the call has one.
 func (s *Server) claimKey(r *http.Request, c *caller) *fault {
 	key := r.Header.Get(HeaderIdempotencyKey)
 	if key == "" {
@@ -247,8 +248,8 @@
 	return nil
 }
 
-// refuse answers a request of which nothing was sent to the caller. If it did
-// not run, its idempotency key is free again.
+// refuse writes a refusal to a caller that has received no part of an answer. If the request did
+// not run, its idempotency key is released.
 func (s *Server) refuse(w http.ResponseWriter, c *caller, refusal *request.Refusal) {
 	if c.key != "" && refusal.Ran == request.RanNo {
 		s.parts.Claims.Release(c.workspace, c.key, c.id)
@@ -256,7 +257,7 @@
 	writeRefusal(w, c.id, refusal, nil)
 }
 
-// admissionRequest fills in what the scheduler needs to know.
+// admissionRequest returns the scheduler's view of the call.
 func (s *Server) admissionRequest(c *caller) admission.Request {
 	p := &c.policy
 	return admission.Request{
@@ -268,15 +269,15 @@
 	}
 }
 
-// maxResumes bounds how often one stream is resumed at its engine: a connection that breaks more often is not the
-// exception for which resuming is there.
+// maxResumes bounds how often a stream is resumed at its engine. Resuming is meant for a rare
+// broken connection, not for an endpoint whose connections keep breaking.
 const maxResumes = 3
 
 func attemptRules(p *settings.Policy) request.Rules {
 	return request.Rules{Repeatable: p.Repeatable, MaxTries: p.MaxTries, MaxResumes: maxResumes}
 }
 
-// metTargets reports whether an answer met its class's targets.
+// metTargets reports whether an answer met the latency targets of its class.
 func metTargets(p *settings.Policy, end *owner.End, whole time.Duration) bool {
 	if p.FirstToken > 0 && end.FirstToken > p.FirstToken {
 		return false
@@ -291,7 +292,7 @@
 	return mean <= p.BetweenTokens
 }
 
-// cacheSalt keeps the workspaces' cached prompts apart in shared engines.
+// cacheSalt returns a salt that separates the cached prompts of workspaces in shared engines.
 func cacheSalt(workspace string) string {
 	sum := sha256.Sum256([]byte("oxbowslip cache " + workspace))
 	return hex.EncodeToString(sum[:16])
--- a/internal/daemon/api/body.go
+++ b/internal/daemon/api/body.go
@@ -7,16 +7,16 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// chatBody is the part of a caller's chat request that the router reads or
-// sets. All else is passed on as it came. A member that stands twice is a
-// fault: the router and the engine might each take another of the two.
+// chatBody holds the members of a chat request that the router reads or sets. Other members are
+// passed on unchanged. A duplicate member is an error, since the router and the engine might use
+// different values of it.
 type chatBody struct {
 	Model               string         `json:"model"`
 	Messages            jsontext.Value `json:"messages"`
 	Stream              bool           `json:"stream,omitzero"`
 	MaxTokens           *int           `json:"max_tokens,omitzero"`
 	MaxCompletionTokens *int           `json:"max_completion_tokens,omitzero"`
-	// The router sets these for the engine; a caller's own values are replaced.
+	// The router sets these for the engine, replacing the caller's values.
 	Priority             *int           `json:"priority,omitzero"`
 	CacheSalt            string         `json:"cache_salt,omitzero"`
 	ContinueFinalMessage bool           `json:"continue_final_message,omitzero"`
@@ -24,14 +24,13 @@
 	Rest                 jsontext.Value `json:",embed"`
 }
 
-// message is one message of a chat, as the router writes it when it goes on
-// from a part of an answer.
+// message is a chat message that the router appends to continue from a partial answer.
 type message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// decodeChat reads a caller's body. The error says what is wrong with it.
+// decodeChat decodes and validates a caller's body. The error describes the first problem.
 func decodeChat(data []byte) (*chatBody, error) {
 	body := new(chatBody)
 	if err := json.Unmarshal(data, body); err != nil {
@@ -51,8 +50,7 @@
 	return body, nil
 }
 
-// maxTokens returns the caller's bound on the answer, or the class's if that is
-// less.
+// maxTokens returns the smallest of the caller's bounds on the answer and the bound of the class.
 func (b *chatBody) maxTokens(bound int) int {
 	for _, n := range []*int{b.MaxTokens, b.MaxCompletionTokens} {
 		if n != nil {
@@ -62,8 +60,8 @@
 	return bound
 }
 
-// engineBody writes the body for an engine. With a part of an answer, the
-// engine is asked to go on from it.
+// engineBody encodes the body for an engine. If there is a partial answer, it asks the engine to
+// continue from it.
 func (b *chatBody) engineBody(priority int, salt string, maxTokens int, partial string, partialTokens int) ([]byte, error) {
 	out := *b
 	out.Priority = &priority
--- a/internal/daemon/api/chat.go
+++ b/internal/daemon/api/chat.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// maxAnswerBytes bounds a whole answer, which is held in memory.
+	// maxAnswerBytes bounds a unary answer, which is buffered in memory.
 	maxAnswerBytes = 16 << 20
 
 	chatPath     = "/v1/chat/completions"
@@ -31,7 +31,7 @@
 	eventType    = "text/event-stream"
 )
 
-// chat answers one chat request.
+// chat serves a chat request.
 func (s *Server) chat(w http.ResponseWriter, r *http.Request, c *caller) *fault {
 	if f := c.classify(r.Header.Get(HeaderClass)); f != nil {
 		return f
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// chatExchange is one chat request with its answer.
+// chatExchange is a chat request and its answer.
 type chatExchange struct {
 	server    *Server
 	caller    *caller
@@ -64,7 +64,7 @@
 	maxTokens int
 
 	stream *streamRelay
-	// answer is a unary answer that was seen whole.
+	// answer is a unary answer that was received completely.
 	answer *httprelay.HeldAnswer
 }
 
@@ -97,8 +97,8 @@
 	x.finish(&end)
 }
 
-// allEnginesContinue reports whether all engines of the model can go on from a part
-// of an answer, so that any of them may be granted.
+// allEnginesContinue reports whether all engines of the model can continue from a partial answer,
+// so that any of them may be granted.
 func (x *chatExchange) allEnginesContinue() bool {
 	for _, e := range x.caller.tree.Endpoints {
 		if e.Model == x.body.Model && !e.Continues {
@@ -124,7 +124,7 @@
 	}
 }
 
-// call builds the call for an attempt.
+// call builds the HTTP call of an attempt.
 func (x *chatExchange) call(a *owner.Attempt, partial string, partialTokens int) (httpclient.Call, error) {
 	c := x.caller
 	data, err := x.body.engineBody(c.policy.Tier, cacheSalt(c.workspace), x.maxTokens, partial, partialTokens)
@@ -147,8 +147,8 @@
 	}, nil
 }
 
-// unary makes one attempt at a request without a stream. The answer is kept
-// until it is whole.
+// unary makes an attempt at a request without streaming. The answer is buffered until it is
+// complete.
 func (x *chatExchange) unary(ctx context.Context, a *owner.Attempt) owner.Result {
 	call, err := x.call(a, "", 0)
 	if err != nil {
@@ -180,8 +180,8 @@
 	return owner.Result{Event: request.EventWhole}
 }
 
-// endpointError turns an endpoint's error answer into a result. What the
-// endpoint finds wrong with the request itself is the caller's answer.
+// endpointError converts an endpoint's error response to a result. An error in the request itself
+// is returned to the caller as the answer.
 func (x *chatExchange) endpointError(response *http.Response, data []byte, a *owner.Attempt) owner.Result {
 	status := response.StatusCode
 	if gjson.GetBytes(data, "error.ran").String() == string(request.RanNo) {
@@ -197,7 +197,7 @@
 	return owner.Result{Event: request.EventWhole}
 }
 
-// clientErrorResult turns an error of the client into a result.
+// clientErrorResult converts an error of the HTTP client to a result.
 func clientErrorResult(err error) owner.Result {
 	if errors.Is(err, request.ErrNotSent) {
 		return owner.Result{Event: request.EventDialFailed, Err: err}
@@ -205,7 +205,7 @@
 	return owner.Result{Event: request.EventBroken, Err: err}
 }
 
-// streamAttempt sends a request for a stream, or the rest of one that broke.
+// streamAttempt requests a stream, or the remainder of a stream that broke off.
 func (x *chatExchange) streamAttempt(ctx context.Context, a *owner.Attempt) owner.Result {
 	call, err := x.call(a, x.stream.textSoFar(), x.stream.tokens)
 	if err != nil {
@@ -215,8 +215,7 @@
 	return x.relayStream(ctx, a, call)
 }
 
-// streamResume continues a broken stream at its engine, after the last event
-// that came.
+// streamResume resumes a broken stream at the same engine, after the last event received.
 func (x *chatExchange) streamResume(ctx context.Context, a *owner.Attempt) owner.Result {
 	pause := time.NewTimer(resumeDelay)
 	defer pause.Stop()
@@ -233,7 +232,7 @@
 	})
 }
 
-// resumeDelay is the time for a connection that broke to come back.
+// resumeDelay is the delay before a resume, in which a lost connection may recover.
 const resumeDelay = 20 * time.Millisecond
 
 func (x *chatExchange) relayStream(ctx context.Context, a *owner.Attempt, call httpclient.Call) owner.Result {
--- a/internal/daemon/api/fuzz_test.go
+++ b/internal/daemon/api/fuzz_test.go
@@ -23,7 +23,7 @@
 		}
 		out, err := body.engineBody(2, "salt", 10, "part ", 1)
 		if err != nil {
-			// Messages that are a list, but not of whole values, can't be added to.
+			// A list with an incomplete value can't be appended to.
 			return
 		}
 		var sent struct {
@@ -32,16 +32,16 @@
 			Rest      jsontext.Value `json:",embed"`
 		}
 		if err := json.Unmarshal(out, &sent); err != nil {
-			t.Fatalf("the engine's body is no JSON: %v", err)
+			t.Fatalf("body for the engine is not valid JSON: %v", err)
 		}
 		if sent.Priority != 2 || sent.CacheSalt != "salt" {
-			t.Fatalf("a caller's priority or salt got through: %s", out)
+			t.Fatalf("caller's priority or cache salt was passed on to the engine: %s", out)
 		}
 	})
 }
 
-// FuzzEventStream reads streams as the relay does. A stream without its end mark
-// must never count as whole.
+// FuzzEventStream reads streams as the relay does. A stream without its end mark must never count
+// as complete.
 func FuzzEventStream(f *testing.F) {
 	f.Add("id: 1\ndata: {\"id\":\"chatcmpl-x\"}\n\ndata: [DONE]\n\n")
 	f.Add("data: [DONE]")
@@ -55,7 +55,7 @@
 			done = done || event.Data == endMark
 		}
 		if done && !strings.Contains(text, endMark) {
-			t.Fatalf("an end mark was read that is not there: %q", text)
+			t.Fatalf("end mark read from a stream that contains none: %q", text)
 		}
 	})
 }
@@ -66,15 +66,15 @@
 		part string
 		want string
 	}{
-		"what the caller sends is passed on": {
+		"other members are passed on": {
 			body: `{"model":"m","messages":[{"role":"user","content":"hi"}],"temperature":0.5,"tools":[{"a":1}]}`,
 			want: `{"model":"m","messages":[{"role":"user","content":"hi"}],"max_tokens":10,"priority":1,"cache_salt":"s","temperature":0.5,"tools":[{"a":1}]}`,
 		},
-		"a caller's own priority and salt are replaced": {
+		"caller's priority and salt are replaced": {
 			body: `{"model":"m","messages":[],"priority":-9,"cache_salt":"other"}`,
 			want: `{"model":"m","messages":[],"max_tokens":10,"priority":1,"cache_salt":"s"}`,
 		},
-		"an answer is gone on with": {
+		"partial answer is continued": {
 			body: `{"model":"m","messages":[{"role":"user","content":"hi"}],"stream":true}`,
 			part: "so far ",
 			want: `{"model":"m","messages":[{"role":"user","content":"hi"},{"role":"assistant","content":"so far "}],"stream":true,"max_tokens":8,"priority":1,"cache_salt":"s","continue_final_message":true,"add_generation_prompt":false}`,
--- a/internal/daemon/api/refuse.go
+++ b/internal/daemon/api/refuse.go
@@ -10,8 +10,8 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// errorBody is an error in the shape that OpenAI clients know, with the reason
-// and whether the request ran.
+// errorBody is an error response in the format of OpenAI clients, extended by the reason and
+// whether the request ran.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -22,13 +22,13 @@
 	Code    string         `json:"code"`
 	Reason  request.Reason `json:"reason"`
 	Ran     request.Ran    `json:"ran"`
-	// RequestID is what an operator needs to explain the refusal.
+	// RequestID identifies the request for the operators' explain call.
 	RequestID string `json:"request_id"`
-	// Known lists the names that would have been right.
+	// Known lists the valid names, if the call used an unknown one.
 	Known []string `json:"known,omitzero"`
 }
 
-// The error types that OpenAI clients tell apart.
+// Error types that OpenAI clients distinguish.
 const (
 	typeInvalid     = "invalid_request_error"
 	typeAuth        = "authentication_error"
@@ -36,7 +36,7 @@
 	typeUnavailable = "server_error"
 )
 
-// statusOf returns the HTTP status and the error type of a refusal.
+// statusOf returns the HTTP status and error type for a reason.
 func statusOf(reason request.Reason) (int, string) {
 	switch reason {
 	case request.ReasonUnknownKey:
@@ -62,7 +62,7 @@
 	return http.StatusServiceUnavailable, typeUnavailable
 }
 
-// minRetryAfter is what 429 and 503 carry when no better figure is known.
+// minRetryAfter is the lower bound of Retry-After in responses with status 429 and 503.
 const minRetryAfter = time.Second
 
 func newErrorBody(id string, refusal *request.Refusal, known []string) errorBody {
@@ -78,7 +78,8 @@
 	}}
 }
 
-// writeRefusal answers a request of which nothing was sent to the caller yet.
+// writeRefusal writes a refusal as an error response. Nothing may have been written to the caller
+// before.
 func writeRefusal(w http.ResponseWriter, id string, refusal *request.Refusal, known []string) {
 	status, _ := statusOf(refusal.Reason)
 	header := w.Header()
--- a/internal/daemon/api/service.go
+++ b/internal/daemon/api/service.go
@@ -17,15 +17,14 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// maxHeldBytes is how much of a call or an answer is held back: a call that fits can be tried again, and an answer that
-// fits is passed on only when whole. In bytes.
+// maxHeldBytes bounds how much of a call or an answer is buffered, in bytes. A call that fits can
+// be sent again, and an answer that fits is passed on only when it is complete.
 const maxHeldBytes = 64 << 10
 
-// ServicePrefix begins the names of plain services' shards, which keeps them
-// apart from models.
+// ServicePrefix is the prefix of the shard names of plain services. It separates them from models.
 const ServicePrefix = "service:"
 
-// service passes a call on to a plain service.
+// service relays a call to a plain service.
 func (s *Server) service(w http.ResponseWriter, r *http.Request, c *caller) *fault {
 	name := mux.Vars(r)["service"]
 	service, ok := c.tree.Services[name]
@@ -38,8 +37,8 @@
 	}
 	class := r.Header.Get(HeaderClass)
 	if routed := service.ClassOfRoute(r.Method, path); routed != "" {
-		// The route's class wins: whether a call may be repeated is a property
-		// of what it does, not of what its caller says.
+		// The route's class takes precedence: whether a call may be repeated depends on what the
+		// call does, not on the caller's claim.
 		class = routed
 	}
 	if f := c.classify(class); f != nil {
@@ -71,7 +70,7 @@
 	return path + "?" + query
 }
 
-// serviceExchange is one call of a plain service.
+// serviceExchange is a call of a plain service and its answer.
 type serviceExchange struct {
 	server *Server
 	caller *caller
@@ -79,13 +78,13 @@
 	r      *http.Request
 	name   string
 	path   string
-	// head is the first part of the body. Whole says that it is all.
+	// head is the buffered beginning of the body. whole is set if it is the entire body.
 	head   []byte
 	whole  bool
 	answer *httprelay.HeldAnswer
 }
 
-// readHead reads as much of the body as is held back.
+// readHead buffers up to maxHeldBytes of the body.
 func (x *serviceExchange) readHead() *fault {
 	limit := int64(x.caller.policy.MaxBodyBytes)
 	head, whole, refusal := httprelay.ReadHead(x.w, x.r, limit, maxHeldBytes, x.server.parts.Timeouts.Read)
@@ -100,7 +99,7 @@
 	s, c := x.server, x.caller
 	jobRules := attemptRules(&c.policy)
 	if !x.whole {
-		// The rest of the body can be read only once.
+		// The rest of the body can be read only once, so the call can't be sent again.
 		jobRules.MaxTries = 1
 	}
 	job := &owner.Job{
@@ -128,7 +127,7 @@
 	}
 }
 
-// attempt makes one try.
+// attempt makes an attempt at the call.
 func (x *serviceExchange) attempt(ctx context.Context, a *owner.Attempt) owner.Result {
 	response, err := x.server.parts.Client.Do(ctx, x.call(a))
 	if err != nil {
@@ -155,8 +154,7 @@
 	return x.stream(response, head)
 }
 
-// isGatewayStatus reports whether a status says that the service, and not the
-// call, is at fault.
+// isGatewayStatus reports whether a status blames the service rather than the call.
 func isGatewayStatus(status int) bool {
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
@@ -166,7 +164,7 @@
 	httprelay.CopyHeader(header, x.r.Header)
 	header.Del("Authorization")
 	header.Del(HeaderClass)
-	// Only a host numbers attempts, and it does so in chat calls alone.
+	// The header is set only by the router, and only in chat calls.
 	header.Del(HeaderAttempt)
 	header.Set(HeaderRequestID, x.caller.id)
 	header.Set(HeaderWorkspace, x.caller.workspace)
@@ -182,8 +180,8 @@
 	}
 }
 
-// stream passes on an answer that is too large to hold back. If it breaks, the
-// caller's transfer breaks too.
+// stream relays an answer that is too large to buffer. If it breaks off, the caller's transfer is
+// aborted, too.
 func (x *serviceExchange) stream(response *http.Response, head []byte) owner.Result {
 	httprelay.CopyHeader(x.w.Header(), response.Header)
 	if length := response.Header.Get("Content-Length"); length != "" {
@@ -193,7 +191,7 @@
 	control := http.NewResponseController(x.w)
 	buffer := make([]byte, maxHeldBytes)
 	for part, readErr := head, error(nil); ; {
-		// The writers of tests have no deadlines; those of net/http do.
+		// Test writers don't support deadlines; those of net/http do.
 		_ = control.SetWriteDeadline(time.Now().Add(x.server.parts.Timeouts.Write))
 		if _, err := x.w.Write(part); err != nil {
 			return callerGoneResult(err)
--- a/internal/daemon/api/stream.go
+++ b/internal/daemon/api/stream.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// endMark is the data of the event that ends a whole stream.
+	// endMark is the data of the event that ends a complete stream.
 	endMark = "[DONE]"
-	// maxEventBytes bounds one event in memory.
+	// maxEventBytes bounds an event in memory.
 	maxEventBytes = 256 << 10
-	// stallTimeout is how long an engine may send nothing. A healthy engine with a long queue of prompts may be silent for
-	// seconds before the first token.
+	// stallTimeout is how long an engine may send nothing. A healthy engine with a long queue of
+	// prompts may send nothing for seconds before the first token.
 	stallTimeout = 20 * time.Second
 )
 
-// streamRelay passes the events of a stream on to the caller. It outlives the
-// attempts, so that a later one can go on where an earlier one broke.
+// streamRelay relays the events of a stream to the caller. It outlives attempts, so that an attempt
+// can continue where the previous one broke off.
 type streamRelay struct {
 	server  *Server
 	w       http.ResponseWriter
@@ -35,12 +35,12 @@
 	caller  *caller
 	chunkID string
 
-	// started is set if the header went to the caller.
+	// started is set once the response header has been sent to the caller.
 	started bool
 	tokens  int
-	// lastID is the engine's ID of the last event that was passed on.
+	// lastID is the engine's ID of the last event passed on.
 	lastID string
-	// sentText is the text passed on so far, needed to continue elsewhere.
+	// sentText is the text passed on so far. Another engine needs it to continue the answer.
 	sentText strings.Builder
 	scratch  []byte
 }
@@ -51,13 +51,13 @@
 	}
 }
 
-// beginAttempt readies the relay for a new attempt.
+// beginAttempt prepares the relay for a new attempt.
 func (r *streamRelay) beginAttempt() { r.lastID = "" }
 
-// textSoFar is what the caller has got so far.
+// textSoFar returns the text that was sent to the caller.
 func (r *streamRelay) textSoFar() string { return r.sentText.String() }
 
-// copy passes events on until the stream ends or breaks.
+// copy relays events until the stream ends or breaks off.
 func (r *streamRelay) copy(body io.Reader, a *owner.Attempt, watch *httprelay.SilenceWatch) owner.Result {
 	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
@@ -81,7 +81,8 @@
 	return owner.Result{Event: request.EventBroken, CanResume: r.lastID != "", Err: err}
 }
 
-// relayEvent checks one event and sends it to the caller.
+// relayEvent validates an event and sends it to the caller. It returns false and the result of the
+// attempt if relaying has to stop.
 func (r *streamRelay) relayEvent(event *sse.Event, a *owner.Attempt) (owner.Result, bool) {
 	chunk := gjson.GetMany(event.Data, "id", "choices.0.delta.content", "error")
 	if chunk[2].Exists() {
@@ -105,7 +106,7 @@
 	return owner.Result{}, true
 }
 
-// engineError is an error that the engine sent inside the stream.
+// engineError converts an error event of the engine to a result.
 func (r *streamRelay) engineError(data string) owner.Result {
 	if gjson.Get(data, "error.ran").Str == string(request.RanNo) && !r.started {
 		return owner.Result{Event: request.EventNotStarted, Err: errors.New("engine did not start it")}
@@ -113,7 +114,7 @@
 	return owner.Result{Event: request.EventBroken, Err: errors.New("engine sent an error")}
 }
 
-// finish sends the end mark. It is sent only here.
+// finish sends the end mark, which is sent nowhere else.
 func (r *streamRelay) finish(a *owner.Attempt) owner.Result {
 	if !a.Deliver() {
 		return owner.Result{Event: request.EventBroken}
@@ -124,7 +125,7 @@
 	return owner.Result{Event: request.EventWhole}
 }
 
-// callerGoneResult distinguishes a caller that does not read from one that is gone.
+// callerGoneResult distinguishes a caller that stopped reading from one that disconnected.
 func callerGoneResult(err error) owner.Result {
 	if httprelay.IsTimeout(err) {
 		return owner.Result{Event: request.EventCallerGone, Err: owner.ErrSlowCaller}
@@ -132,8 +133,8 @@
 	return owner.Result{Event: request.EventCallerGone, Err: err}
 }
 
-// write sends one event and sees to it that it leaves now. What a caller does
-// not read is not kept: the write waits, and with it the engine's stream.
+// write sends an event and flushes it. Nothing is buffered for a slow caller: the write blocks, and
+// with it the reading of the engine's stream.
 func (r *streamRelay) write(data string) error {
 	if !r.started {
 		header := r.w.Header()
@@ -143,7 +144,7 @@
 		r.w.WriteHeader(http.StatusOK)
 		r.started = true
 	}
-	// The writers of tests have no deadlines; those of net/http do.
+	// Test writers don't support deadlines; those of net/http do.
 	_ = r.control.SetWriteDeadline(time.Now().Add(r.server.parts.Timeouts.Write))
 	r.scratch = append(r.scratch[:0], "data: "...)
 	r.scratch = append(r.scratch, data...)
@@ -154,11 +155,10 @@
 	return r.control.Flush()
 }
 
-// abort lets the caller see that the answer is not whole: an error event, and
-// a transfer that ends without its proper end.
+// abort marks the answer as incomplete with an error event, and aborts the transfer.
 func (r *streamRelay) abort(refusal *request.Refusal) {
 	if data, err := json.Marshal(newErrorBody(r.caller.id, refusal, nil)); err == nil {
-		// A failed write means that the caller is gone; its connection is cut below.
+		// If the write fails, the caller has disconnected. The connection is aborted below.
 		_ = r.write(string(data))
 	}
 	panic(http.ErrAbortHandler)
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -22,20 +22,19 @@
 	"oxbowslip.dev/oxbowslip/internal/proof/standin"
 )
 
-// steadyEngine is an engine that gives a token every 5 ms whatever its load.
+// steadyEngine is an engine that generates a token every 5 ms at any load.
 var steadyEngine = emulator.Config{
 	StepTime: 5 * time.Millisecond, PerRequest: time.Nanosecond, PerPromptToken: time.Nanosecond,
 	ChunkTokens: 1 << 20, MaxRunning: 4096, CacheTokens: 1 << 30,
 }
 
-// timing is what a caller saw of one stream.
+// timing is what a caller measured of a stream.
 type timing struct {
 	first time.Duration
 	whole time.Duration
 }
 
-// runStreams opens so many streams at once, reads them to the end, and gives their
-// timings.
+// runStreams opens n concurrent streams, reads them to the end, and returns their timings.
 func runStreams(b *testing.B, address string, n int) []timing {
 	timings := make([]timing, n)
 	var group sync.WaitGroup
@@ -88,8 +87,8 @@
 	return list
 }
 
-// BenchmarkAdded compares streams through the router with streams straight from
-// an engine, in one run.
+// BenchmarkAdded compares streams through the router with streams directly from an engine, in the
+// same run.
 func BenchmarkAdded(b *testing.B) {
 	for _, n := range []int{1, 64, 512} {
 		b.Run(fmt.Sprintf("streams=%d", n), func(b *testing.B) {
@@ -104,7 +103,7 @@
 			defer cluster.Close()
 			router := cluster.Hosts()[0].Daemon.CallersAddress()
 			for range 4 {
-				runStreams(b, router, n) // The learned limits grow to what is asked of them.
+				runStreams(b, router, n) // Lets the learned limits grow to the offered load.
 			}
 			var direct, routed []timing
 			for b.Loop() {
@@ -127,8 +126,8 @@
 	return sum
 }
 
-// scriptedEngine sends a stream of so many chunks as fast as it can be read. It
-// allocates next to nothing, so that what a run allocates is the router's.
+// scriptedEngine streams a number of chunks as fast as they are read. It allocates next to nothing,
+// so that nearly all allocations of a run are the router's.
 func scriptedEngine(tokens int) *httptest.Server {
 	return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -144,8 +143,8 @@
 	}))
 }
 
-// relayCost reads one long stream through the router and gives the allocations
-// and bytes for each token, all processes' parts together.
+// relayCost reads a long stream through the router. It returns the allocations and bytes per token
+// in this process, which runs the router, the engine and the caller, and the duration.
 func relayCost(c *qt.C, tokens int) (allocations, bytes float64, length time.Duration) {
 	engine := scriptedEngine(tokens)
 	defer engine.Close()
@@ -170,7 +169,7 @@
 	return float64(after.Mallocs-before.Mallocs) / float64(tokens), float64(after.TotalAlloc-before.TotalAlloc) / float64(tokens), length
 }
 
-// TestRelayAllocations bounds what a token costs the router.
+// TestRelayAllocations bounds the allocations and bytes per relayed token.
 func TestRelayAllocations(t *testing.T) {
 	c := qt.New(t)
 	allocations, bytes, _ := relayCost(c, 20_000)
@@ -189,7 +188,7 @@
 	}
 }
 
-// BenchmarkOpenStreams measures the memory that an open stream holds.
+// BenchmarkOpenStreams measures the memory held by an open stream.
 func BenchmarkOpenStreams(b *testing.B) {
 	c := qt.New(b)
 	const n = 400
@@ -220,8 +219,8 @@
 	return stats.HeapInuse + stats.StackInuse
 }
 
-// BenchmarkSharedScheduler compares requests at the host that schedules their
-// shard with requests at another host.
+// BenchmarkSharedScheduler compares requests sent to the host that schedules their shard with
+// requests sent to another host.
 func BenchmarkSharedScheduler(b *testing.B) {
 	c := qt.New(b)
 	cluster := startFleet(c, 2, 2)
@@ -230,18 +229,18 @@
 	if other == scheduler {
 		other = cluster.Hosts()[1]
 	}
-	var here, there []timing
+	var atScheduler, atOtherHost []timing
 	for b.Loop() {
-		here = append(here, runStream(b, scheduler.Daemon.CallersAddress()))
-		there = append(there, runStream(b, other.Daemon.CallersAddress()))
+		atScheduler = append(atScheduler, runStream(b, scheduler.Daemon.CallersAddress()))
+		atOtherHost = append(atOtherHost, runStream(b, other.Daemon.CallersAddress()))
 	}
-	h, t := sortedFirstTokens(here), sortedFirstTokens(there)
+	h, t := sortedFirstTokens(atScheduler), sortedFirstTokens(atOtherHost)
 	b.ReportMetric(float64(t[len(t)/2]-h[len(h)/2])/1e6, "added-p50-ms")
 	b.ReportMetric(float64(t[len(t)*95/100]-h[len(h)*95/100])/1e6, "added-p95-ms")
 }
 
-// BenchmarkInForce is the time from sending a change until it is in force on
-// all of 8 hosts that poll the platform every second.
+// BenchmarkInForce measures the time from sending a change until it is in force on all of 8 hosts,
+// which poll the platform every second.
 func BenchmarkInForce(b *testing.B) {
 	config := demo.DefaultConfig
 	config.Hosts = 8
--- a/internal/daemon/changes.go
+++ b/internal/daemon/changes.go
@@ -16,8 +16,7 @@
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
 
-// changes lets operators change the settings through this host. It implements
-// operator.Changes.
+// changes implements operator.Changes: operators change the settings through this host.
 type changes struct {
 	committer *commit.Committer
 	follower  *poller.Follower
@@ -25,7 +24,8 @@
 	log       *logrus.Entry
 }
 
-// Accept stores a change and puts it in force on this host at once.
+// Accept commits a change and polls the settings, so that it is in force on this host when it
+// returns.
 func (c changes) Accept(ctx context.Context, change settings.Change) (uint64, error) {
 	revision, err := c.committer.Commit(ctx, change)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return revision, nil
 }
 
-// Find reads an accepted change.
+// Find returns the accepted change of a revision.
 func (c changes) Find(ctx context.Context, revision uint64) (settings.Change, error) {
 	found, err := poller.ReadChange(ctx, c.client, revision)
 	if errors.Is(err, tableclient.ErrNotFound) {
@@ -45,7 +45,7 @@
 	return found, err
 }
 
-// changeError turns the error of a commit into what operators read.
+// changeError converts the error of a commit to the error that operators receive.
 func changeError(err error) *operator.ChangeError {
 	var conflict *commit.Conflict
 	var faults *strictjson.Error
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,7 +1,7 @@
-// Package daemon is one host of oxbowslipd, the daemon with an interface of its own for language
-// models and plain services, settings that operators change through it, and one queue a shard for
-// the whole fleet. It wires the parts together (fx.go), starts them and stops as
-// planned. The packages below it serve this program only; oxbowslip-front is package front.
+// Package daemon is a host of oxbowslipd, the daemon with its own interface for language models and
+// plain services, settings that operators change through it, and a queue per shard for the whole
+// fleet. It wires the components (fx.go), starts them, and stops them gracefully. Its subpackages
+// serve this program only; the counterpart for oxbowslip-front is package front.
 package daemon
 
 import (
@@ -36,7 +36,7 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// Daemon is one running host.
+// Daemon is a running host.
 type Daemon struct {
 	parts     Parts
 	log       *logrus.Entry
@@ -51,16 +51,16 @@
 	abortDrain       chan struct{}
 	abortDrainOnce   sync.Once
 	numAborted       atomic.Int64
-	// configuredRevision is the revision that the schedulers know.
+	// configuredRevision is the revision of the settings that the schedulers use.
 	configuredRevision atomic.Uint64
 	done               chan struct{}
 	ended              chan struct{}
 }
 
-// stopMargin is the time left to end honestly after the drain's limit.
+// stopMargin is the time after the drain's limit in which the remaining requests end with an error.
 const stopMargin = 10 * time.Second
 
-// Parts are what a daemon is made of.
+// Parts are the dependencies of a Daemon.
 type Parts struct {
 	fx.In
 
@@ -80,7 +80,7 @@
 	Clock     func() time.Time
 }
 
-// New returns a daemon that has not started.
+// New returns a daemon that has not been started.
 func New(p Parts) *Daemon {
 	d := &Daemon{
 		parts: p, log: logging.Part(p.Log, "daemon"), shards: p.Fleet.Shards(),
@@ -104,8 +104,8 @@
 	return d
 }
 
-// Start listens and begins to follow the settings. It does not wait for them:
-// until they are there, the host is not ready.
+// Start listens and starts following the settings. It doesn't wait for settings; the host is not
+// ready until it has them.
 func (d *Daemon) Start(context.Context) error {
 	var err error
 	if d.callersAddress, err = d.listeners.Start(d.callers, d.parts.Config.Callers, "callers"); err != nil {
@@ -129,36 +129,36 @@
 	return nil
 }
 
-// CallersAddress is where callers reach the host.
+// CallersAddress returns the address for callers.
 func (d *Daemon) CallersAddress() string { return d.callersAddress }
 
-// PeersAddress is where peers reach the host, or empty.
+// PeersAddress returns the address for peers, or "".
 func (d *Daemon) PeersAddress() string { return d.parts.Fleet.PeersAddress() }
 
-// Takeovers counts the shards that came to this host from another.
+// Takeovers returns the number of shards that this host took over from another.
 func (d *Daemon) Takeovers() int { return d.parts.Fleet.Takeovers() }
 
-// Schedulers returns the host that schedules each shard, as this host sees it.
+// Schedulers returns the host that schedules each shard, as assigned by this host.
 func (d *Daemon) Schedulers() map[string]string { return d.parts.Fleet.Schedulers() }
 
-// OperatorsAddress is where operators reach the host.
+// OperatorsAddress returns the address for operators.
 func (d *Daemon) OperatorsAddress() string { return d.operatorsAddress }
 
-// Open counts the requests under way.
+// Open returns the number of requests in progress.
 func (d *Daemon) Open() int { return d.parts.Owner.Open() }
 
-// Revision is the number of the settings in force, or 0.
+// Revision returns the number of the settings in force, or 0.
 func (d *Daemon) Revision() uint64 { return d.parts.Holder.Number() }
 
 // Counters returns the daemon's metrics.
 func (d *Daemon) Counters() *counters.Counters { return d.parts.Counters }
 
-// Ready reports whether the host takes requests and says so to the balancer.
+// Ready reports whether the host accepts requests, as it reports it to the load balancer.
 func (d *Daemon) Ready() bool { return d.Status().Ready }
 
-// Stop ends the host as planned: readiness fails first, then, after the notice,
-// no connection is accepted, and what is in flight ends. When ctx or the limit
-// ends first, the rest get an honest error.
+// Stop stops the host gracefully. Readiness fails first; after the notice period no connections are
+// accepted, and requests in flight may finish. When ctx or the drain's limit expires, the remaining
+// requests end with an error.
 func (d *Daemon) Stop(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, d.parts.Config.Drain.Limit)
 	defer cancel()
@@ -171,26 +171,26 @@
 	}()
 	d.draining.Store(true)
 	d.parts.Fleet.Leave()
-	d.log.WithField("open", d.parts.Owner.Open()).Info("draining")
+	d.log.WithField("open", d.parts.Owner.Open()).Info("host is draining, no new connections after the notice period")
 	select {
 	case <-time.After(d.parts.Config.Drain.Notice):
 	case <-ctx.Done():
 	}
-	cut := lifetime.Finish(ctx, d.callers, d.parts.Owner.Drain, stopMargin/2)
-	d.numAborted.Store(int64(cut))
-	d.log.WithField("cut", cut).Info("stopped")
+	aborted := lifetime.Finish(ctx, d.callers, d.parts.Owner.Drain, stopMargin/2)
+	d.numAborted.Store(int64(aborted))
+	d.log.WithField("cut", aborted).Info("host has stopped")
 	d.close()
 	return nil
 }
 
-// AbortDrain ends the wait of a planned stop: what is still in flight is told that
-// the host stops.
+// AbortDrain ends the wait of a graceful stop. Requests still in flight end with an error that
+// reports the stop.
 func (d *Daemon) AbortDrain() { d.abortDrainOnce.Do(func() { close(d.abortDrain) }) }
 
-// NumAborted counts the requests that a stop did not let finish.
+// NumAborted returns the number of requests that a stop did not let finish.
 func (d *Daemon) NumAborted() int { return int(d.numAborted.Load()) }
 
-// Kill ends the host at once, as a crash would: no one is notified.
+// Kill ends the host abruptly, as a crash would: no peer is notified.
 func (d *Daemon) Kill() {
 	d.callers.Close()
 	d.close()
@@ -205,7 +205,7 @@
 	d.parts.Platform.Close()
 }
 
-// Launch builds and starts a daemon. Stop the application to end it.
+// Launch builds and starts a daemon. Stopping the returned fx.App stops it.
 func Launch(ctx context.Context, config hostconfig.Host, log *logrus.Logger) (*Daemon, *fx.App, error) {
 	var d *Daemon
 	app := fx.New(Options(config, log), fx.Populate(&d))
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -22,7 +22,7 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// fastEngine is an engine whose steps take so little that no test waits for it.
+// fastEngine is an engine whose steps are too short to delay a test.
 var fastEngine = emulator.Config{
 	StepTime: 200 * time.Microsecond, PerRequest: time.Microsecond, PerPromptToken: time.Nanosecond,
 	ChunkTokens: 4096, MaxRunning: 64, CacheTokens: 1_000_000,
@@ -41,12 +41,12 @@
 	return cluster
 }
 
-// answer is what a caller got.
+// answer is a response as received by a caller.
 type answer struct {
 	id     string
 	status int
 	text   string
-	// err says that the transfer broke.
+	// err is set if the transfer broke off.
 	err    error
 	reason request.Reason
 	ran    request.Ran
@@ -129,8 +129,8 @@
 	return n
 }
 
-// TestEndpointFaults shows each fault on an endpoint and checks what the caller is told
-// and how often the request ran.
+// TestEndpointFaults checks, for each fault of an endpoint, what the caller receives and how often
+// the request ran.
 func TestEndpointFaults(t *testing.T) {
 	const chat, confirm = "/v1/chat/completions", "/v1/services/booking/confirm"
 	wholeAnswer := standin.Answer([]byte(messages), answerWords)
@@ -188,27 +188,27 @@
 			engines: 2, dead: true, path: chat, class: "itinerary", body: chatBody(true),
 			status: 200, text: wholeAnswer, executions: 1,
 		},
-		"unary answer cut short": {
+		"unary answer truncated": {
 			engines: 1, engine: standin.EngineFaults{CutAnswer: true}, path: chat, class: "itinerary", body: chatBody(false),
 			status: 502, reason: request.ReasonEndpointFailed, ran: request.RanUnknown, executions: 3,
 		},
-		"unary answer cut short, answered elsewhere": {
+		"unary answer truncated, answered elsewhere": {
 			engines: 2, engine: standin.EngineFaults{CutAnswer: true}, path: chat, class: "itinerary", body: chatBody(false),
 			status: 200, text: wholeAnswer, executions: 2,
 		},
-		"service answer cut short": {
+		"service answer truncated": {
 			engines: 1, service: standin.ServiceFaults{CutAnswer: true}, path: confirm, body: "boat 7",
 			status: 502, reason: request.ReasonEndpointFailed, ran: request.RanUnknown, executions: 1,
 		},
-		"large service answer cut short": {
+		"large service answer truncated": {
 			engines: 1, service: standin.ServiceFaults{CutAnswer: true}, path: confirm + "?size=300000", body: "boat 7",
 			status: 200, executions: 1, broken: true,
 		},
-		"stream cut, resumed at its engine": {
+		"stream broken, resumed at its engine": {
 			engines: 1, engine: standin.EngineFaults{BreakAfter: 8}, path: chat, class: "itinerary", body: chatBody(true),
 			status: 200, text: wholeAnswer, executions: 1,
 		},
-		"stream cut too often": {
+		"stream broken too often": {
 			engines: 1, engine: standin.EngineFaults{BreakAfter: 1}, path: chat, class: "itinerary", body: chatBody(true),
 			status: 200, text: first, reason: request.ReasonAnswerBroken, ran: request.RanUnknown, executions: 3, broken: true,
 		},
@@ -249,8 +249,9 @@
 	}
 }
 
-// TestIdempotencyKeyIsFreeAfterRefusal has a service refuse a booking unstarted. The caller was
-// told that it did not run, so the same idempotency key must run later, once.
+// TestIdempotencyKeyIsFreeAfterRefusal has a service refuse a booking without starting it. Since
+// the caller is told that it did not run, a later request with the same idempotency key must run,
+// and only once.
 func TestIdempotencyKeyIsFreeAfterRefusal(t *testing.T) {
 	c := qt.New(t)
 	cluster := startCluster(c, 1)
@@ -272,7 +273,7 @@
 	c.Assert(status, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(ran, qt.Equals, string(request.RanNo))
 	service.SetFaults(standin.ServiceFaults{})
-	waitUntil(c, "the key is free again", func() bool {
+	waitUntil(c, "idempotency key is released", func() bool {
 		status, _ := book()
 		return status == http.StatusOK
 	})
@@ -282,9 +283,9 @@
 	c.Assert(service.Executions(), qt.HasLen, 1)
 }
 
-// TestStreamContinuesAfterEngineCrash kills an engine in the middle of a stream. The answer goes on
-// at another engine from the words that the caller has, and none is missing or
-// doubled.
+// TestStreamContinuesAfterEngineCrash crashes an engine in the middle of a stream. Another engine
+// must continue the answer from the words that the caller has received, without a gap or a
+// repetition.
 func TestStreamContinuesAfterEngineCrash(t *testing.T) {
 	c := qt.New(t)
 	cluster := startCluster(c, 2)
@@ -316,8 +317,8 @@
 	c.Assert(executions(cluster, id), qt.Equals, 2)
 }
 
-// TestEngineCrashBeforeFirstToken kills an engine that has read a request and has not begun
-// its answer.
+// TestEngineCrashBeforeFirstToken crashes an engine that has read a request and has not started to
+// answer it.
 func TestEngineCrashBeforeFirstToken(t *testing.T) {
 	c := qt.New(t)
 	cluster := startCluster(c, 2)
@@ -327,7 +328,7 @@
 	answers := make(chan answer, 1)
 	go func() { answers <- post(c, cluster, "/v1/chat/completions", "itinerary", chatBody(true)) }()
 	var dead *standin.Engine
-	waitUntil(c, "an engine has the request", func() bool {
+	waitUntil(c, "an engine has received the request", func() bool {
 		for _, engine := range cluster.Engines {
 			if len(engine.Executions()) > 0 {
 				dead = engine
@@ -346,8 +347,8 @@
 	c.Assert(got.done, qt.IsTrue)
 }
 
-// TestCancelledRequestStopsEngine cancels a request in the middle: the engine must stop working
-// on it, and its tokens count as wasted.
+// TestCancelledRequestStopsEngine cancels a request in the middle of its stream. The engine must
+// stop generating, and the tokens must count as wasted.
 func TestCancelledRequestStopsEngine(t *testing.T) {
 	c := qt.New(t)
 	cluster := startCluster(c, 1)
@@ -374,15 +375,16 @@
 	c.Assert(cluster.Engines["voyage-1"].Generated() < 500, qt.IsTrue)
 }
 
-// drain drains the only host, which waits for every request to end.
+// drain drains the only host, which waits for all requests to end, and returns the number of
+// aborted requests.
 func drain(c *qt.C, cluster *demo.Cluster) int {
-	cut, err := cluster.Drain(context.Background(), cluster.Hosts()[0])
+	aborted, err := cluster.Drain(context.Background(), cluster.Hosts()[0])
 	c.Assert(err, qt.IsNil)
-	return cut
+	return aborted
 }
 
-// TestSlowCallerIsDisconnected has a caller that reads nothing of a long answer. It is cut
-// off, and what it does not read is not kept.
+// TestSlowCallerIsDisconnected has a caller that reads nothing of a long answer. It must be
+// disconnected, and the unread answer must not be buffered.
 func TestSlowCallerIsDisconnected(t *testing.T) {
 	c := qt.New(t)
 	cluster := startCluster(c, 1)
@@ -395,21 +397,21 @@
 	_, err = fmt.Fprintf(conn, "POST /v1/services/booking/confirm?size=30000000 HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s",
 		demo.CallerKey("towpath-hire"), len(body), body)
 	c.Assert(err, qt.IsNil)
-	// Reading the header only shows that the answer has begun.
+	// The beginning of the header shows that the answer has started.
 	_, err = conn.Read(make([]byte, 16))
 	c.Assert(err, qt.IsNil)
 	drain(c, cluster)
 	c.Assert(host.Counters().Refusals(request.ReasonSlowCaller), qt.Equals, uint64(1))
 }
 
-// TestDrain stops a host as planned while a stream is under way.
+// TestDrain stops a host gracefully while a stream is in progress.
 func TestDrain(t *testing.T) {
 	tests := map[string]struct {
-		cutShort bool
-		cut      int
+		abort   bool
+		aborted int
 	}{
-		"the answer ends":     {},
-		"the wait is cut off": {cutShort: true, cut: 1},
+		"answer completes": {},
+		"drain aborted":    {abort: true, aborted: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -422,14 +424,14 @@
 			for engine.Generated() == 0 {
 				time.Sleep(time.Millisecond)
 			}
-			if test.cutShort {
+			if test.abort {
 				engine.SetFaults(standin.EngineFaults{Stall: true})
 				cluster.Hosts()[0].Daemon.AbortDrain()
 			}
-			c.Assert(drain(c, cluster), qt.Equals, test.cut)
+			c.Assert(drain(c, cluster), qt.Equals, test.aborted)
 			got := <-answers
-			c.Assert(got.done, qt.Equals, !test.cutShort)
-			if test.cutShort {
+			c.Assert(got.done, qt.Equals, !test.abort)
+			if test.abort {
 				c.Assert(got.reason, qt.Equals, request.ReasonStopped)
 				c.Assert(got.ran, qt.Equals, request.RanUnknown)
 				return
@@ -439,8 +441,8 @@
 	}
 }
 
-// TestInvalidInputIsRefused sends what no caller should. Each is refused at once with a
-// typed reason, and nothing is sent on.
+// TestInvalidInputIsRefused sends invalid calls. Each must be refused immediately with its reason,
+// and nothing may be sent to an endpoint.
 func TestInvalidInputIsRefused(t *testing.T) {
 	c := qt.New(t)
 	cluster := startCluster(c, 1)
@@ -453,18 +455,18 @@
 		status int
 		reason request.Reason
 	}{
-		"garbage":          {path: chat, class: "itinerary", body: "}{", status: 400, reason: request.ReasonBadRequest},
-		"empty":            {path: chat, class: "itinerary", body: "", status: 400, reason: request.ReasonBadRequest},
-		"two models":       {path: chat, class: "itinerary", body: `{"model":"voyage","model":"triage","messages":[]}`, status: 400, reason: request.ReasonBadRequest},
-		"messages no list": {path: chat, class: "itinerary", body: `{"model":"voyage","messages":"hi"}`, status: 400, reason: request.ReasonBadRequest},
-		"negative bound":   {path: chat, class: "itinerary", body: `{"model":"voyage","messages":[],"max_tokens":-1}`, status: 400, reason: request.ReasonBadRequest},
-		"wrong type":       {path: chat, class: "itinerary", body: `{"model":7,"messages":[]}`, status: 400, reason: request.ReasonBadRequest},
-		"deep nesting":     {path: chat, class: "itinerary", body: `{"model":"voyage","messages":` + strings.Repeat("[", 20000) + `}`, status: 400, reason: request.ReasonBadRequest},
-		"unknown model":    {path: chat, class: "itinerary", body: `{"model":"barge","messages":[]}`, status: 404, reason: request.ReasonUnknownModel},
-		"unknown class":    {path: chat, class: "yacht", body: chatBody(false), status: 404, reason: request.ReasonUnknownClass},
-		"body too large":   {path: chat, class: "itinerary", body: strings.Repeat("x", 2<<20), status: 413, reason: request.ReasonBodyTooLarge},
-		"unknown service":  {path: "/v1/services/ferry/x", body: "x", status: 404, reason: request.ReasonUnknownService},
-		"unknown path":     {path: "/v2/nothing", body: "x", status: 404, reason: request.ReasonUnknownService},
+		"garbage":             {path: chat, class: "itinerary", body: "}{", status: 400, reason: request.ReasonBadRequest},
+		"empty":               {path: chat, class: "itinerary", body: "", status: 400, reason: request.ReasonBadRequest},
+		"two models":          {path: chat, class: "itinerary", body: `{"model":"voyage","model":"triage","messages":[]}`, status: 400, reason: request.ReasonBadRequest},
+		"messages not a list": {path: chat, class: "itinerary", body: `{"model":"voyage","messages":"hi"}`, status: 400, reason: request.ReasonBadRequest},
+		"negative bound":      {path: chat, class: "itinerary", body: `{"model":"voyage","messages":[],"max_tokens":-1}`, status: 400, reason: request.ReasonBadRequest},
+		"wrong type":          {path: chat, class: "itinerary", body: `{"model":7,"messages":[]}`, status: 400, reason: request.ReasonBadRequest},
+		"deep nesting":        {path: chat, class: "itinerary", body: `{"model":"voyage","messages":` + strings.Repeat("[", 20000) + `}`, status: 400, reason: request.ReasonBadRequest},
+		"unknown model":       {path: chat, class: "itinerary", body: `{"model":"barge","messages":[]}`, status: 404, reason: request.ReasonUnknownModel},
+		"unknown class":       {path: chat, class: "yacht", body: chatBody(false), status: 404, reason: request.ReasonUnknownClass},
+		"body too large":      {path: chat, class: "itinerary", body: strings.Repeat("x", 2<<20), status: 413, reason: request.ReasonBodyTooLarge},
+		"unknown service":     {path: "/v1/services/ferry/x", body: "x", status: 404, reason: request.ReasonUnknownService},
+		"unknown path":        {path: "/v2/nothing", body: "x", status: 404, reason: request.ReasonUnknownService},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -492,7 +494,7 @@
 		text   string
 		status string
 	}{
-		"a client that sends slowly": {
+		"slow body": {
 			text:   "POST " + chat + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + demo.CallerKey("towpath-hire") + "\r\nX-Request-Class: itinerary\r\nContent-Length: 1000\r\n\r\n{",
 			status: "HTTP/1.1 408",
 		},
@@ -507,7 +509,7 @@
 			conn, err := net.Dial("tcp", cluster.Hosts()[0].Daemon.CallersAddress())
 			c.Assert(err, qt.IsNil)
 			defer conn.Close()
-			// The server may answer and close before all is sent.
+			// The server may answer and close the connection before all is sent.
 			_, _ = io.WriteString(conn, test.text)
 			status := make([]byte, len(test.status))
 			_, err = io.ReadFull(conn, status)
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -29,7 +29,7 @@
 	return cluster
 }
 
-// waitUntil waits for a state that is sure to come.
+// waitUntil polls until a condition holds, and fails the test after 30,000 polls 1 ms apart.
 func waitUntil(c *qt.C, what string, reached func() bool) {
 	for range 30_000 {
 		if reached() {
@@ -40,8 +40,7 @@
 	c.Fatalf("%s: not reached", what)
 }
 
-// agreedScheduler reports whether all hosts that are up name the same scheduler for a
-// shard, and gives it.
+// agreedScheduler returns the scheduler of a shard, and whether all running hosts name the same.
 func agreedScheduler(cluster *demo.Cluster, shard string) (string, bool) {
 	name := ""
 	for _, host := range cluster.Hosts() {
@@ -57,7 +56,8 @@
 	return name, true
 }
 
-// awaitScheduler has every host ask for a shard until all agree on its scheduler.
+// awaitScheduler sends a request to every running host, and waits until all agree on the scheduler
+// of the shard, which it returns.
 func awaitScheduler(c *qt.C, cluster *demo.Cluster) *demo.Host {
 	for _, host := range cluster.Hosts() {
 		if !host.Down {
@@ -82,8 +82,9 @@
 	return sendTo(c, host, context.Background(), http.MethodPost, "/v1/chat/completions", class, body)
 }
 
-// TestHostsShareOneQueue has a host's flood of a low tier and another host's request
-// of the highest tier meet in one waiting list.
+// TestHostsShareOneQueue sends many requests of a low tier to a host, and then a request of the
+// highest tier to another. Both must wait in the same queue, so that the second overtakes the
+// first.
 func TestHostsShareOneQueue(t *testing.T) {
 	c := qt.New(t)
 	cluster := startFleet(c, 3, 1)
@@ -97,19 +98,19 @@
 			c.Check(got.status, qt.Equals, http.StatusOK)
 		})
 	}
-	waitUntil(c, "the flood waits", func() bool { return cluster.Hosts()[0].Daemon.Open() == 30 })
+	waitUntil(c, "low-tier requests wait", func() bool { return cluster.Hosts()[0].Daemon.Open() == 30 })
 	high := make(chan answer, 1)
 	go func() { high <- postTo(c, cluster.Hosts()[1], "itinerary", chatBody(false)) }()
-	waitUntil(c, "the high one waits", func() bool { return cluster.Hosts()[1].Daemon.Open() == 1 })
-	waitUntil(c, "the requests of the high one wait", func() bool { return numWaiting(cluster, "voyage") >= 20 })
+	waitUntil(c, "high-tier request waits", func() bool { return cluster.Hosts()[1].Daemon.Open() == 1 })
+	waitUntil(c, "requests queue at the scheduler", func() bool { return numWaiting(cluster, "voyage") >= 20 })
 	engine.SetFaults(standin.EngineFaults{})
 	got := <-high
 	c.Assert(got.status, qt.Equals, http.StatusOK)
-	c.Assert(cluster.Hosts()[0].Daemon.Open() > 5, qt.IsTrue, qt.Commentf("the low tier was not overtaken: %d left", cluster.Hosts()[0].Daemon.Open()))
+	c.Assert(cluster.Hosts()[0].Daemon.Open() > 5, qt.IsTrue, qt.Commentf("low tier was not overtaken: %d requests open", cluster.Hosts()[0].Daemon.Open()))
 	group.Wait()
 }
 
-// numWaiting counts what waits for a shard at any host.
+// numWaiting returns the number of requests that wait for a shard at any running host.
 func numWaiting(cluster *demo.Cluster, shard string) int {
 	n := 0
 	for _, host := range cluster.Hosts() {
@@ -134,9 +135,8 @@
 	return n
 }
 
-// TestSchedulerLost kills, or stops as planned, the host that schedules a shard
-// with a full queue. The requests of the other hosts are all answered, and no
-// place leaks.
+// TestSchedulerLost kills or drains the host that schedules a shard with a full queue. All requests
+// of the other hosts must be answered, and no slot may leak.
 func TestSchedulerLost(t *testing.T) {
 	tests := map[string]struct {
 		planned bool
@@ -165,11 +165,11 @@
 					})
 				}
 			}
-			waitUntil(c, "a full queue", func() bool { return numWaiting(cluster, "voyage") >= 30 })
+			waitUntil(c, "queue is full", func() bool { return numWaiting(cluster, "voyage") >= 30 })
 			if test.planned {
-				cut, err := cluster.Drain(context.Background(), lost)
+				aborted, err := cluster.Drain(context.Background(), lost)
 				c.Assert(err, qt.IsNil)
-				c.Assert(cut, qt.Equals, 0)
+				c.Assert(aborted, qt.Equals, 0)
 			} else {
 				cluster.Kill(lost)
 			}
@@ -177,7 +177,7 @@
 				engine.SetFaults(standin.EngineFaults{})
 			}
 			group.Wait()
-			waitUntil(c, "no place taken", func() bool { return numOpen(cluster) == 0 })
+			waitUntil(c, "all slots released", func() bool { return numOpen(cluster) == 0 })
 			next, ok := agreedScheduler(cluster, "voyage")
 			c.Assert(ok, qt.IsTrue)
 			c.Assert(next, qt.Not(qt.Equals), lost.Name)
@@ -185,8 +185,8 @@
 	}
 }
 
-// TestEndpointOutGetsNoRequests orders an endpoint out under load. Once the order is in force
-// on every host, it gets nothing more, and what it has ends.
+// TestEndpointOutGetsNoRequests takes an endpoint out under load. Once the change is in force on
+// every host, the endpoint must receive no new requests, and its running ones must complete.
 func TestEndpointOutGetsNoRequests(t *testing.T) {
 	c := qt.New(t)
 	cluster := startFleet(c, 3, 2)
@@ -205,27 +205,27 @@
 		}
 	}
 	engine := cluster.Engines["voyage-1"]
-	waitUntil(c, "it works", func() bool { return len(engine.Executions()) > 10 })
+	waitUntil(c, "engine runs requests", func() bool { return len(engine.Executions()) > 10 })
 	c.Assert(cluster.SetEndpointState("voyage-1", settings.StateOut), qt.IsNil)
-	// An attempt that was checked just before the order came into force may
-	// still arrive; the requests open now are all that can be.
+	// An attempt that was checked just before the change came into force may still arrive. The
+	// requests open now bound the number of such attempts.
 	open := 0
 	for _, host := range cluster.Hosts() {
 		open += host.Daemon.Open()
 	}
 	before := len(engine.Executions())
 	other := len(cluster.Engines["voyage-2"].Executions())
-	waitUntil(c, "the other one works on", func() bool { return len(cluster.Engines["voyage-2"].Executions()) > other+200 })
+	waitUntil(c, "other engine runs requests", func() bool { return len(cluster.Engines["voyage-2"].Executions()) > other+200 })
 	c.Assert(len(engine.Executions())-before <= open, qt.IsTrue)
 	settled := len(engine.Executions())
-	waitUntil(c, "more work elsewhere", func() bool { return len(cluster.Engines["voyage-2"].Executions()) > other+400 })
+	waitUntil(c, "other engine runs more requests", func() bool { return len(cluster.Engines["voyage-2"].Executions()) > other+400 })
 	c.Assert(engine.Executions(), qt.HasLen, settled)
 	cancel()
 	group.Wait()
 }
 
-// TestRollingRestart replaces every host, one by one, under load: no answer is
-// cut off and nothing is refused because of it.
+// TestRollingRestart replaces every host, one after the other, under load. No answer may be cut
+// off, and no request refused.
 func TestRollingRestart(t *testing.T) {
 	c := qt.New(t)
 	cluster := startFleet(c, 3, 3)
@@ -254,23 +254,23 @@
 			}
 		})
 	}
-	cut := 0
+	aborted := 0
 	for _, old := range cluster.Hosts() {
 		c.Assert(cluster.AddHost(ctx), qt.IsNil)
 		n, err := cluster.Drain(ctx, old)
 		c.Assert(err, qt.IsNil)
-		cut += n
+		aborted += n
 	}
 	cancel()
 	group.Wait()
-	c.Assert(cut, qt.Equals, 0)
+	c.Assert(aborted, qt.Equals, 0)
 	c.Assert(failures, qt.HasLen, 0, qt.Commentf("%s", strings.Join(failures, "\n")))
 	c.Assert(answered > 20, qt.IsTrue, qt.Commentf("%d answered", answered))
-	waitUntil(c, "no place taken", func() bool { return numOpen(cluster) == 0 })
+	waitUntil(c, "all slots released", func() bool { return numOpen(cluster) == 0 })
 }
 
-// TestPlatformUnavailable takes the platform down: requests go on, and a host that
-// starts meanwhile takes its settings from a peer.
+// TestPlatformUnavailable takes the platform down. Requests must still be answered, and a host that
+// starts during the outage must get its settings from a peer.
 func TestPlatformUnavailable(t *testing.T) {
 	c := qt.New(t)
 	cluster := startFleet(c, 2, 1)
@@ -286,8 +286,8 @@
 	}
 }
 
-// TestRevisionSpreadsOverLinks accepts a change at one host of a fleet that polls the
-// platform once an hour: the others hear of it over their links.
+// TestRevisionSpreadsOverLinks commits a change at a host of a fleet that polls the platform once
+// an hour. The other hosts must receive the revision over their links.
 func TestRevisionSpreadsOverLinks(t *testing.T) {
 	c := qt.New(t)
 	config := demo.DefaultConfig
@@ -304,7 +304,8 @@
 	}
 }
 
-// TestInvalidPeerConnection connects to a peer's port with the wrong key and with noise.
+// TestInvalidPeerConnection connects to a host's port for peers and sends noise. The host must keep
+// working.
 func TestInvalidPeerConnection(t *testing.T) {
 	c := qt.New(t)
 	cluster := startFleet(c, 2, 1)
--- a/internal/daemon/fx.go
+++ b/internal/daemon/fx.go
@@ -30,7 +30,7 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// Options returns the parts of a daemon to fx.
+// Options returns the fx options that build and run a daemon.
 func Options(config hostconfig.Host, log *logrus.Logger) fx.Option {
 	return fx.Options(
 		fx.Supply(config, log),
@@ -60,7 +60,7 @@
 	)
 }
 
-// fleetParts are what the fleet is made of.
+// fleetParts are the dependencies of the fleet.
 type fleetParts struct {
 	fx.In
 
@@ -88,7 +88,7 @@
 	return tableclient.New(config.Platform.Address, config.Platform.Timeout, c.PlatformErrors.Inc)
 }
 
-// followerParts are what the follower of the settings is made of.
+// followerParts are the dependencies of the settings follower.
 type followerParts struct {
 	fx.In
 
@@ -112,8 +112,8 @@
 	return follower
 }
 
-// documentSource lets peers read the settings that the follower has. The fleet
-// and the follower need each other, so one is filled in later.
+// documentSource gives peers access to the follower's settings. The fleet and the follower depend
+// on each other, so the follower is stored here after both are built.
 type documentSource struct {
 	follower atomic.Pointer[poller.Follower]
 }
@@ -125,7 +125,7 @@
 	return change.Document{}
 }
 
-// ownerParts are what the owner is made of.
+// ownerParts are the dependencies of the owner.
 type ownerParts struct {
 	fx.In
 
@@ -149,10 +149,10 @@
 	})
 }
 
-// fleetAdmitter asks the host that schedules a shard. It implements owner.Admitter.
+// fleetAdmitter implements owner.Admitter through the hosts that schedule the shards.
 type fleetAdmitter struct{ dispatcher *dispatch.Dispatcher }
 
-// Ask submits a request to the host that schedules its shard.
+// Ask submits a request to the host that schedules the shard.
 func (s fleetAdmitter) Ask(ctx context.Context, shardName string, r admission.Request) (owner.Ticket, admission.Decision, error) {
 	return s.dispatcher.Ask(ctx, shardName, r)
 }
--- a/internal/daemon/httpclient/httpclient.go
+++ b/internal/daemon/httpclient/httpclient.go
@@ -1,7 +1,7 @@
-// Package httpclient is the HTTP client of oxbowslipd towards endpoints. It never sends a call
-// twice, and reports whether a call that failed may have reached the endpoint. It is net/http's
-// transport with its resends prevented, and streams bodies both ways; oxbowslip-front needs
-// answers bound to calls and has a client of its own (package upstream).
+// Package httpclient is the HTTP client of oxbowslipd for endpoints. It never sends a call twice,
+// and reports whether a failed call may have reached the endpoint. It uses the transport of
+// net/http with resends prevented, and streams bodies in both directions; oxbowslip-front needs
+// answers bound to calls and has its own client (package upstream).
 package httpclient
 
 import (
@@ -18,41 +18,40 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// The limits of connections to endpoints.
+// Limits of connections to endpoints.
 const (
-	// dialTimeout bounds making a connection.
+	// dialTimeout bounds the time to connect.
 	dialTimeout = time.Second
-	// idleTimeout is how long a connection is kept without a call.
+	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = 30 * time.Second
-	// maxIdlePerEndpoint is how many idle connections to one endpoint are kept.
+	// maxIdlePerEndpoint is the number of idle connections kept per endpoint.
 	maxIdlePerEndpoint = 64
-	// maxHeaderBytes bounds the headers of an answer, in bytes.
+	// maxHeaderBytes bounds the headers of a response.
 	maxHeaderBytes = 64 << 10
-	// writeBufSize and readBufSize are the buffers of one connection, in bytes.
+	// writeBufSize and readBufSize are the sizes of a connection's buffers, in bytes.
 	writeBufSize = 8 << 10
 	readBufSize  = 8 << 10
 )
 
-// Call is one HTTP call to an endpoint.
+// Call is an HTTP call to an endpoint.
 type Call struct {
 	Address string
 	Method  string
-	// Path is escaped, with the query.
+	// Path is the escaped path, with the query.
 	Path   string
 	Header http.Header
-	// Body may be nil. Length is -1 if it is not known.
+	// Body may be nil. Length is -1 if the length is unknown.
 	Body   io.Reader
 	Length int64
-	// Once marks a call that must not run twice. It gets a connection of its
-	// own: a kept one may be closed by the endpoint just as it is used, which
-	// would spend the only try.
+	// Once marks a call that must not run twice. It is sent on a new connection, since the endpoint
+	// may close a kept one just as it is used, and the call would fail without being sent again.
 	Once bool
-	// OnSend is called when a connection is there, before the first byte can
-	// be written. It may be called more than once.
+	// OnSend is called once a connection is available, before the first byte can be written. It may
+	// be called more than once.
 	OnSend func()
 }
 
-// Client holds the connections to endpoints.
+// Client manages the connections to endpoints.
 type Client struct {
 	pooled   *http.Transport
 	unpooled *http.Transport
@@ -77,16 +76,15 @@
 	}
 }
 
-// Close closes the idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.pooled.CloseIdleConnections()
 	c.unpooled.CloseIdleConnections()
 }
 
-// unreplayableBody hides all but Read, so that http.Transport can't find a way to read
-// the body again. With a body that it can't read again, the transport does not
-// resend by itself: it would resend a GET, or any call with an Idempotency-Key
-// header, on a kept connection that broke.
+// unreplayableBody exposes only Read, so that http.Transport can't replay the body and therefore
+// doesn't resend a request. It would otherwise resend a GET, or any call with an Idempotency-Key
+// header, after a failure of a kept connection.
 type unreplayableBody struct{ io.Reader }
 
 func (unreplayableBody) Close() error { return nil }
@@ -123,7 +121,7 @@
 	return nil, merry.Wrap(request.ErrNotSent, merry.WithCause(err))
 }
 
-// httpRequest returns the call in the form of a transport.
+// httpRequest converts the call to a request for http.Transport.
 func (c *Call) httpRequest(ctx context.Context, target *url.URL) *http.Request {
 	header := c.Header
 	if header == nil {
--- a/internal/daemon/httpclient/httpclient_test.go
+++ b/internal/daemon/httpclient/httpclient_test.go
@@ -17,8 +17,8 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// droppingServer answers the first call on each connection and keeps it; it reads the
-// second call whole and then closes the connection without an answer.
+// droppingServer answers the first call on each connection and keeps the connection open. It reads
+// the second call completely, and closes the connection without an answer.
 type droppingServer struct {
 	listener net.Listener
 	calls    atomic.Int64
@@ -64,9 +64,9 @@
 	}
 }
 
-// TestBrokenCallIsNotResent breaks a kept connection after the endpoint has read the call.
-// http.Transport resends a GET, and any call with an Idempotency-Key, in that
-// case; the client must not.
+// TestBrokenCallIsNotResent closes a kept connection after the endpoint has read the call. In this
+// case http.Transport resends a GET, and any call with an Idempotency-Key header. The client must
+// not, since the call may have run.
 func TestBrokenCallIsNotResent(t *testing.T) {
 	tests := map[string]struct {
 		method string
--- a/internal/daemon/partition_test.go
+++ b/internal/daemon/partition_test.go
@@ -13,7 +13,8 @@
 	"oxbowslip.dev/oxbowslip/internal/proof/demo"
 )
 
-// proxy stands between a host and its peers, and can be cut.
+// proxy forwards the links from peers to a host, and can be blocked to simulate a network
+// partition.
 type proxy struct {
 	target   string
 	listener net.Listener
@@ -26,10 +27,10 @@
 func newProxy(c *qt.C, target string) *proxy {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	w := &proxy{target: target, listener: listener, conns: make(map[net.Conn]bool)}
+	p := &proxy{target: target, listener: listener, conns: make(map[net.Conn]bool)}
 	c.Cleanup(func() {
 		listener.Close()
-		w.setBlocked(true)
+		p.setBlocked(true)
 	})
 	go func() {
 		for {
@@ -37,16 +38,16 @@
 			if err != nil {
 				return
 			}
-			go w.forward(conn)
+			go p.forward(conn)
 		}
 	}()
-	return w
+	return p
 }
 
-func (w *proxy) forward(near net.Conn) {
+func (p *proxy) forward(near net.Conn) {
 	defer near.Close()
-	far, err := net.Dial("tcp", w.target)
-	if err != nil || !w.track(near, far) {
+	far, err := net.Dial("tcp", p.target)
+	if err != nil || !p.track(near, far) {
 		return
 	}
 	defer far.Close()
@@ -57,68 +58,68 @@
 	_, _ = io.Copy(near, far)
 }
 
-// track notes the connections of a wire that is whole.
-func (w *proxy) track(conns ...net.Conn) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// track records connections, and closes them if the proxy is blocked. It reports whether it is not.
+func (p *proxy) track(conns ...net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, conn := range conns {
-		if w.blocked {
+		if p.blocked {
 			conn.Close()
 		}
-		w.conns[conn] = true
+		p.conns[conn] = true
 	}
-	return !w.blocked
+	return !p.blocked
 }
 
-// setBlocked cuts the wire, or makes it whole.
-func (w *proxy) setBlocked(cut bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.blocked = cut
-	if !cut {
+// setBlocked blocks the proxy and closes its connections, or unblocks it.
+func (p *proxy) setBlocked(blocked bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.blocked = blocked
+	if !blocked {
 		return
 	}
-	for conn := range w.conns {
+	for conn := range p.conns {
 		conn.Close()
-		delete(w.conns, conn)
+		delete(p.conns, conn)
 	}
 }
 
-// proxies gives each host a wire of its own.
+// proxies holds a proxy for each host, by the host's address.
 type proxies struct {
 	c       *qt.C
 	mu      sync.Mutex
 	proxies map[string]*proxy
 }
 
-func (w *proxies) address(target string) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.proxies[target] == nil {
-		w.proxies[target] = newProxy(w.c, target)
+func (p *proxies) address(target string) string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.proxies[target] == nil {
+		p.proxies[target] = newProxy(p.c, target)
 	}
-	return w.proxies[target].listener.Addr().String()
+	return p.proxies[target].listener.Addr().String()
 }
 
-func (w *proxies) setBlocked(cut bool, targets ...string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (p *proxies) setBlocked(blocked bool, targets ...string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, target := range targets {
-		w.proxies[target].setBlocked(cut)
+		p.proxies[target].setBlocked(blocked)
 	}
 }
 
-// TestRequestsAreAnsweredDuringPartition cuts the hosts off from each other, all of them or only towards the
-// scheduler of a shard, under load. Every request is answered meanwhile; when
-// the wires are whole again there is one scheduler, and no place is leaked.
+// TestRequestsAreAnsweredDuringPartition isolates the hosts from each other under load, either all
+// of them or only in the direction of a shard's scheduler. Every request must be answered during
+// the partition. After it there must be a single scheduler again, and no leaked slot.
 func TestRequestsAreAnsweredDuringPartition(t *testing.T) {
 	tests := map[string]struct {
-		// all cuts every host off; else only the shard's scheduler can't be
-		// reached, while it reaches the others.
+		// all isolates all hosts from each other. Otherwise only the shard's scheduler is
+		// unreachable, and still reaches the others.
 		all bool
 	}{
-		"all from all":     {all: true},
-		"one way from one": {},
+		"all hosts isolated":    {all: true},
+		"scheduler unreachable": {},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -165,7 +166,7 @@
 					})
 				}
 			}
-			waitUntil(c, "answers at every host", everywhere)
+			waitUntil(c, "answers at every host before the partition", everywhere)
 			links.setBlocked(true, targets...)
 			waitUntil(c, "another scheduler", func() bool {
 				_, one := agreedScheduler(cluster, "voyage")
@@ -174,27 +175,27 @@
 			mu.Lock()
 			clear(answered)
 			mu.Unlock()
-			waitUntil(c, "answers at every host while cut", everywhere)
+			waitUntil(c, "answers at every host during the partition", everywhere)
 			links.setBlocked(false, targets...)
-			waitUntil(c, "one scheduler again", func() bool {
+			waitUntil(c, "a single scheduler after the partition", func() bool {
 				name, one := agreedScheduler(cluster, "voyage")
 				return one && name == scheduler.Name
 			})
 			cancel()
 			group.Wait()
-			waitUntil(c, "no place taken", func() bool { return numOpen(cluster) == 0 })
+			waitUntil(c, "all slots released", func() bool { return numOpen(cluster) == 0 })
 		})
 	}
 }
 
-// TestWrongHostList shows hosts a list in which only they themselves stand, or
-// nobody: each schedules for itself, and all is answered.
+// TestWrongHostList empties the platform's list of hosts. Each host must then schedule for itself,
+// and answer all requests.
 func TestWrongHostList(t *testing.T) {
 	c := qt.New(t)
 	cluster := startFleet(c, 3, 2)
 	awaitScheduler(c, cluster)
 	cluster.Platform.SetHosts(nil)
-	waitUntil(c, "hosts on their own", func() bool {
+	waitUntil(c, "each host schedules for itself", func() bool {
 		for _, host := range cluster.Hosts() {
 			if host.Daemon.Schedulers()["voyage"] != host.Name {
 				return false
@@ -206,5 +207,5 @@
 		got := postTo(c, host, "itinerary", chatBody(false))
 		c.Assert(got.status, qt.Equals, http.StatusOK, qt.Commentf("%s", got.text))
 	}
-	waitUntil(c, "no place taken", func() bool { return numOpen(cluster) == 0 })
+	waitUntil(c, "all slots released", func() bool { return numOpen(cluster) == 0 })
 }
--- a/internal/daemon/prefix/prefix.go
+++ b/internal/daemon/prefix/prefix.go
@@ -1,5 +1,5 @@
-// Package prefix hashes the leading parts of a prompt, so that prompts that
-// begin alike can be sent where their beginning is likely to be cached.
+// Package prefix hashes the leading parts of a prompt, so that prompts with a common prefix can be
+// sent to an endpoint that probably has it cached.
 package prefix
 
 import (
@@ -8,26 +8,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BytesPerToken is the assumed length of a token in a prompt's text: about right for English. A
-// wrong one shifts all estimates alike.
+// BytesPerToken is the assumed length of a token in a prompt's text, which is about right for
+// English. An error in it scales all estimates alike.
 const BytesPerToken = 4
 
-// TokensPerPart is how much longer each part is than the one before.
+// TokensPerPart is the number of tokens by which each hashed part is longer than the previous one.
 const TokensPerPart = 256
 
 const bytesPerPart = TokensPerPart * BytesPerToken
 
-// maxParts bounds the parts of one prompt, 16,384 tokens; what is longer is not compared.
+// maxParts bounds the hashed parts of a prompt, 16,384 tokens. Text beyond that is not compared.
 const maxParts = 64
 
-// Tokens estimates the tokens of a prompt's text.
+// Tokens estimates the number of tokens in a prompt's text.
 func Tokens(text []byte) int {
 	return (len(text) + BytesPerToken - 1) / BytesPerToken
 }
 
-// Hashes returns the hash of each leading part of a text, the shortest first.
-// The salt is part of every hash, so that texts of different workspaces never
-// match.
+// Hashes returns the hash of each leading part of a text, shortest first. The salt is part of each
+// hash, so that texts of different workspaces never match.
 func Hashes(salt string, text []byte) []uint64 {
 	parts := min(len(text)/bytesPerPart, maxParts)
 	if parts == 0 {
--- a/internal/daemon/shards.go
+++ b/internal/daemon/shards.go
@@ -7,7 +7,8 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// configureShards keeps the schedulers informed which endpoints are in.
+// configureShards passes the shards and endpoints of each revision of the settings to the
+// schedulers and the fleet.
 func (d *Daemon) configureShards() {
 	defer close(d.ended)
 	for {
@@ -25,9 +26,9 @@
 	}
 }
 
-// shardConfigs sorts the endpoints that are in by what they serve. Every model
-// and service has a shard, so that a request for one without endpoints is
-// refused and does not wait.
+// shardConfigs groups the endpoints that are not out by the model or service that they serve. Every
+// model and service has a shard, so that a request for one without endpoints is refused instead of
+// queued.
 func shardConfigs(tree *settings.Tree) map[string]shard.Config {
 	shards := make(map[string]shard.Config)
 	for name, model := range tree.Models {
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -9,13 +9,13 @@
 	"oxbowslip.dev/oxbowslip/internal/version"
 )
 
-// tree returns the tree in force as operators see it.
+// tree returns the settings in force for operators.
 func (d *Daemon) tree() operator.SettingsAnswer {
 	document := d.parts.Follower.Document()
 	return operator.SettingsAnswer{Revision: document.Revision, Tree: document.Data}
 }
 
-// checkReady returns the refusal for a host without settings.
+// checkReady returns the refusal for a host that has no settings yet, or nil.
 func (d *Daemon) checkReady() *request.Refusal {
 	if d.configuredRevision.Load() > 0 {
 		return nil
@@ -23,7 +23,7 @@
 	return request.Refuse(request.ReasonNotReady, d.Problem())
 }
 
-// Problem returns why the host is not ready, or is empty.
+// Problem returns why the host is not ready, or "".
 func (d *Daemon) Problem() string {
 	switch {
 	case d.draining.Load():
@@ -38,7 +38,7 @@
 	return ""
 }
 
-// Status returns the state of the host for operators.
+// Status returns the host's state for operators.
 func (d *Daemon) Status() operator.Status {
 	problem := d.Problem()
 	status := operator.Status{
--- a/internal/daemon/tableclient/tableclient.go
+++ b/internal/daemon/tableclient/tableclient.go
@@ -1,6 +1,6 @@
-// Package tableclient is oxbowslipd's client of the product's own platform service: a transactional
-// table, an object store and the list of hosts, JSON over HTTP as in docs/platform.md. The users'
-// platform has another store, whose client is package platform.
+// Package tableclient is oxbowslipd's client for the product's own platform service: a
+// transactional table, an object store and a list of hosts, as JSON over HTTP (docs/platform.md).
+// The users' platform has another store, whose client is package platform.
 package tableclient
 
 import (
@@ -17,60 +17,60 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// The kinds of failure. Test with errors.Is.
+// Errors of calls, for errors.Is.
 var (
-	// ErrUnavailable: no answer came. A write may have taken effect or not.
+	// ErrUnavailable means that no valid response was received. A write may have taken effect or
+	// not.
 	ErrUnavailable = merry.Sentinel("platform unavailable")
-	// ErrConflict: a condition of a transaction did not hold. Nothing was
-	// written.
+	// ErrConflict means that a condition of a transaction did not hold. Nothing was written.
 	ErrConflict = merry.Sentinel("transaction conflict")
-	// ErrNotFound: there is no such row or object.
+	// ErrNotFound means that there is no such row or object.
 	ErrNotFound = merry.Sentinel("not found on the platform")
-	// ErrRejected: the platform found the call itself wrong.
+	// ErrRejected means that the platform rejected the call as invalid.
 	ErrRejected = merry.Sentinel("platform rejected the call")
 )
 
-// Row is one row of the table.
+// Row is a row of the table.
 type Row struct {
 	Key string `json:"key"`
-	// Version grows with each write of the row; 0 means that it is absent.
+	// Version increases with each write of the row; 0 means that the row does not exist.
 	Version uint64         `json:"version"`
 	Value   jsontext.Value `json:"value"`
 }
 
-// Condition holds if a row has the version; version 0 means absent.
+// Condition requires a row to have a version; version 0 requires that it does not exist.
 type Condition struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
 }
 
-// Write sets a row. A null value deletes it.
+// Write sets the value of a row. A null value deletes the row.
 type Write struct {
 	Key   string         `json:"key"`
 	Value jsontext.Value `json:"value"`
 }
 
-// Transaction is done whole or not at all.
+// Transaction is applied atomically.
 type Transaction struct {
 	If  []Condition `json:"if,omitzero"`
 	Set []Write     `json:"set"`
 }
 
-// Conflict lists the rows whose conditions did not hold, as they are.
+// Conflict lists the current rows whose conditions did not hold.
 type Conflict struct {
 	Rows []Row `json:"rows"`
 }
 
-// HostState is a host's state in the platform's list.
+// HostState is the state of a host in the platform's list.
 type HostState string
 
-// The states of a host.
+// Host states.
 const (
 	HostLive    HostState = "live"
 	HostLeaving HostState = "leaving"
 )
 
-// Host is one host of the platform's list.
+// Host is an entry of the platform's list of hosts.
 type Host struct {
 	Name  string    `json:"name"`
 	Peers string    `json:"peers"`
@@ -78,12 +78,12 @@
 	State HostState `json:"state"`
 }
 
-// HostList is the platform's list, which lags.
+// HostList is the platform's list of hosts. It lags behind the actual state.
 type HostList struct {
 	Hosts []Host `json:"hosts"`
 }
 
-// RowList is the answer to a listing.
+// RowList is the response to a listing of rows.
 type RowList struct {
 	Rows []Row `json:"rows"`
 }
@@ -96,49 +96,51 @@
 	PathHosts        = "/v1/hosts"
 )
 
-// maxAnswerBytes bounds an answer in memory. A snapshot of the settings is the largest.
+// maxAnswerBytes bounds a response in memory. The largest is a snapshot of the settings.
 const maxAnswerBytes = 64 << 20
 
-// Client talks to the platform.
+// Client calls the platform service.
 type Client struct {
 	baseURL       string
 	http          *http.Client
 	onUnavailable func()
 }
 
-// The bounds of idle connections to the table service.
+// Bounds of idle connections to the platform service.
 const (
-	// maxIdleConns is how many are kept: polls, changes, claims, and one to spare.
+	// maxIdleConns is the number of idle connections kept: one each for polls, changes and claims,
+	// and a spare.
 	maxIdleConns = 4
-	// idleTimeout is how long one is kept.
+	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = time.Minute
 )
 
-// New returns a client. Failed is called for each call without an answer.
+// New returns a client. onUnavailable, unless nil, is called for each call without a response or
+// with a status that reports the platform as unavailable (5xx or 429).
 func New(address string, timeout time.Duration, onUnavailable func()) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: idleTimeout}
 	return &Client{baseURL: "http://" + address, http: &http.Client{Timeout: timeout, Transport: transport}, onUnavailable: onUnavailable}
 }
 
-// Close closes the idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Read returns one row.
+// Read returns a row.
 func (c *Client) Read(ctx context.Context, key string) (Row, error) {
 	var row Row
 	err := c.call(ctx, http.MethodGet, PathRows+"/"+url.PathEscape(key), nil, &row)
 	return row, err
 }
 
-// List returns all rows whose keys begin with a prefix, sorted by key.
+// List returns the rows whose keys have a prefix, sorted by key.
 func (c *Client) List(ctx context.Context, prefix string) ([]Row, error) {
 	var list RowList
 	err := c.call(ctx, http.MethodGet, PathRows+"?prefix="+url.QueryEscape(prefix), nil, &list)
 	return list.Rows, err
 }
 
-// Commit does a transaction. With ErrConflict it returns the rows in conflict.
-// With ErrUnavailable it is not known whether the transaction took effect.
+// Commit executes a transaction. With ErrConflict it returns the conflicting rows. With
+// ErrUnavailable it is not known whether the transaction took effect.
 func (c *Client) Commit(ctx context.Context, transaction Transaction) ([]Row, error) {
 	body, err := json.Marshal(transaction)
 	if err != nil {
@@ -149,12 +151,12 @@
 	return conflict.Rows, err
 }
 
-// GetObject reads an object.
+// GetObject returns the content of an object.
 func (c *Client) GetObject(ctx context.Context, name string) ([]byte, error) {
 	return c.do(ctx, http.MethodGet, PathObjects+url.PathEscape(name), nil)
 }
 
-// PutObject writes an object whole.
+// PutObject replaces an object.
 func (c *Client) PutObject(ctx context.Context, name string, data []byte) error {
 	_, err := c.do(ctx, http.MethodPut, PathObjects+url.PathEscape(name), data)
 	return err
@@ -178,14 +180,14 @@
 	return err
 }
 
-// do makes one call. It returns the answer's body also for ErrConflict.
+// do makes a call. It returns the response body also with ErrConflict.
 func (c *Client) do(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, nil)
 	if err != nil {
 		return nil, merry.Wrap(ErrRejected, merry.WithCause(err))
 	}
 	if body != nil {
-		// No GetBody: the transport must not send a write again by itself.
+		// Without GetBody, the transport can't resend a write on its own.
 		request.Body = io.NopCloser(bytes.NewReader(body))
 		request.ContentLength = int64(len(body))
 	}
