--- a/internal/daemon/api/api.go
+++ b/internal/daemon/api/api.go
@@ -269,7 +269,7 @@
 	}
 }
 
-// maxResumes bounds how often a stream is resumed at its engine. Resuming is meant for a rare
+// maxResumes bounds how often a stream is resumed at its engine. Resuming is meant for the rare
 // broken connection, not for an endpoint whose connections keep breaking.
 const maxResumes = 3
 
@@ -278,17 +278,17 @@
 }
 
 // metTargets reports whether an answer met the latency targets of its class.
-func metTargets(p *settings.Policy, end *owner.End, whole time.Duration) bool {
+func metTargets(p *settings.Policy, end *owner.End, duration time.Duration) bool {
 	if p.FirstToken > 0 && end.FirstToken > p.FirstToken {
 		return false
 	}
-	if p.WholeAnswer > 0 && whole > p.WholeAnswer {
+	if p.WholeAnswer > 0 && duration > p.WholeAnswer {
 		return false
 	}
 	if p.BetweenTokens == 0 || end.Tokens < 2 || end.FirstToken == 0 {
 		return true
 	}
-	mean := (whole - end.FirstToken) / time.Duration(end.Tokens-1)
+	mean := (duration - end.FirstToken) / time.Duration(end.Tokens-1)
 	return mean <= p.BetweenTokens
 }
 
--- a/internal/daemon/api/chat.go
+++ b/internal/daemon/api/chat.go
@@ -112,11 +112,11 @@
 	s, c := x.server, x.caller
 	switch end.Outcome {
 	case request.OutcomeAnswered:
-		whole := s.parts.Clock().Sub(c.arrived)
+		duration := s.parts.Clock().Sub(c.arrived)
 		if x.answer != nil {
 			x.answer.Send(x.w)
 		}
-		s.parts.Counters.Answered(c.class, end.FirstToken, metTargets(&c.policy, end, whole), end.Tokens)
+		s.parts.Counters.Answered(c.class, end.FirstToken, metTargets(&c.policy, end, duration), end.Tokens)
 	case request.OutcomeBroken:
 		x.stream.abort(end.Refusal)
 	case request.OutcomeRefused:
--- a/internal/daemon/api/service.go
+++ b/internal/daemon/api/service.go
@@ -78,27 +78,27 @@
 	r      *http.Request
 	name   string
 	path   string
-	// head is the buffered beginning of the body. whole is set if it is the entire body.
-	head   []byte
-	whole  bool
-	answer *httprelay.HeldAnswer
+	// head is the buffered beginning of the body. complete is set if it is the entire body.
+	head     []byte
+	complete bool
+	answer   *httprelay.HeldAnswer
 }
 
 // readHead buffers up to maxHeldBytes of the body.
 func (x *serviceExchange) readHead() *fault {
 	limit := int64(x.caller.policy.MaxBodyBytes)
-	head, whole, refusal := httprelay.ReadHead(x.w, x.r, limit, maxHeldBytes, x.server.parts.Timeouts.Read)
+	head, complete, refusal := httprelay.ReadHead(x.w, x.r, limit, maxHeldBytes, x.server.parts.Timeouts.Read)
 	if refusal != nil {
 		return faultOf(refusal)
 	}
-	x.head, x.whole = head, whole
+	x.head, x.complete = head, complete
 	return nil
 }
 
 func (x *serviceExchange) run(ctx context.Context) {
 	s, c := x.server, x.caller
 	jobRules := attemptRules(&c.policy)
-	if !x.whole {
+	if !x.complete {
 		// The rest of the body can be read only once, so the call can't be sent again.
 		jobRules.MaxTries = 1
 	}
@@ -115,11 +115,11 @@
 	end := s.parts.Owner.Run(ctx, job)
 	switch end.Outcome {
 	case request.OutcomeAnswered:
-		whole := s.parts.Clock().Sub(c.arrived)
+		duration := s.parts.Clock().Sub(c.arrived)
 		if x.answer != nil {
 			x.answer.Send(x.w)
 		}
-		s.parts.Counters.Answered(c.class, whole, metTargets(&c.policy, &end, whole), 0)
+		s.parts.Counters.Answered(c.class, duration, metTargets(&c.policy, &end, duration), 0)
 	case request.OutcomeBroken:
 		panic(http.ErrAbortHandler)
 	case request.OutcomeRefused:
@@ -170,7 +170,7 @@
 	header.Set(HeaderWorkspace, x.caller.workspace)
 	var body io.Reader = bytes.NewReader(x.head)
 	length := int64(len(x.head))
-	if !x.whole {
+	if !x.complete {
 		body = io.MultiReader(body, x.r.Body)
 		length = x.r.ContentLength
 	}
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -30,8 +30,8 @@
 
 // timing is what a caller measured of a stream.
 type timing struct {
-	first time.Duration
-	whole time.Duration
+	firstToken time.Duration
+	total      time.Duration
 }
 
 // runStreams opens n concurrent streams, reads them to the end, and returns their timings.
@@ -46,7 +46,7 @@
 }
 
 func runStream(b *testing.B, address string) timing {
-	begun := time.Now()
+	start := time.Now()
 	r, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/chat/completions",
 		strings.NewReader(`{"model":"voyage","stream":true,"max_tokens":100,"messages":[{"role":"user","content":"answer_tokens=100"}]}`))
 	if err != nil {
@@ -65,11 +65,11 @@
 	t := timing{}
 	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
-		if t.first == 0 {
-			t.first = time.Since(begun)
+		if t.firstToken == 0 {
+			t.firstToken = time.Since(start)
 		}
 	}
-	t.whole = time.Since(begun)
+	t.total = time.Since(start)
 	if err := lines.Err(); err != nil || response.StatusCode != http.StatusOK {
 		b.Errorf("status %d, %v", response.StatusCode, err)
 	}
@@ -81,7 +81,7 @@
 func sortedFirstTokens(timings []timing) []time.Duration {
 	var list []time.Duration
 	for _, t := range timings {
-		list = append(list, t.first)
+		list = append(list, t.firstToken)
 	}
 	slices.Sort(list)
 	return list
@@ -121,7 +121,7 @@
 func totalTime(timings []timing) time.Duration {
 	sum := time.Duration(0)
 	for _, t := range timings {
-		sum += t.whole
+		sum += t.total
 	}
 	return sum
 }
@@ -157,12 +157,12 @@
 	body := `{"model":"voyage","stream":true,"messages":[]}`
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	begun := time.Now()
+	start := time.Now()
 	_, err = fmt.Fprintf(conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nConnection: close\r\nAuthorization: Bearer %s\r\nX-Request-Class: itinerary\r\nContent-Length: %d\r\n\r\n%s",
 		demo.CallerKey("towpath-hire"), len(body), body)
 	c.Assert(err, qt.IsNil)
 	n, err := io.Copy(io.Discard, conn)
-	length = time.Since(begun)
+	length = time.Since(start)
 	runtime.ReadMemStats(&after)
 	c.Assert(err, qt.IsNil)
 	c.Assert(n > int64(tokens)*50, qt.IsTrue, qt.Commentf("%d bytes", n))
@@ -255,11 +255,11 @@
 	awaitScheduler(qt.New(b), cluster)
 	var lengths []time.Duration
 	for i := 0; b.Loop(); i++ {
-		begun := time.Now()
+		start := time.Now()
 		if err := cluster.SetEndpointAddress("triage-1", fmt.Sprint("127.0.0.1:", 1+i%2)); err != nil {
 			b.Fatal(err)
 		}
-		lengths = append(lengths, time.Since(begun))
+		lengths = append(lengths, time.Since(start))
 	}
 	slices.Sort(lengths)
 	b.ReportMetric(lengths[len(lengths)/2].Seconds(), "p50-s")
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -134,7 +134,7 @@
 func TestEndpointFaults(t *testing.T) {
 	const chat, confirm = "/v1/chat/completions", "/v1/services/booking/confirm"
 	wholeAnswer := standin.Answer([]byte(messages), answerWords)
-	first := wholeAnswer[:strings.Index(wholeAnswer, " ")+1]
+	firstWord := wholeAnswer[:strings.Index(wholeAnswer, " ")+1]
 	tests := map[string]struct {
 		engines int
 		engine  standin.EngineFaults
@@ -210,7 +210,7 @@
 		},
 		"stream broken too often": {
 			engines: 1, engine: standin.EngineFaults{BreakAfter: 1}, path: chat, class: "itinerary", body: chatBody(true),
-			status: 200, text: first, reason: request.ReasonAnswerBroken, ran: request.RanUnknown, executions: 3, broken: true,
+			status: 200, text: firstWord, reason: request.ReasonAnswerBroken, ran: request.RanUnknown, executions: 3, broken: true,
 		},
 		"unary answer to another request": {
 			engines: 1, engine: standin.EngineFaults{WrongID: true}, path: chat, class: "itinerary", body: chatBody(false),
@@ -238,10 +238,10 @@
 			c.Check(got.ran, qt.Equals, test.ran)
 			c.Check(got.err != nil, qt.Equals, test.broken)
 			c.Check(executions(cluster, got.id), qt.Equals, test.executions)
-			if test.text != "" && test.text != first {
+			if test.text != "" && test.text != firstWord {
 				c.Check(got.text, qt.Equals, test.text)
 			}
-			if test.text == first {
+			if test.text == firstWord {
 				c.Check(strings.HasPrefix(wholeAnswer, got.text), qt.IsTrue, qt.Commentf("%q", got.text))
 				c.Check(got.done, qt.IsFalse)
 			}
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -37,7 +37,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	c.Fatalf("%s: not reached", what)
+	c.Fatalf("timed out waiting for: %s", what)
 }
 
 // agreedScheduler returns the scheduler of a shard, and whether all running hosts name the same.
--- a/internal/daemon/fx.go
+++ b/internal/daemon/fx.go
@@ -113,7 +113,7 @@
 }
 
 // documentSource gives peers access to the follower's settings. The fleet and the follower depend
-// on each other, so the follower is stored here after both are built.
+// on each other, so the follower is stored here once it is built.
 type documentSource struct {
 	follower atomic.Pointer[poller.Follower]
 }
--- a/internal/daemon/peer/link.go
+++ b/internal/daemon/peer/link.go
@@ -20,7 +20,8 @@
 // Timeouts and bounds of a link.
 const (
 	heartbeatInterval = 250 * time.Millisecond
-	// receiveTimeout closes a link on which nothing is received: four heartbeat intervals.
+	// receiveTimeout is how long a link may receive nothing before it is closed: four heartbeat
+	// intervals.
 	receiveTimeout = time.Second
 	// dialTimeout bounds connecting to a peer.
 	dialTimeout = time.Second
@@ -109,7 +110,7 @@
 	ctx, cancel := lifetime.Context(l.done)
 	defer cancel()
 	for failures := 0; ctx.Err() == nil; failures++ {
-		begun := time.Now()
+		start := time.Now()
 		// The error only triggers the next attempt; OnDown reports the failure.
 		_ = l.connect(ctx)
 		l.closeQueue()
@@ -117,7 +118,7 @@
 			return
 		}
 		l.parts.Events.OnDown(l.parts.Host)
-		if time.Since(begun) > backoffResetTime {
+		if time.Since(start) > backoffResetTime {
 			failures = 0
 		}
 		lifetime.Sleep(ctx, linkBackoff.Span(failures))
--- a/internal/daemon/peer/server.go
+++ b/internal/daemon/peer/server.go
@@ -164,7 +164,7 @@
 
 // openSession creates a session and closes the owner's previous one, if any. No message of the
 // previous session is applied after its ended channel is closed.
-func (s *Server) openSession(owner string) (entered, old *session) {
+func (s *Server) openSession(owner string) (opened, old *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old, ok := s.sessions[owner]
@@ -215,7 +215,7 @@
 func (s *Server) write(stream drpc.Stream, session *session) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
-	leave := session.leaving
+	leaving := session.leaving
 	for {
 		f := frame{Kind: kindHeartbeat, Revision: s.parts.Settings().Revision}
 		select {
@@ -227,9 +227,9 @@
 				return
 			}
 			f = frame{Kind: kindDecisions, Decisions: batch(decision, session.queue)}
-		case <-leave:
+		case <-leaving:
 			f = frame{Kind: kindLeaving}
-			leave = nil
+			leaving = nil
 		case <-ticker.C:
 		case <-stream.Context().Done():
 			return
