--- a/internal/daemon/api/stream.go
+++ b/internal/daemon/api/stream.go
@@ -91,7 +91,7 @@
 	if chunk[0].Str != r.chunkID {
 		return owner.Result{Event: request.EventWrongAnswer, Err: errors.New("chunk of another request")}, false
 	}
-	if !a.Deliver() {
+	if !a.StartDelivery() {
 		return owner.Result{Event: request.EventBroken}, false
 	}
 	if err := r.write(event.Data); err != nil {
@@ -101,7 +101,7 @@
 	if chunk[1].Str != "" {
 		r.sentText.WriteString(chunk[1].Str)
 		r.tokens++
-		a.Tokens(r.tokens)
+		a.RecordTokens(r.tokens)
 	}
 	return owner.Result{}, true
 }
@@ -116,7 +116,7 @@
 
 // finish sends the end mark, which is sent nowhere else.
 func (r *streamRelay) finish(a *owner.Attempt) owner.Result {
-	if !a.Deliver() {
+	if !a.StartDelivery() {
 		return owner.Result{Event: request.EventBroken}
 	}
 	if err := r.write(endMark); err != nil {
