--- a/internal/daemon/api/chat.go
+++ b/internal/daemon/api/chat.go
@@ -236,7 +236,7 @@
 const resumeDelay = 20 * time.Millisecond
 
 func (x *chatExchange) relayStream(ctx context.Context, a *owner.Attempt, call httpclient.Call) owner.Result {
-	ctx, watch := httprelay.WatchSilence(ctx, stallTimeout, owner.ErrStalled)
+	ctx, watch := httprelay.WithIdleTimeout(ctx, stallTimeout, owner.ErrStalled)
 	defer watch.Stop()
 	response, err := x.server.parts.Client.Do(ctx, call)
 	if err != nil {
--- a/internal/daemon/api/stream.go
+++ b/internal/daemon/api/stream.go
@@ -58,7 +58,7 @@
 func (r *streamRelay) textSoFar() string { return r.sentText.String() }
 
 // copy relays events until the stream ends or breaks off.
-func (r *streamRelay) copy(body io.Reader, a *owner.Attempt, watch *httprelay.SilenceWatch) owner.Result {
+func (r *streamRelay) copy(body io.Reader, a *owner.Attempt, watch *httprelay.IdleTimer) owner.Result {
 	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
 			return r.brokenResult(err)
