--- a/internal/daemon/fleet/fleet.go
+++ b/internal/daemon/fleet/fleet.go
@@ -167,7 +167,7 @@
 // Run refreshes the list of hosts and resubmits waiting requests until done is closed. While the
 // platform is unavailable, the last list stays in use.
 func (f *Fleet) Run(done <-chan struct{}) {
-	go lifetime.Every(done, repeatInterval, f.parts.Random, func(context.Context) { f.parts.Dispatcher.Repeat() })
+	go lifetime.Every(done, repeatInterval, f.parts.Random, func(context.Context) { f.parts.Dispatcher.ResubmitWaiting() })
 	lifetime.Every(done, hostListInterval, f.parts.Random, f.refreshHosts)
 }
 
@@ -214,7 +214,7 @@
 // Leave stops scheduling on this host and hands its shards over to other hosts.
 func (f *Fleet) Leave() {
 	f.mu.Lock()
-	f.view.Leave(f.parts.Config.Self.Name)
+	f.view.MarkLeaving(f.parts.Config.Self.Name)
 	f.mu.Unlock()
 	f.server.AnnounceLeaving()
 	f.reassign()
@@ -299,7 +299,7 @@
 		f.takeovers++
 		f.parts.Log.WithField("shard", shardName).Info("shard taken over from another host")
 	}
-	if f.view.Others() > 0 {
+	if f.view.NumOthers() > 0 {
 		f.shards.Hold(shardName, takeoverHold)
 	}
 }
@@ -322,7 +322,7 @@
 	idle := f.idleLinks()
 	f.mu.Unlock()
 	for _, shardName := range moved {
-		f.parts.Dispatcher.Move(shardName)
+		f.parts.Dispatcher.MoveShard(shardName)
 	}
 	for _, link := range idle {
 		// Close waits for the link's goroutine, which may be the caller.
--- a/internal/daemon/fleet/links.go
+++ b/internal/daemon/fleet/links.go
@@ -23,17 +23,17 @@
 // schedules.
 func (f *Fleet) handleLinkUp(host string) {
 	f.mu.Lock()
-	changed := f.view.Suspect(host, false)
+	changed := f.view.SetSuspected(host, false)
 	f.mu.Unlock()
 	if changed {
 		f.reassign()
 	}
-	f.parts.Dispatcher.Announce(host)
+	f.parts.Dispatcher.AnnounceTo(host)
 }
 
 func (f *Fleet) handleLinkDown(host string) {
 	f.mu.Lock()
-	changed := f.view.Suspect(host, true)
+	changed := f.view.SetSuspected(host, true)
 	f.mu.Unlock()
 	if changed {
 		f.parts.Log.WithField("peer", host).Warn("link to peer is down, its shards move to other hosts")
@@ -43,7 +43,7 @@
 
 func (f *Fleet) handlePeerLeaving(host string) {
 	f.mu.Lock()
-	f.view.Leave(host)
+	f.view.MarkLeaving(host)
 	f.mu.Unlock()
 	f.reassign()
 }
