--- a/internal/daemon/peer/settings.go
+++ b/internal/daemon/peer/settings.go
@@ -11,8 +11,8 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/change"
 )
 
-// FetchSettings asks a peer for its settings. It returns a document of revision 0
-// if the peer has none newer than the given revision.
+// FetchSettings requests the settings of a peer. It returns a document of revision 0 if the peer
+// has none newer than the given revision.
 func FetchSettings(ctx context.Context, self, address, key string, newer uint64) (change.Document, error) {
 	var none change.Document
 	dialer := net.Dialer{Timeout: dialTimeout}
@@ -29,7 +29,7 @@
 	defer stream.Close()
 	watch := newWatchdog(raw)
 	defer watch.stop()
-	if err := greet(stream, self, key); err != nil {
+	if err := authenticate(stream, self, key); err != nil {
 		return none, err
 	}
 	if err := stream.MsgSend(&frame{Kind: kindSettingsRequest, Revision: newer}, encoding{}); err != nil {
@@ -42,7 +42,7 @@
 	return change.Document{Revision: answer.Revision, Data: answer.Data}, nil
 }
 
-func (s *Server) answerSettings(stream drpc.Stream) error {
+func (s *Server) sendSettings(stream drpc.Stream) error {
 	var want frame
 	if err := stream.MsgRecv(&want, encoding{}); err != nil {
 		return merry.Wrap(err)
--- a/internal/daemon/peer/wire.go
+++ b/internal/daemon/peer/wire.go
@@ -14,51 +14,51 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 )
 
-// ErrWrongKey means that a peer does not know the shared key.
-var ErrWrongKey = merry.Sentinel("peer does not know the shared key")
+// ErrWrongKey is returned when a peer fails to prove that it has the shared key.
+var ErrWrongKey = merry.Sentinel("peer failed to prove knowledge of the shared key")
 
-// The calls: a link for scheduling, and one answer with the settings in force.
+// RPC names: a link for scheduling, and a single request for the settings in force.
 const (
 	rpcLink     = "/oxbowslip.Peer/Link"
 	rpcSettings = "/oxbowslip.Peer/Settings"
 )
 
-// kind is what a frame carries.
+// kind is the type of a frame.
 type kind uint8
 
 const (
-	// kindHello opens a link: the owner's name and a nonce.
+	// kindHello opens a link with the owner's name and a nonce.
 	kindHello kind = iota
-	// kindChallenge answers it: the scheduler's proof and a nonce of its own.
+	// kindChallenge answers it with the scheduler's proof and a nonce of its own.
 	kindChallenge
-	// kindProof ends the opening: the owner's proof.
+	// kindProof completes the handshake with the owner's proof.
 	kindProof
-	// kindHeartbeat shows that the sender is alive, and its revision of the settings.
+	// kindHeartbeat shows that the sender is alive, and carries its revision of the settings.
 	kindHeartbeat
 	kindMessages
 	kindDecisions
-	// kindLeaving: the sender schedules no more.
+	// kindLeaving reports that the sender no longer schedules.
 	kindLeaving
-	// kindSettingsRequest asks for settings newer than Revision, kindSettings answers.
+	// kindSettingsRequest requests settings newer than Revision; kindSettings is the response.
 	kindSettingsRequest
 	kindSettings
 )
 
-// frame is one message of a link. Unused fields are empty.
+// frame is a message of a link. Unused fields are empty.
 type frame struct {
 	Kind      kind           `cbor:"1,keyasint"`
 	Host      string         `cbor:"2,keyasint,omitempty"`
 	Nonce     []byte         `cbor:"3,keyasint,omitempty"`
 	Proof     []byte         `cbor:"4,keyasint,omitempty"`
-	Messages  []messageForm  `cbor:"5,keyasint,omitempty"`
-	Decisions []decisionForm `cbor:"6,keyasint,omitempty"`
+	Messages  []wireMessage  `cbor:"5,keyasint,omitempty"`
+	Decisions []wireDecision `cbor:"6,keyasint,omitempty"`
 	Revision  uint64         `cbor:"7,keyasint,omitempty"`
 	Data      []byte         `cbor:"8,keyasint,omitempty"`
 }
 
-// messageForm is an owner's message. Times are sent as ages, since the hosts'
-// clocks differ. Only the first word of a request carries the request itself.
-type messageForm struct {
+// wireMessage is the encoded form of an owner's message. Times are sent as ages, since the hosts'
+// clocks differ. Only Submit and Adopt messages carry the request itself.
+type wireMessage struct {
 	_        struct{} `cbor:",toarray"`
 	Shard    string
 	Kind     shard.Kind
@@ -70,27 +70,28 @@
 	Request  *admission.Request
 }
 
-// decisionForm is a scheduler's decision, with the time left for a grant.
-type decisionForm struct {
+// wireDecision is the encoded form of a scheduler's decision. Left is the remaining time of a
+// grant.
+type wireDecision struct {
 	Shard    string             `cbor:"1,keyasint"`
 	Left     time.Duration      `cbor:"2,keyasint,omitempty"`
 	Decision admission.Decision `cbor:"3,keyasint"`
 }
 
-func toForm(now time.Time, shardName string, m *shard.Message) messageForm {
-	form := messageForm{
+func encodeMessage(now time.Time, shardName string, m *shard.Message) wireMessage {
+	encoded := wireMessage{
 		Shard: shardName, Kind: m.Kind, ID: m.ID, Tokens: m.Tokens, Result: m.Result, Endpoint: m.Endpoint,
 	}
 	if m.Kind == shard.Submit || m.Kind == shard.Adopt {
 		request := m.Request
-		form.Age = now.Sub(request.Arrived)
+		encoded.Age = now.Sub(request.Arrived)
 		request.Arrived = time.Time{}
-		form.Request = &request
+		encoded.Request = &request
 	}
-	return form
+	return encoded
 }
 
-func (f *messageForm) message(now time.Time, owner string) *shard.Message {
+func (f *wireMessage) decode(now time.Time, owner string) *shard.Message {
 	m := &shard.Message{Kind: f.Kind, ID: f.ID, Tokens: f.Tokens, Result: f.Result, Endpoint: f.Endpoint}
 	if f.Request != nil {
 		m.Request = *f.Request
@@ -100,16 +101,16 @@
 	return m
 }
 
-func decisionToForm(now time.Time, shardName string, d *admission.Decision) decisionForm {
-	form := decisionForm{Shard: shardName, Decision: *d}
+func encodeDecision(now time.Time, shardName string, d *admission.Decision) wireDecision {
+	encoded := wireDecision{Shard: shardName, Decision: *d}
 	if !d.Until.IsZero() {
-		form.Left = d.Until.Sub(now)
-		form.Decision.Until = time.Time{}
+		encoded.Left = d.Until.Sub(now)
+		encoded.Decision.Until = time.Time{}
 	}
-	return form
+	return encoded
 }
 
-func (f *decisionForm) decision(now time.Time) admission.Decision {
+func (f *wireDecision) decode(now time.Time) admission.Decision {
 	d := f.Decision
 	if d.Kind == admission.Grant {
 		d.Until = now.Add(f.Left)
@@ -117,7 +118,7 @@
 	return d
 }
 
-// encoding is CBOR for drpc.
+// encoding implements drpc.Encoding with CBOR.
 type encoding struct{}
 
 // Marshal encodes a frame.
@@ -128,18 +129,18 @@
 	return cbor.Unmarshal(data, message)
 }
 
-// nonceBytes is the length of a challenge: 128 bits are not guessed or seen twice.
+// nonceBytes is the length of a challenge: 128 bits can't be guessed and don't repeat.
 const nonceBytes = 16
 
 func newNonce() []byte {
 	nonce := make([]byte, nonceBytes)
-	// Read never fails; the package says so.
+	// Read is documented never to return an error.
 	_, _ = rand.Read(nonce)
 	return nonce
 }
 
-// proof shows knowledge of the key for a nonce of the other side. The role
-// keeps a proof from being sent back as the other side's own.
+// proof proves knowledge of the key for the other side's nonce. The role prevents a proof from
+// being reflected to its sender.
 func proof(key, role string, nonce []byte) []byte {
 	mac := hmac.New(sha256.New, []byte(key))
 	mac.Write([]byte(role))
--- a/internal/daemon/shards.go
+++ b/internal/daemon/shards.go
@@ -7,15 +7,16 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// followEndpoints keeps the schedulers informed which endpoints are in.
-func (d *Daemon) followEndpoints() {
+// configureShards passes the shards and endpoints of each revision of the settings to the
+// schedulers and the fleet.
+func (d *Daemon) configureShards() {
 	defer close(d.ended)
 	for {
 		changed := d.parts.Holder.Changed()
 		if revision := d.parts.Holder.Current(); revision != nil {
 			d.shards.Configure(shardConfigs(revision.Tree))
 			d.parts.Fleet.SetShards(d.shards.Names())
-			d.configured.Store(revision.Number)
+			d.configuredRevision.Store(revision.Number)
 		}
 		select {
 		case <-changed:
@@ -25,9 +26,9 @@
 	}
 }
 
-// shardConfigs sorts the endpoints that are in by what they serve. Every model
-// and service has a shard, so that a request for one without endpoints is
-// refused and does not wait.
+// shardConfigs groups the endpoints that are not out by the model or service that they serve. Every
+// model and service has a shard, so that a request for one without endpoints is refused instead of
+// queued.
 func shardConfigs(tree *settings.Tree) map[string]shard.Config {
 	shards := make(map[string]shard.Config)
 	for name, model := range tree.Models {
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -9,28 +9,28 @@
 	"oxbowslip.dev/oxbowslip/internal/version"
 )
 
-// tree returns the tree in force as operators see it.
+// tree returns the settings in force for operators.
 func (d *Daemon) tree() operator.SettingsAnswer {
 	document := d.parts.Follower.Document()
 	return operator.SettingsAnswer{Revision: document.Revision, Tree: document.Data}
 }
 
-// notReady returns the refusal for a host without settings.
-func (d *Daemon) notReady() *request.Refusal {
-	if d.configured.Load() > 0 {
+// checkReady returns the refusal for a host that has no settings yet, or nil.
+func (d *Daemon) checkReady() *request.Refusal {
+	if d.configuredRevision.Load() > 0 {
 		return nil
 	}
 	return request.Refuse(request.ReasonNotReady, d.Problem())
 }
 
-// Problem returns why the host is not ready, or is empty.
+// Problem returns why the host is not ready, or "".
 func (d *Daemon) Problem() string {
 	switch {
 	case d.draining.Load():
 		return "the host is leaving"
 	case d.parts.Holder.Current() == nil && d.parts.Follower.Problem() != nil:
 		return "no settings yet: " + d.parts.Follower.Problem().Error()
-	case d.configured.Load() == 0:
+	case d.configuredRevision.Load() == 0:
 		return "no settings yet"
 	case d.parts.Follower.IsStale():
 		return "cut off from the platform and from all peers: the settings may be old"
@@ -38,7 +38,7 @@
 	return ""
 }
 
-// Status returns the state of the host for operators.
+// Status returns the host's state for operators.
 func (d *Daemon) Status() operator.Status {
 	problem := d.Problem()
 	status := operator.Status{
