--- a/internal/daemon/api/service.go
+++ b/internal/daemon/api/service.go
@@ -119,7 +119,7 @@
 		if x.answer != nil {
 			x.answer.Send(x.w)
 		}
-		s.parts.Counters.Answered(c.class, duration, metTargets(&c.policy, &end, duration), 0)
+		s.parts.Counters.CountAnswer(c.class, duration, metTargets(&c.policy, &end, duration), 0)
 	case request.OutcomeBroken:
 		panic(http.ErrAbortHandler)
 	case request.OutcomeRefused:
--- a/internal/front/ratelimit/limiter.go
+++ b/internal/front/ratelimit/limiter.go
@@ -51,7 +51,7 @@
 	Lender *Lender
 	Peers  Peers
 	// Counted is called with the outcome of each Ask.
-	Counted func(counters.Permit)
+	Counted func(counters.PermitResult)
 	Log     *logrus.Entry
 	Clock   func() time.Time
 	// Random returns a number in [0, 1).
