--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -209,7 +209,7 @@
 
 // expire drops old state, and notes whether the host is in contact with anyone.
 func (h *Host) expire(context.Context) {
-	h.parts.Steady.Look()
+	h.parts.Steady.DetectSuspension()
 	h.parts.Client.CloseExpired()
 	h.parts.Placer.Expire()
 	h.parts.Rests.Expire()
