--- a/internal/daemon/api/api.go
+++ b/internal/daemon/api/api.go
@@ -132,7 +132,7 @@
 		if f == nil {
 			return
 		}
-		s.parts.Counters.Refused(f.reason)
+		s.parts.Counters.CountRefusal(f.reason)
 		writeRefusal(w, c.id, request.Refuse(f.reason, f.detail), f.known)
 	}
 }
--- a/internal/daemon/api/chat.go
+++ b/internal/daemon/api/chat.go
@@ -116,7 +116,7 @@
 		if x.answer != nil {
 			x.answer.Send(x.w)
 		}
-		s.parts.Counters.Answered(c.class, end.FirstToken, attained(&c.policy, end, whole), end.Tokens)
+		s.parts.Counters.CountAnswer(c.class, end.FirstToken, attained(&c.policy, end, whole), end.Tokens)
 	case request.OutcomeBroken:
 		x.stream.breakOff(end.Refusal)
 	case request.OutcomeRefused:
