--- a/internal/daemon/api/api.go
+++ b/internal/daemon/api/api.go
@@ -219,7 +219,7 @@
 func (c *caller) modelNames() []string {
 	var names []string
 	for name := range c.tree.Models {
-		if c.tree.MayCall(c.workspace, name) {
+		if c.tree.CanCall(c.workspace, name) {
 			names = append(names, name)
 		}
 	}
--- a/internal/front/relay/exchange.go
+++ b/internal/front/relay/exchange.go
@@ -104,7 +104,7 @@
 	if !ok {
 		return request.Refuse(request.ReasonUnknownRoute, "no class "+route.Class)
 	}
-	x.service = route.Pick(x.server.parts.Random())
+	x.service = route.PickService(x.server.parts.Random())
 	return nil
 }
 
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -49,8 +49,8 @@
 }
 
 // Effective returns each effective value of a workspace and class.
-func (c *Client) Effective(ctx context.Context, workspace, class string) ([]settings.Explained, error) {
-	return get[[]settings.Explained](ctx, c, "/v1/settings/effective/"+url.PathEscape(workspace)+"/"+class)
+func (c *Client) Effective(ctx context.Context, workspace, class string) ([]settings.EffectiveValue, error) {
+	return get[[]settings.EffectiveValue](ctx, c, "/v1/settings/effective/"+url.PathEscape(workspace)+"/"+class)
 }
 
 // Explain returns what was decided for a request.
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -95,7 +95,7 @@
 	tree, err := settings.Decode("tree", []byte(`{"root":{"classes":{"c":{"values":{"tier":1}}}},"workspaces":{"w":{}}}`))
 	c.Assert(err, qt.IsNil)
 	holder := settings.NewHolder()
-	holder.Offer(&settings.Revision{Number: 4, Tree: tree})
+	holder.SetIfNewer(&settings.Revision{Number: 4, Tree: tree})
 	servers := map[string]*Server{
 		"ready":     goldenServer(true, holder, SettingsAnswer{Revision: 4, Tree: []byte(`{"root":{}}`)}),
 		"not ready": goldenServer(false, settings.NewHolder(), SettingsAnswer{}),
