--- a/internal/logread/golden_test.go
+++ b/internal/logread/golden_test.go
@@ -21,7 +21,7 @@
 	defer file.Close()
 	story, err := Read(file, "daacfb46a24d20cb")
 	c.Assert(err, qt.IsNil)
-	data, err := json.Marshal(story, strictjson.DurationTexts, jsontext.WithIndent("  "))
+	data, err := json.Marshal(story, strictjson.DurationMarshaler, jsontext.WithIndent("  "))
 	c.Assert(err, qt.IsNil)
 	golden.Text(t, "story.json", string(data)+"\n")
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return result, err
 	}
-	if err := json.Unmarshal(data, &result, strictjson.Durations); err != nil {
+	if err := json.Unmarshal(data, &result, strictjson.DurationUnmarshaler); err != nil {
 		return result, merry.Wrap(err)
 	}
 	if result.Accepted != "yes" {
@@ -112,7 +112,7 @@
 	if status != http.StatusOK {
 		return value, problem(status, data)
 	}
-	err = json.Unmarshal(data, &value, strictjson.Durations)
+	err = json.Unmarshal(data, &value, strictjson.DurationUnmarshaler)
 	return value, merry.Wrap(err)
 }
 
