--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -168,7 +168,7 @@
 	h.metrics = &http.Server{Handler: h.metricsHandler(), ReadHeaderTimeout: headerTimeout}
 	h.operators = operator.New(operator.Parts{
 		Keys: p.Config.OperatorKeys, Counters: p.Counters, Explained: p.Explained, Recorded: p.Recorded, Settings: p.Settings,
-		Changes: storeChanges{}, Tree: h.tree, Status: h.Status, Lift: h.lift,
+		Changes: storeChanges{}, Tree: h.tree, Status: h.Status, LiftPoison: h.lift,
 	}).HTTP()
 	h.registerGauges()
 	return h
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -58,8 +58,8 @@
 	return get[explain.Record](ctx, c, "/v1/requests/"+url.PathEscape(id))
 }
 
-// Lift has a poison request sent again by all hosts.
-func (c *Client) Lift(ctx context.Context, key string) error {
+// LiftPoison has a poison request sent again by all hosts.
+func (c *Client) LiftPoison(ctx context.Context, key string) error {
 	status, data, err := c.do(ctx, http.MethodDelete, "/v1/poison/"+url.PathEscape(key), nil)
 	if err != nil {
 		return err
@@ -75,13 +75,13 @@
 	return get[[]record.Entry](ctx, c, "/v1/recorded?after="+url.QueryEscape(after.Format(time.RFC3339Nano)))
 }
 
-// Refused is a change that was not accepted, or of which that is not known.
-type Refused struct {
+// RefusedError is a change that was not accepted, or of which that is not known.
+type RefusedError struct {
 	Answer ChangeAnswer
 }
 
 // Error returns the host's words.
-func (r *Refused) Error() string { return r.Answer.Error }
+func (r *RefusedError) Error() string { return r.Answer.Error }
 
 // Apply sends a change. A change that was not accepted comes back as *Refused.
 func (c *Client) Apply(ctx context.Context, request ChangeRequest) (ChangeAnswer, error) {
@@ -98,7 +98,7 @@
 		return result, merry.Wrap(err)
 	}
 	if result.Accepted != "yes" {
-		return result, &Refused{Answer: result}
+		return result, &RefusedError{Answer: result}
 	}
 	return result, nil
 }
