--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -162,7 +162,7 @@
 	h.listeners = listen.New(h.log)
 	h.inContact()
 	h.callers = &http.Server{
-		Handler: lifetime.CloseWhen(&h.leaving, p.Relay), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		Handler: lifetime.CloseConnectionsWhen(&h.leaving, p.Relay), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	h.readiness = &http.Server{Handler: h.readinessHandler(), ReadHeaderTimeout: headerTimeout}
 	h.metrics = &http.Server{Handler: h.metricsHandler(), ReadHeaderTimeout: headerTimeout}
@@ -317,7 +317,7 @@
 	h.parts.Leading.resign()
 	// When ctx ends first, Finish cuts the rest at once.
 	lifetime.Sleep(ctx, h.parts.Config.Drain.Notice)
-	cut := lifetime.Finish(ctx, h.callers, h.parts.Owner.Drain, stopMargin)
+	cut := lifetime.DrainServer(ctx, h.callers, h.parts.Owner.Drain, stopMargin)
 	h.parts.Gossip.Leave()
 	select {
 	case <-unregistered:
