--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,11 +1,11 @@
-// Package clock measures spans of time that include those in which the machine was suspended. The steady clock of the
-// system, which time.Now reads, stands still meanwhile, and so do its timers: a host that wakes up would take its lease,
-// its settings and its deadlines for younger than they are.
+// Package clock provides a monotonic clock that includes the time during which the machine was suspended. The monotonic
+// clock behind time.Now and its timers stop during a suspension, so a resumed host would underestimate the age of its
+// lease, its settings and its deadlines.
 //
-// It owns the correction, and the deadlines that have to be looked at on waking. The clock that goes on while the machine
-// is suspended (CLOCK_BOOTTIME) costs a system call; it is read only when the time of day has moved against the steady
-// clock, as it does on waking, and by clock steps, which change nothing here. Everything that compares times uses one
-// Clock; times for logs and for timers of the system come from time.Now.
+// It owns the correction and the deadlines whose timers have to be reset on resume. Reading CLOCK_BOOTTIME, which includes
+// suspensions, costs a system call. It is therefore read only when the wall clock has moved relative to the monotonic
+// clock. A resume causes this, and so does a step of the wall clock, which leaves this clock unchanged. All code that
+// compares times uses one Clock. Times for logs and for system timers come from time.Now.
 package clock
 
 import (
@@ -17,18 +17,19 @@
 )
 
 const (
-	// tolerance is by how much the time of day may move against the steady clock before the system is asked again: well
-	// above what clocks are slewed by between two looks, well below any bound that a host keeps.
-	tolerance = 20 * time.Millisecond
-	// leastSleep is the shortest suspension that counts. The two clocks of the system are not read at the same moment.
-	leastSleep = 5 * time.Millisecond
+	// driftTolerance is the drift between the wall clock and the monotonic clock above which the suspended time is read
+	// again. It is well above the slew between two calls of Now, and well below any time limit of a host.
+	driftTolerance = 20 * time.Millisecond
+	// minSuspension is the shortest suspension that is detected. Shorter differences can come from reading the two system
+	// clocks one after the other.
+	minSuspension = 5 * time.Millisecond
 )
 
-// Source are the clocks of a machine.
+// Source provides the clocks of a machine.
 type Source interface {
-	// Now returns the steady time, and by how much the time of day is ahead of it, from some fixed moment on.
-	Now() (steady time.Time, dayAhead time.Duration)
-	// Suspended returns how long the machine has been suspended since some fixed moment.
+	// Now returns the monotonic time, and how far the wall clock has moved ahead of it since a fixed point in time.
+	Now() (monotonic time.Time, wallAhead time.Duration)
+	// Suspended returns how long the machine has been suspended since a fixed point in time.
 	Suspended() (time.Duration, error)
 }
 
@@ -36,70 +37,71 @@
 type Clock struct {
 	source Source
 	log    *logrus.Entry
-	// dayAhead is that of the last look, slept how long the machine was suspended since New.
-	dayAhead atomic.Int64
-	slept    atomic.Int64
+	// wallAhead is the value from the last call of detectSuspension. suspendedTime is the suspended time since New.
+	wallAhead     atomic.Int64
+	suspendedTime atomic.Int64
 
 	mu sync.Mutex
-	// before is how long the machine had been suspended when the clock was made; failed is set once that can't be read.
-	before    time.Duration
-	failed    bool
-	deadlines map[*deadline]struct{}
+	// suspendedAtStart is the source's suspended time at New. sourceFailed is set once the source can't report it.
+	suspendedAtStart time.Duration
+	sourceFailed     bool
+	deadlines        map[*deadline]struct{}
 }
 
-// New returns a clock. Where the system can't say how long it was suspended, the steady clock is used, and a log line
-// says so.
+// New returns a clock. If the source can't report the suspended time, the clock logs a warning and leaves suspensions out.
 func New(source Source, log *logrus.Entry) *Clock {
 	c := &Clock{source: source, log: log, deadlines: make(map[*deadline]struct{})}
 	_, ahead := source.Now()
-	c.dayAhead.Store(int64(ahead))
+	c.wallAhead.Store(int64(ahead))
 	before, err := source.Suspended()
 	if err != nil {
-		c.failed = true
-		log.WithError(err).Warn("time in which the machine is suspended can't be measured, it does not count")
+		c.sourceFailed = true
+		log.WithError(err).Warn("suspended time can't be read, the clock leaves it out")
 	}
-	c.before = before
+	c.suspendedAtStart = before
 	return c
 }
 
-// Now returns a time to compare with others of this clock. For its time of day see TimeOfDay.
+// Now returns a time that is only comparable with other times of this clock. TimeOfDay converts it to wall-clock time.
 func (c *Clock) Now() time.Time {
 	now, ahead := c.source.Now()
-	if moved := ahead - time.Duration(c.dayAhead.Load()); moved > tolerance || moved < -tolerance {
-		c.look(now, ahead)
+	if drift := ahead - time.Duration(c.wallAhead.Load()); drift > driftTolerance || drift < -driftTolerance {
+		c.detectSuspension(now, ahead)
 	}
-	return now.Add(time.Duration(c.slept.Load()))
+	return now.Add(time.Duration(c.suspendedTime.Load()))
 }
 
-// look finds out whether the machine was suspended, at a steady time.
-func (c *Clock) look(steady time.Time, ahead time.Duration) {
+// detectSuspension checks whether the machine was suspended before the monotonic time now. ahead is the drift of the
+// wall clock at that time.
+func (c *Clock) detectSuspension(now time.Time, ahead time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dayAhead.Store(int64(ahead))
-	if c.failed {
+	c.wallAhead.Store(int64(ahead))
+	if c.sourceFailed {
 		return
 	}
 	suspended, err := c.source.Suspended()
 	if err != nil {
-		c.failed = true
-		c.log.WithError(err).Warn("time in which the machine is suspended can't be measured any more, it does not count")
+		c.sourceFailed = true
+		c.log.WithError(err).Warn("suspended time can't be read any longer, the clock leaves out later suspensions")
 		return
 	}
-	slept := suspended - c.before
-	if more := slept - time.Duration(c.slept.Load()); more >= leastSleep {
-		c.slept.Store(int64(slept))
-		c.log.WithField("slept_ms", more.Milliseconds()).Warn("the machine was suspended")
-		c.wake(steady.Add(slept))
+	sinceStart := suspended - c.suspendedAtStart
+	if added := sinceStart - time.Duration(c.suspendedTime.Load()); added >= minSuspension {
+		c.suspendedTime.Store(int64(sinceStart))
+		c.log.WithField("slept_ms", added.Milliseconds()).Warn("the machine was suspended")
+		c.resetTimers(now.Add(sinceStart))
 	}
 }
 
-// DetectSuspension finds out whether the machine was suspended while its time of day was set back by as much.
+// DetectSuspension checks for a suspension unconditionally. Now misses a suspension if the wall clock was set back by the
+// same time.
 func (c *Clock) DetectSuspension() {
-	c.look(c.source.Now())
+	c.detectSuspension(c.source.Now())
 }
 
-// TimeOfDay returns the time of day at a time of this clock.
+// TimeOfDay converts a time of this clock to wall-clock time.
 func (c *Clock) TimeOfDay(at time.Time) time.Time { return at.Add(-c.SuspendedTime()) }
 
-// SuspendedTime returns how long the machine was suspended since the clock was made, as far as has been noticed.
-func (c *Clock) SuspendedTime() time.Duration { return time.Duration(c.slept.Load()) }
+// SuspendedTime returns the detected suspended time since New.
+func (c *Clock) SuspendedTime() time.Duration { return time.Duration(c.suspendedTime.Load()) }
--- a/internal/clock/deadline.go
+++ b/internal/clock/deadline.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// deadline ends a context at a time of the clock. A timer of the system stands still while the machine is suspended, so
-// that it is set anew on waking.
+// deadline cancels a context at a time of the clock. System timers stop while the machine is suspended, so the timer is
+// reset on resume.
 type deadline struct {
 	at     time.Time
 	timer  *time.Timer
@@ -14,15 +14,15 @@
 	cause  error
 }
 
-// WithDeadline returns a context that ends at a time of this clock with a cause. The function ends it sooner and must be
-// called.
+// WithDeadline returns a context that is cancelled with cause at a time of this clock. The returned function cancels it
+// earlier and must be called to release the deadline.
 func (c *Clock) WithDeadline(ctx context.Context, at time.Time, cause error) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	d := &deadline{at: at, cancel: cancel, cause: cause}
-	left := at.Sub(c.Now())
+	remaining := at.Sub(c.Now())
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d.timer = time.AfterFunc(left, func() { d.cancel(d.cause) })
+	d.timer = time.AfterFunc(remaining, func() { d.cancel(d.cause) })
 	c.deadlines[d] = struct{}{}
 	return ctx, func() {
 		c.mu.Lock()
@@ -33,8 +33,8 @@
 	}
 }
 
-// wake sets the timers of all deadlines anew, at a time of this clock. The lock is held.
-func (c *Clock) wake(now time.Time) {
+// resetTimers resets the timers of all deadlines; now is a time of this clock. The caller holds the lock.
+func (c *Clock) resetTimers(now time.Time) {
 	for d := range c.deadlines {
 		d.timer.Reset(d.at.Sub(now))
 	}
