--- a/internal/lifetime/leaving.go
+++ b/internal/lifetime/leaving.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// CloseConnectionsWhen ends each connection of a host that leaves with its next answer.
-// Connections that rest stay open until the notice is over: one that is closed just
-// as its caller sends the next request would lose that request.
+// CloseConnectionsWhen closes each connection after its next response once leaving is set.
+// Idle connections stay open until the notice period of the drain has passed: closing one
+// while its caller sends the next request would lose that request.
 func CloseConnectionsWhen(leaving *atomic.Bool, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if leaving.Load() {
@@ -19,22 +19,22 @@
 	})
 }
 
-// DrainServer lets a server that leaves finish: it takes no new connections, drain waits for
-// what is in flight until ctx ends, and the last answers have the margin to leave. It
-// returns the number of requests that drain had to cut.
+// DrainServer shuts a server down gracefully. The server accepts no new connections, drain
+// waits for requests in flight until ctx is done, and the last responses then have the time
+// margin to be sent. It returns the number of requests that drain aborted.
 func DrainServer(ctx context.Context, server *http.Server, drain func(ctx context.Context) int, margin time.Duration) int {
-	shut := make(chan struct{})
+	shutdownDone := make(chan struct{})
 	go func() {
-		defer close(shut)
-		// The error is that of ctx; the rest is closed below.
+		defer close(shutdownDone)
+		// The error can only be that of ctx. The remaining connections are closed below.
 		_ = server.Shutdown(ctx)
 	}()
-	cut := drain(ctx)
-	<-shut
-	last, cancel := context.WithTimeout(context.Background(), margin)
+	numAborted := drain(ctx)
+	<-shutdownDone
+	marginCtx, cancel := context.WithTimeout(context.Background(), margin)
 	defer cancel()
-	// A caller that has not read its answer by then is cut off.
-	_ = server.Shutdown(last)
+	// Close aborts the connections of callers that have not read their response within the margin.
+	_ = server.Shutdown(marginCtx)
 	server.Close()
-	return cut
+	return numAborted
 }
--- a/internal/lifetime/lifetime.go
+++ b/internal/lifetime/lifetime.go
@@ -1,5 +1,6 @@
-// Package lifetime ties contexts and periodic work to the done channel of a part, wakes parts that wait, and lets a server
-// that leaves finish what is in flight. Both programs use it.
+// Package lifetime ties contexts and periodic work to the done channel of a component, wakes waiting goroutines, and
+// shuts servers down gracefully. Both programs use it. It owns no state and relies on package backoff for the spread of
+// intervals.
 package lifetime
 
 import (
@@ -9,8 +10,8 @@
 	"oxbowslip.dev/oxbowslip/internal/backoff"
 )
 
-// Context returns a context that ends when done is closed. The function ends it
-// sooner and must be called.
+// Context returns a context that is cancelled when done is closed. The returned function
+// cancels it earlier and must be called to release its goroutine.
 func Context(done <-chan struct{}) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -23,9 +24,9 @@
 	return ctx, cancel
 }
 
-// Sleep waits for a span, and reports false if ctx ended sooner.
-func Sleep(ctx context.Context, span time.Duration) bool {
-	timer := time.NewTimer(span)
+// Sleep waits for a duration. It returns false if ctx is done earlier.
+func Sleep(ctx context.Context, d time.Duration) bool {
+	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -35,7 +36,7 @@
 	}
 }
 
-// Wake wakes whoever waits on a channel with a buffer of one, or will wait next. It does not block.
+// Wake wakes the goroutine that receives from a channel with a buffer of one, now or next. It does not block.
 func Wake(waiter chan<- struct{}) {
 	select {
 	case waiter <- struct{}{}:
@@ -43,17 +44,17 @@
 	}
 }
 
-// repeatSpread is the part of the mean time between two calls of Every over which they are spread.
-const repeatSpread = 1
+// intervalSpread is the width of the random distribution of Every's intervals, as a fraction of their mean.
+const intervalSpread = 1
 
-// Every calls f at once and then again and again until done is closed, half to one and a half
-// of the mean time apart. Random returns numbers from 0 up to 1.
+// Every calls f immediately and then repeatedly until done is closed. The intervals are random
+// between 0.5 and 1.5 times the mean. random returns numbers in [0, 1).
 func Every(done <-chan struct{}, mean time.Duration, random func() float64, f func(ctx context.Context)) {
 	ctx, cancel := Context(done)
 	defer cancel()
 	for {
 		f(ctx)
-		timer := time.NewTimer(backoff.Spread(mean, repeatSpread, random()))
+		timer := time.NewTimer(backoff.Spread(mean, intervalSpread, random()))
 		select {
 		case <-timer.C:
 		case <-done:
