--- a/internal/deadpeer/deadpeer.go
+++ b/internal/deadpeer/deadpeer.go
@@ -1,7 +1,7 @@
-// Package deadpeer sets the socket option that breaks a TCP connection whose other end has
-// fallen silent: a machine without power or behind a cut resets nothing, and without the
-// option the kernel goes on sending for minutes. Both programs can use it; today
-// oxbowslip-front does, towards endpoints and the store.
+// Package deadpeer sets the socket option that closes a TCP connection whose peer no longer
+// acknowledges data. A machine that lost power or is isolated by a network fault sends no
+// reset, and without the option the kernel retransmits for minutes. Both programs can use
+// it; oxbowslip-front uses it for connections to endpoints and to the store.
 package deadpeer
 
 import (
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Control returns a function for net.Dialer.Control that bounds how long sent bytes may
-// stay unacknowledged (TCP_USER_TIMEOUT). A timeout of 0 leaves the socket as it is.
+// Control returns a function for net.Dialer.Control that limits how long sent data may
+// stay unacknowledged (TCP_USER_TIMEOUT). A timeout of 0 leaves the socket unchanged.
 func Control(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		if timeout == 0 {
