--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -1,5 +1,5 @@
 // Package listen opens and closes the HTTP listeners of a daemon. Both programs use it. It
-// owns the listeners; the servers' handlers belong to the parts that made them.
+// owns the listeners; the servers' handlers belong to the components that created them.
 package listen
 
 import (
@@ -11,38 +11,38 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Group is the HTTP servers of one daemon. Its methods must not be called at once.
+// Group is a set of the HTTP servers of one daemon. Its methods are not safe for concurrent use.
 type Group struct {
 	log     *logrus.Entry
 	servers []*http.Server
 }
 
-// New returns a group without servers. A listener that fails later is logged.
+// New returns an empty group. It reports listeners that fail after their start to log.
 func New(log *logrus.Entry) *Group { return &Group{log: log} }
 
-// Start listens on an address, serves in the background and returns the address with the
-// port that was picked if it was 0. What names the listener in errors. An empty address
-// starts nothing.
-func (g *Group) Start(server *http.Server, address, what string) (bound string, err error) {
+// Start listens on an address and serves in the background. It returns the bound address,
+// with the port that the system selected if the given port is 0. name identifies the
+// listener in errors and log lines. With an empty address, Start does not listen.
+func (g *Group) Start(server *http.Server, address, name string) (bound string, err error) {
 	g.servers = append(g.servers, server)
 	if address == "" {
 		return "", nil
 	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return "", merry.Prependf(err, "listen for %s on %s", what, address)
+		return "", merry.Prependf(err, "listen for %s on %s", name, address)
 	}
-	go g.serve(server, listener, what)
+	go g.serve(server, listener, name)
 	return listener.Addr().String(), nil
 }
 
-func (g *Group) serve(server *http.Server, listener net.Listener, what string) {
+func (g *Group) serve(server *http.Server, listener net.Listener, name string) {
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		g.log.WithError(err).WithField("listener", what).Error("listener failed")
+		g.log.WithError(err).WithField("listener", name).Error("listener failed, its address is no longer served")
 	}
 }
 
-// Close closes all servers and their connections at once.
+// Close closes all servers and their connections immediately.
 func (g *Group) Close() {
 	for _, server := range g.servers {
 		server.Close()
