--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,6 @@
-// Package logging makes the logger of a program; both programs use it. Each part of a program logs
-// short sentences with its own fixed prefix. Ring writes in the background and Sampler bounds lines, so
-// that logs never hold up a request.
+// Package logging creates the logger of a program; both programs use it. Each component of a program
+// logs with its own fixed prefix. Ring writes lines in the background and Sampler limits their rate, so
+// that logging never delays a request.
 package logging
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// partField is the field that becomes the prefix.
+// partField is the log field whose value becomes the prefix.
 const partField = "part"
 
-// New returns a logger that writes to w. Level and format are those of a host's
-// settings.
+// New returns a logger that writes to w. The level and format come from the host's
+// configuration file.
 func New(w io.Writer, level, format string) (*logrus.Logger, error) {
 	parsed, err := logrus.ParseLevel(level)
 	if err != nil {
-		return nil, merry.Prepend(err, "log level")
+		return nil, merry.Prepend(err, "parse log level")
 	}
 	log := logrus.New()
 	log.SetOutput(w)
@@ -32,18 +32,18 @@
 	return log, nil
 }
 
-// Part returns a logger whose messages begin with the part's name.
+// Part returns a logger whose messages are prefixed with the name of a component.
 func Part(log *logrus.Logger, part string) *logrus.Entry {
 	return log.WithField(partField, part)
 }
 
-// prefixHook moves the part from the fields to the front of the message.
+// prefixHook moves the part field to the front of the message.
 type prefixHook struct{}
 
-// Levels reports that the hook is for all levels.
+// Levels implements logrus.Hook.
 func (prefixHook) Levels() []logrus.Level { return logrus.AllLevels }
 
-// Fire changes the entry that is about to be written.
+// Fire implements logrus.Hook: it changes the entry before it is written.
 func (prefixHook) Fire(entry *logrus.Entry) error {
 	part, ok := entry.Data[partField].(string)
 	if !ok {
--- a/internal/logging/ring.go
+++ b/internal/logging/ring.go
@@ -7,51 +7,51 @@
 	"time"
 )
 
-// Ring writes lines to a slow writer without ever holding up those that log: they
-// put lines into a bounded ring, and one goroutine writes them. Lines for which there
-// is no room are left out and counted; the count is a line of its own. It implements
+// Ring writes lines to a slow writer without blocking the goroutines that log. It
+// buffers a limited number of lines, and one goroutine writes them. Lines that do not
+// fit are dropped; their number is written as a separate line. Ring implements
 // io.Writer and is safe for concurrent use.
 type Ring struct {
 	lines   chan []byte
-	leftOut atomic.Uint64
+	dropped atomic.Uint64
 	done    chan struct{}
-	ended   chan struct{}
+	stopped chan struct{}
 }
 
-// NewRing starts a ring of a number of lines in front of a writer.
+// NewRing starts a ring that buffers up to the given number of lines for a writer.
 func NewRing(w io.Writer, lines int) *Ring {
-	r := &Ring{lines: make(chan []byte, lines), done: make(chan struct{}), ended: make(chan struct{})}
+	r := &Ring{lines: make(chan []byte, lines), done: make(chan struct{}), stopped: make(chan struct{})}
 	go r.run(w)
 	return r
 }
 
-// Write puts a line into the ring, or leaves it out if the ring is full. It never
-// fails.
+// Write puts a line into the ring, or drops it if the ring is full. The error is
+// always nil.
 func (r *Ring) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...)
+	copied := append([]byte(nil), line...)
 	select {
-	case r.lines <- kept:
+	case r.lines <- copied:
 	default:
-		r.leftOut.Add(1)
+		r.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped counts the lines that were left out since the last count was written.
-func (r *Ring) Dropped() uint64 { return r.leftOut.Load() }
+// Dropped returns the number of lines dropped since that number was last written.
+func (r *Ring) Dropped() uint64 { return r.dropped.Load() }
 
-// Close writes what is in the ring, but waits for it no longer than the limit. What
-// is logged later is lost.
-func (r *Ring) Close(limit time.Duration) {
+// Close writes the buffered lines and waits for this no longer than the timeout. Lines
+// that are logged later are lost.
+func (r *Ring) Close(timeout time.Duration) {
 	close(r.done)
 	select {
-	case <-r.ended:
-	case <-time.After(limit):
+	case <-r.stopped:
+	case <-time.After(timeout):
 	}
 }
 
 func (r *Ring) run(w io.Writer) {
-	defer close(r.ended)
+	defer close(r.stopped)
 	for {
 		select {
 		case line := <-r.lines:
@@ -74,37 +74,37 @@
 	}
 }
 
-// write writes a line, and before it the count of those that were left out.
+// write writes a line, preceded by the number of lines dropped before it if there are any.
 func (r *Ring) write(w io.Writer, line []byte) {
-	if n := r.leftOut.Swap(0); n > 0 {
-		// A log that can't be written has nowhere to say so.
+	if n := r.dropped.Swap(0); n > 0 {
+		// An error of the log's writer can't be logged.
 		_, _ = fmt.Fprintf(w, `{"level":"warning","msg":"log: lines left out","count":%d}`+"\n", n)
 	}
-	// As above.
+	// As above: an error can't be logged.
 	_, _ = w.Write(line)
 }
 
-// Sampler lets a bounded number of lines a second through, and counts the others.
-// What fails is not to be sampled.
+// Sampler allows a limited number of lines a second and counts the others. It is not
+// meant for lines that report failures.
 type Sampler struct {
 	perSecond int64
 	second    atomic.Int64
 	count     atomic.Int64
-	leftOut   atomic.Int64
+	dropped   atomic.Int64
 }
 
-// NewSampler returns a sampler for a number of lines a second.
+// NewSampler returns a sampler that allows the given number of lines a second.
 func NewSampler(perSecond int) *Sampler { return &Sampler{perSecond: int64(perSecond)} }
 
-// Allow reports whether a line may be logged, and how many were not since the last
-// that was.
-func (s *Sampler) Allow(now time.Time) (leftOut int64, ok bool) {
+// Allow reports whether a line may be logged, and how many lines were dropped since
+// the last allowed line.
+func (s *Sampler) Allow(now time.Time) (dropped int64, ok bool) {
 	if second := now.Unix(); s.second.Swap(second) != second {
 		s.count.Store(0)
 	}
 	if s.count.Add(1) > s.perSecond {
-		s.leftOut.Add(1)
+		s.dropped.Add(1)
 		return 0, false
 	}
-	return s.leftOut.Swap(0), true
+	return s.dropped.Swap(0), true
 }
--- a/internal/logging/ring_test.go
+++ b/internal/logging/ring_test.go
@@ -9,41 +9,41 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// gate is a writer that blocks until it is opened.
-type gate struct {
+// blockingWriter is a writer that blocks until open is closed.
+type blockingWriter struct {
 	open    chan struct{}
-	reached chan struct{}
+	blocked chan struct{}
 	out     bytes.Buffer
 }
 
-func (g *gate) Write(p []byte) (int, error) {
+func (w *blockingWriter) Write(p []byte) (int, error) {
 	select {
-	case g.reached <- struct{}{}:
+	case w.blocked <- struct{}{}:
 	default:
 	}
-	<-g.open
-	return g.out.Write(p)
+	<-w.open
+	return w.out.Write(p)
 }
 
-func TestAFullRingNeverBlocksAndCountsWhatItLeavesOut(t *testing.T) {
+func TestFullRingDropsLinesWithoutBlocking(t *testing.T) {
 	c := qt.New(t)
-	g := &gate{open: make(chan struct{}), reached: make(chan struct{}, 1)}
-	ring := NewRing(g, 2)
+	w := &blockingWriter{open: make(chan struct{}), blocked: make(chan struct{}, 1)}
+	ring := NewRing(w, 2)
 	write := func(line string) {
 		n, err := ring.Write([]byte(line))
 		c.Assert(err, qt.IsNil)
 		c.Assert(n, qt.Equals, len(line))
 	}
 	write("first\n")
-	<-g.reached // The writer has the first line and is stuck with it.
+	<-w.blocked // The writer blocks while it writes the first line.
 	for range 5 {
 		write("more\n")
 	}
 	c.Check(ring.Dropped(), qt.Equals, uint64(3))
-	close(g.open)
+	close(w.open)
 	ring.Close(time.Minute)
-	c.Check(strings.Count(g.out.String(), "more\n"), qt.Equals, 2)
-	c.Check(g.out.String(), qt.Contains, `"msg":"log: lines left out","count":3`)
+	c.Check(strings.Count(w.out.String(), "more\n"), qt.Equals, 2)
+	c.Check(w.out.String(), qt.Contains, `"msg":"log: lines left out","count":3`)
 }
 
 func TestSampler(t *testing.T) {
@@ -57,7 +57,7 @@
 		}
 	}
 	c.Check(allowed, qt.Equals, 2)
-	leftOut, ok := s.Allow(now.Add(time.Second))
+	dropped, ok := s.Allow(now.Add(time.Second))
 	c.Check(ok, qt.IsTrue)
-	c.Check(leftOut, qt.Equals, int64(3))
+	c.Check(dropped, qt.Equals, int64(3))
 }
