--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,6 +1,6 @@
-// Package counters holds the metrics of one daemon; both programs use it. Every series of a closed set
-// exists from the start, so that alerts can be written before its first event. Names and labels are
-// listed in docs/metrics.md and never change.
+// Package counters holds the metrics of one daemon; both programs use it. It owns the names and labels of
+// the metrics, which are listed in docs/metrics.md and never change. Every series of a closed set of label
+// values exists from the start, so that alerts can refer to it before its first event.
 package counters
 
 import (
@@ -13,7 +13,7 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// WasteCause is why generated tokens were of no use. The set is closed.
+// WasteCause is the reason why generated tokens were wasted. The set is closed.
 type WasteCause string
 
 // The causes of wasted tokens.
@@ -25,14 +25,13 @@
 	WasteTimeLimit  WasteCause = "time_limit"
 )
 
-// WasteCauses lists every cause.
+// WasteCauses lists all causes.
 var WasteCauses = []WasteCause{WasteCallerGone, WasteBroken, WastePreempted, WasteStopped, WasteTimeLimit}
 
-// PeerTraffic is what a host sends to its peers. The set is closed.
+// PeerTraffic is a kind of traffic that a host sends to its peers. The set is closed.
 type PeerTraffic string
 
-// What hosts send to each other. The values are labels of a metric and stay as they were
-// first named.
+// The kinds of traffic between hosts. The values are labels of a metric and never change.
 const (
 	PeerHeartbeats    PeerTraffic = "beats"
 	PeerAnnouncements PeerTraffic = "introductions"
@@ -40,16 +39,16 @@
 	PeerMessages      PeerTraffic = "messages"
 )
 
-// PeerTrafficKinds lists every kind.
+// PeerTrafficKinds lists all kinds.
 var PeerTrafficKinds = []PeerTraffic{PeerHeartbeats, PeerAnnouncements, PeerSyncs, PeerMessages}
 
-// StoreCallReason is why a host calls the deployment's store.
+// StoreCallReason is the reason of a call to the deployment's store. The set is closed.
 type StoreCallReason string
 
-// The reasons.
+// The reasons of store calls.
 const (
-	// StoreCallLoad reads a table whole, StoreCallRead waits for its changes for all hosts, StoreCallAsk asks for
-	// them because nobody has confirmed for too long what the host knows.
+	// StoreCallLoad reads a whole table. StoreCallRead waits for its changes on behalf of all hosts. StoreCallAsk
+	// asks for changes because the host's copy has been unconfirmed for too long.
 	StoreCallLoad StoreCallReason = "load"
 	StoreCallRead StoreCallReason = "read"
 	StoreCallAsk  StoreCallReason = "ask"
@@ -58,7 +57,7 @@
 // StoreCallReasons lists all reasons.
 var StoreCallReasons = []StoreCallReason{StoreCallLoad, StoreCallRead, StoreCallAsk}
 
-// Signal is what an answer says of its endpoint. The set is closed.
+// Signal is a statement of an endpoint about itself in a response. The set is closed.
 type Signal string
 
 // The signals.
@@ -67,7 +66,7 @@
 	SignalRejected Signal = "rejected"
 	SignalRest     Signal = "rest"
 	SignalFailed   Signal = "failed"
-	// SignalLimit is a limit, SignalMalformedLimit a text in its place that is none.
+	// SignalLimit is a valid limit. SignalMalformedLimit is a limit that can't be parsed.
 	SignalLimit          Signal = "limit"
 	SignalMalformedLimit Signal = "malformed_limit"
 )
@@ -75,18 +74,18 @@
 // Signals lists all signals.
 var Signals = []Signal{SignalLeaving, SignalRejected, SignalRest, SignalFailed, SignalLimit, SignalMalformedLimit}
 
-// PermitResult is how a question for a permit to send a request to a limited endpoint ends. The set is closed.
+// PermitResult is the result of asking for a permit to send a request to a limited endpoint. The set is closed.
 type PermitResult string
 
-// The ends.
+// The results of asking for a permit.
 const (
 	PermitGranted PermitResult = "granted"
 	PermitDenied  PermitResult = "denied"
-	// PermitUnanswered: the host that lends permits did not reply.
+	// PermitUnanswered means that the host that grants permits did not reply.
 	PermitUnanswered PermitResult = "unanswered"
 )
 
-// PermitResults lists all ends.
+// PermitResults lists all results.
 var PermitResults = []PermitResult{PermitGranted, PermitDenied, PermitUnanswered}
 
 // Counters are the metrics of one daemon.
@@ -99,22 +98,22 @@
 	store    map[StoreCallReason]*metrics.Counter
 	signals  map[Signal]*metrics.Counter
 	permits  map[PermitResult]*metrics.Counter
-	// Goodput counts tokens of answers that met their class's targets.
+	// Goodput counts the tokens of answers that met the targets of their class.
 	Goodput *metrics.Counter
-	// Tokens counts all tokens relayed.
+	// Tokens counts all relayed tokens.
 	Tokens *metrics.Counter
-	// Resends counts bytes-level facts that must stay 0: a second send of a
-	// request that may not be repeated.
+	// Resends counts requests that were sent a second time although they may not
+	// be repeated. It must stay 0.
 	Resends *metrics.Counter
 	// PlatformErrors counts failed calls to the platform.
 	PlatformErrors *metrics.Counter
-	// SettingsRejected counts revisions that this program can't read.
+	// SettingsRejected counts settings revisions that this program can't decode.
 	SettingsRejected *metrics.Counter
-	// decisionAge is how old the settings were at most that decided about a request, in seconds.
+	// decisionAge is the upper bound on the age of the settings that a request was decided with, in seconds.
 	decisionAge *metrics.Histogram
 }
 
-// New returns all counters at 0.
+// New returns counters that are all 0.
 func New() *Counters {
 	set := metrics.NewSet()
 	c := &Counters{
@@ -157,10 +156,10 @@
 	return c
 }
 
-// CountPermit counts a question for a permit by its end.
-func (c *Counters) CountPermit(end PermitResult) { c.permits[end].Inc() }
+// CountPermit counts the result of asking for a permit.
+func (c *Counters) CountPermit(result PermitResult) { c.permits[result].Inc() }
 
-// CountSignals counts what an answer says of its endpoint.
+// CountSignals counts the signals of one response.
 func (c *Counters) CountSignals(signals ...Signal) {
 	for _, signal := range signals {
 		c.signals[signal].Inc()
@@ -170,11 +169,11 @@
 // CountStoreCall counts a call to the deployment's store.
 func (c *Counters) CountStoreCall(reason StoreCallReason) { c.store[reason].Inc() }
 
-// CountPeerBytes counts bytes that were sent to peers, without what lies below UDP or TCP.
+// CountPeerBytes counts bytes sent to peers, excluding the UDP or TCP overhead.
 func (c *Counters) CountPeerBytes(kind PeerTraffic, bytes int) { c.peers[kind].Add(bytes) }
 
-// CountRefusal counts a refusal. A reason of a newer peer that this program does not
-// know counts as internal.
+// CountRefusal counts a refusal. A reason that only newer peers define counts as
+// internal.
 func (c *Counters) CountRefusal(reason request.Reason) {
 	counter, ok := c.refusals[reason]
 	if !ok {
@@ -183,10 +182,10 @@
 	counter.Inc()
 }
 
-// Refusals returns the count of a reason.
+// Refusals returns the number of refusals with a reason.
 func (c *Counters) Refusals(reason request.Reason) uint64 { return c.refusals[reason].Get() }
 
-// RefusalsByReason returns the counts of all reasons that are not 0.
+// RefusalsByReason returns all refusal counts that are not 0.
 func (c *Counters) RefusalsByReason() map[string]uint64 {
 	counts := make(map[string]uint64)
 	for _, reason := range request.Reasons {
@@ -200,17 +199,17 @@
 // CountRetry counts a retry.
 func (c *Counters) CountRetry(reason request.RetryReason) { c.retries[reason].Inc() }
 
-// Retries returns the count of a retry reason.
+// Retries returns the number of retries with a reason.
 func (c *Counters) Retries(reason request.RetryReason) uint64 { return c.retries[reason].Get() }
 
-// CountWastedTokens counts tokens that were generated in vain.
+// CountWastedTokens counts generated tokens that were of no use.
 func (c *Counters) CountWastedTokens(cause WasteCause, tokens int) { c.wasted[cause].Add(tokens) }
 
-// WastedTokens returns the wasted tokens of a cause.
+// WastedTokens returns the number of wasted tokens with a cause.
 func (c *Counters) WastedTokens(cause WasteCause) uint64 { return c.wasted[cause].Get() }
 
-// CountAnswer counts an answer of a class. Class names are bounded by the root of
-// the settings tree; workspaces are left out to bound the number of series.
+// CountAnswer counts an answer of a class. The root of the settings tree bounds the
+// class names; there is no label for the workspace, to bound the number of series.
 func (c *Counters) CountAnswer(class string, firstToken time.Duration, attained bool, tokens int) {
 	c.set.GetOrCreateCounter(fmt.Sprintf(`oxbowslip_answers_total{class=%q,attained="%t"}`, class, attained)).Inc()
 	c.set.GetOrCreateHistogram(fmt.Sprintf(`oxbowslip_first_token_seconds{class=%q}`, class)).Update(firstToken.Seconds())
@@ -219,16 +218,16 @@
 	}
 }
 
-// RecordDecisionAge notes how old the settings were at most that decided about a request. An age below 0
-// is not known and is left out.
+// RecordDecisionAge records the upper bound on the age of the settings that a request was decided with.
+// A negative age means unknown and is ignored.
 func (c *Counters) RecordDecisionAge(age time.Duration) {
 	if age >= 0 {
 		c.decisionAge.Update(age.Seconds())
 	}
 }
 
-// Gauge registers a value that is read when the metrics are.
+// Gauge registers a gauge whose value is read each time the metrics are written.
 func (c *Counters) Gauge(name string, read func() float64) { c.set.GetOrCreateGauge(name, read) }
 
-// Write writes all metrics as Prometheus text.
+// Write writes all metrics in the Prometheus text format.
 func (c *Counters) Write(w io.Writer) { c.set.WritePrometheus(w) }
--- a/internal/counters/counters_test.go
+++ b/internal/counters/counters_test.go
@@ -15,9 +15,8 @@
 
 var metricName = regexp.MustCompile(`oxbowslip_[a-z_]+`)
 
-// TestPage holds docs/metrics.md and the code together: each metric is on the
-// page, and the page names no other.
-func TestPage(t *testing.T) {
+// TestMetricsAreDocumented checks that docs/metrics.md lists each metric and no others.
+func TestMetricsAreDocumented(t *testing.T) {
 	c := qt.New(t)
 	counters := New()
 	counters.CountAnswer("class", time.Second, true, 5)
@@ -26,8 +25,8 @@
 	counters.Write(&out)
 	page, err := os.ReadFile("../../docs/metrics.md")
 	c.Assert(err, qt.IsNil)
-	documented := names(page)
-	for _, name := range names(out.Bytes()) {
+	documented := metricNames(page)
+	for _, name := range metricNames(out.Bytes()) {
 		c.Check(documented, qt.Contains, name)
 	}
 	gauges := []string{
@@ -35,14 +34,14 @@
 		"oxbowslip_age_seconds", "oxbowslip_reads_store", "oxbowslip_hosts", "oxbowslip_endpoints", "oxbowslip_directory_revision", "oxbowslip_upstream_connections_made",
 		"oxbowslip_leads", "oxbowslip_poison_requests", "oxbowslip_endpoints_resting", "oxbowslip_endpoints_rejecting", "oxbowslip_endpoints_limited", "oxbowslip_endpoints_failing", "oxbowslip_store_era",
 	}
-	known := append(names(out.Bytes()), gauges...)
+	known := append(metricNames(out.Bytes()), gauges...)
 	for _, name := range documented {
 		c.Check(known, qt.Contains, name)
 	}
 }
 
-// names lists the metrics that a text names, without a histogram's suffixes.
-func names(text []byte) []string {
+// metricNames returns the sorted metric names in a text, without the suffixes of histograms.
+func metricNames(text []byte) []string {
 	var list []string
 	for _, name := range metricName.FindAllString(string(text), -1) {
 		name = regexp.MustCompile(`_(bucket|sum|count)$`).ReplaceAllString(name, "")
@@ -52,16 +51,16 @@
 	return slices.Compact(list)
 }
 
-// TestUnknownReason counts a reason that only a newer peer's scheduler knows.
-func TestUnknownReason(t *testing.T) {
+// TestUnknownRefusalReasonCountsAsInternal counts a refusal with a reason that only a newer peer's scheduler defines.
+func TestUnknownRefusalReasonCountsAsInternal(t *testing.T) {
 	c := qt.New(t)
 	counters := New()
 	counters.CountRefusal("some_day")
 	c.Assert(counters.Refusals(request.ReasonInternal), qt.Equals, uint64(1))
 }
 
-// TestDeclared finds every reason at 0 before its first event.
-func TestDeclared(t *testing.T) {
+// TestCountersStartAtZero checks that series exist with value 0 before their first event.
+func TestCountersStartAtZero(t *testing.T) {
 	c := qt.New(t)
 	var out bytes.Buffer
 	New().Write(&out)
--- a/internal/counters/golden_test.go
+++ b/internal/counters/golden_test.go
@@ -11,7 +11,7 @@
 	"oxbowslip.dev/oxbowslip/internal/proof/golden"
 )
 
-// TestGoldenMetrics holds the names and labels of all metrics to those of commit 4c58500.
+// TestGoldenMetrics checks that the names and labels of all metrics equal the recorded ones.
 func TestGoldenMetrics(t *testing.T) {
 	counters := New()
 	counters.CountAnswer("class", time.Second, true, 5)
