--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -1,6 +1,6 @@
-// Package strictjson decodes JSON documents that people write by hand. It
-// checks a document against a JSON Schema first, so that one run reports every
-// fault with its path, and only then decodes it into a Go struct.
+// Package strictjson decodes JSON documents that are written by hand. It validates
+// a document against a JSON Schema before it decodes it into a Go struct, so that
+// all faults are reported together, each with its path.
 package strictjson
 
 import (
@@ -17,11 +17,11 @@
 	"golang.org/x/text/message"
 )
 
-// Fault is one thing that is wrong with a document.
+// Fault is one fault of a document.
 type Fault struct {
-	// Path is a JSON pointer to the value. The root is "/".
+	// Path is a JSON pointer to the faulty value. The root is "/".
 	Path string `json:"path"`
-	// Problem is what is wrong and what would be right.
+	// Problem describes the fault and which values are valid.
 	Problem string `json:"problem"`
 }
 
@@ -31,7 +31,7 @@
 	Faults   []Fault
 }
 
-// Error returns one fault a line.
+// Error returns a text with one fault per line.
 func (e *Error) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: %d fault(s)", e.Document, len(e.Faults))
@@ -46,8 +46,8 @@
 	compiled *jsonschema.Schema
 }
 
-// MustCompile compiles a schema that is part of the program. It panics if the
-// schema itself is wrong, which the first test run shows.
+// MustCompile compiles a schema that is embedded in the program. It panics if the
+// schema is invalid, which any test run detects.
 func MustCompile(name string, text []byte) *Schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
@@ -60,11 +60,11 @@
 	return &Schema{compiled: compiler.MustCompile(name)}
 }
 
-// Decode checks data against the schema and decodes it. A fault of the
-// document comes back as *Error. The document's name is used in messages only.
+// Decode validates data against the schema and decodes it. Faults of the document
+// are returned as an *Error. The document's name is only used in messages.
 func Decode[T any](schema *Schema, document string, data []byte) (T, error) {
 	var value T
-	if faults := schema.check(data); len(faults) > 0 {
+	if faults := schema.validate(data); len(faults) > 0 {
 		return value, &Error{Document: document, Faults: faults}
 	}
 	if err := json.Unmarshal(data, &value, json.RejectUnknownMembers(true), DurationUnmarshaler); err != nil {
@@ -73,14 +73,14 @@
 	return value, nil
 }
 
-// Encode writes a value in the form that Decode reads, with sorted keys and
+// Encode encodes a value so that Decode can decode it, with sorted keys and
 // durations as text.
 func Encode(value any) ([]byte, error) {
 	data, err := json.Marshal(value, json.Deterministic(true), DurationMarshaler)
 	return data, merry.Wrap(err)
 }
 
-// DurationUnmarshaler reads durations as text, such as "1.3s".
+// DurationUnmarshaler decodes durations from text such as "1.3s".
 var DurationUnmarshaler = json.WithUnmarshalers(json.UnmarshalFunc(func(text []byte, d *time.Duration) error {
 	value, err := time.ParseDuration(strings.Trim(string(text), `"`))
 	if err != nil {
@@ -90,12 +90,12 @@
 	return nil
 }))
 
-// DurationMarshaler writes durations as Durations reads them.
+// DurationMarshaler encodes durations in the format that DurationUnmarshaler decodes.
 var DurationMarshaler = json.WithMarshalers(json.MarshalFunc(func(d time.Duration) ([]byte, error) {
 	return []byte(`"` + d.String() + `"`), nil
 }))
 
-func (s *Schema) check(data []byte) []Fault {
+func (s *Schema) validate(data []byte) []Fault {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(data))
 	if err != nil {
 		return []Fault{{Path: "/", Problem: "not a JSON document: " + err.Error()}}
@@ -108,18 +108,18 @@
 	if !ok {
 		return []Fault{{Path: "/", Problem: err.Error()}}
 	}
-	faults := leaves(invalid, message.NewPrinter(language.English), nil)
+	faults := collectFaults(invalid, message.NewPrinter(language.English), nil)
 	sort.SliceStable(faults, func(i, j int) bool { return faults[i].Path < faults[j].Path })
 	return faults
 }
 
-func leaves(e *jsonschema.ValidationError, printer *message.Printer, faults []Fault) []Fault {
+func collectFaults(e *jsonschema.ValidationError, printer *message.Printer, faults []Fault) []Fault {
 	if len(e.Causes) == 0 {
 		path := "/" + strings.Join(e.InstanceLocation, "/")
 		return append(faults, Fault{Path: path, Problem: e.ErrorKind.LocalizedString(printer)})
 	}
 	for _, cause := range e.Causes {
-		faults = leaves(cause, printer, faults)
+		faults = collectFaults(cause, printer, faults)
 	}
 	return faults
 }
