--- a/internal/hostconfig/golden_test.go
+++ b/internal/hostconfig/golden_test.go
@@ -10,8 +10,8 @@
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
 
-// TestGoldenHost holds the schema of a host's file, what a file with every field set means
-// and the values of what a file leaves out to those of commit 4c58500.
+// TestGoldenHost checks that the schema of a host's file, the encoding of a file with every
+// field set, and the defaults of a minimal file equal the recorded ones.
 func TestGoldenHost(t *testing.T) {
 	c := qt.New(t)
 	golden.Text(t, "schema.json", string(schemaText))
@@ -25,9 +25,9 @@
 	for _, field := range golden.SchemaFields(t, schemaText) {
 		c.Check(string(encoded), qt.Contains, `"`+field+`":`)
 	}
-	least, err := Decode("least.json", []byte(`{"name": "h", "zone": "z", "callers": ":0", "operators": ":0", "platform": {"address": "p:1"}}`))
+	minimal, err := Decode("least.json", []byte(`{"name": "h", "zone": "z", "callers": ":0", "operators": ":0", "platform": {"address": "p:1"}}`))
 	c.Assert(err, qt.IsNil)
-	encoded, err = strictjson.Encode(&least)
+	encoded, err = strictjson.Encode(&minimal)
 	c.Assert(err, qt.IsNil)
 	golden.Text(t, "least.json", string(encoded)+"\n")
 }
--- a/internal/hostconfig/hostconfig.go
+++ b/internal/hostconfig/hostconfig.go
@@ -1,6 +1,7 @@
-// Package hostconfig reads the file with one daemon's name, its addresses, its availability
-// zone and where the platform is. Both programs use it, each some of its fields; everything else comes
-// from the settings tree.
+// Package hostconfig reads the configuration file of one host: its name, its addresses, its availability
+// zone and the address of the platform. Both programs use it, each some of its fields. All other settings
+// come from the settings tree. It owns the format and the defaults of the file, and relies on package
+// strictjson for decoding.
 package hostconfig
 
 import (
@@ -19,86 +20,87 @@
 
 var schema = strictjson.MustCompile("host.json", schemaText)
 
-// Host is the file of one host.
+// Host is the configuration file of one host.
 type Host struct {
 	Name string `json:"name"`
-	// Region is without effect; see docs/operate/setup.md.
+	// Region has no effect; see docs/operate/setup.md.
 	Region string `json:"region,omitzero"`
 	Zone   string `json:"zone"`
-	// Callers, Operators and Peers are addresses to listen on. Port 0 picks a
+	// Callers, Operators and Peers are addresses to listen on. Port 0 selects a
 	// free port.
 	Callers    string   `json:"callers"`
 	Operators  string   `json:"operators"`
 	Peers      string   `json:"peers,omitzero"`
 	FirstPeers []string `json:"first_peers,omitzero"`
 	PeerKey    string   `json:"peer_key,omitzero"`
-	// Fleet is the same at all hosts of a fleet. It need only be set where they reach the store at different addresses.
+	// Fleet identifies the fleet and is the same on all its hosts. It is only needed if the hosts reach the store at
+	// different addresses.
 	Fleet        string        `json:"fleet,omitzero"`
 	Platform     Platform      `json:"platform"`
 	OperatorKeys []OperatorKey `json:"operator_keys,omitzero"`
 	Log          Log           `json:"log,omitzero"`
 	Drain        Drain         `json:"drain,omitzero"`
-	// ReadTimeout bounds how long a caller may take to send a body.
+	// ReadTimeout limits the time in which a caller has to send a body.
 	ReadTimeout time.Duration `json:"read_timeout,omitzero"`
-	// WriteTimeout bounds how long a caller may take to read what is ready.
+	// WriteTimeout limits the time in which a caller has to read the data that was written to it.
 	WriteTimeout time.Duration `json:"write_timeout,omitzero"`
-	// Readiness is the address where the balancer asks whether the host takes
-	// requests; Metrics is the one of the metrics. Both may be left out.
+	// Readiness is the address at which the load balancer checks whether the host
+	// accepts requests. Metrics is the address of the metrics. Both are optional.
 	Readiness string `json:"readiness,omitzero"`
 	Metrics   string `json:"metrics,omitzero"`
-	// MemoryMB is the memory that the host may use, in MB; 0 means no bound.
+	// MemoryMB is the memory limit of the host, in MB; 0 means no limit.
 	MemoryMB int `json:"memory_mb,omitzero"`
-	// Retries bounds the retries of all hosts together.
+	// Retries limits the retries of all hosts together.
 	Retries Retries `json:"retries,omitzero"`
-	// Provider is who runs the endpoints. Without an address, there is no leader.
+	// Provider is the provider of the endpoints. Without its address, the hosts elect no leader.
 	Provider Provider `json:"provider,omitzero"`
 }
 
-// Task is what the leader of the hosts does with the provider.
+// Task is a task that the leader of the hosts performs with the provider.
 type Task string
 
 // The tasks.
 const (
-	// TaskUsage reports what the workspaces used, TaskAutoscale orders endpoints.
+	// TaskUsage reports the usage of the workspaces. TaskAutoscale orders endpoints.
 	TaskUsage     Task = "usage"
 	TaskAutoscale Task = "autoscale"
 )
 
-// Provider is who runs the endpoints, and what one host at a time, the leader, does with it.
+// Provider configures the provider of the endpoints and the tasks that the leader, one host at a time, performs with it.
 type Provider struct {
 	Address string `json:"address"`
-	// Tasks are what the leader does. One that this program does not know is left out.
+	// Tasks are the tasks of the leader. Tasks unknown to this version of the program are ignored.
 	Tasks []Task `json:"tasks,omitzero"`
-	// Lease is how long a host may lead without renewing its lease.
+	// Lease is the duration of the leader's lease without renewal.
 	Lease time.Duration `json:"lease,omitzero"`
-	// UsageWindow is the length of a window of usage, UsageDue how long after its end the report is due.
+	// UsageWindow is the length of a usage window. UsageDue is the time from the end of a window until its report is due.
 	UsageWindow time.Duration `json:"usage_window,omitzero"`
 	UsageDue    time.Duration `json:"usage_due,omitzero"`
-	// FirstPart is the part of the most spot endpoints of a service that the leader orders before it knows anything
-	// of the traffic.
+	// FirstPart is the fraction of a service's maximum number of spot endpoints that the leader orders before it has any
+	// information about the traffic.
 	FirstPart float64 `json:"first_part,omitzero"`
 }
 
-// HasTask reports whether the leader does a task.
+// HasTask reports whether the leader performs a task.
 func (p *Provider) HasTask(task Task) bool { return p.Address != "" && slices.Contains(p.Tasks, task) }
 
-// Retries bounds the retries of all hosts together at one service: in each window,
-// Ratio times the first tries and Slack more.
+// Retries limits the retries of all hosts together to one service. Each window allows
+// Ratio times the number of first attempts, plus Slack.
 type Retries struct {
 	Ratio  float64       `json:"ratio,omitzero"`
 	Slack  float64       `json:"slack,omitzero"`
 	Window time.Duration `json:"window,omitzero"`
 }
 
-// Platform is where the platform's service is.
+// Platform configures the connection to the platform's service.
 type Platform struct {
 	Address string `json:"address"`
-	// Poll is the mean time between two reads of the settings' head.
+	// Poll is the mean interval at which the newest settings revision is read.
 	Poll    time.Duration `json:"poll,omitzero"`
 	Timeout time.Duration `json:"timeout,omitzero"`
 }
 
-// OperatorRole is what an operator's key allows.
+// OperatorRole is the set of operations that an operator's key permits.
 type OperatorRole string
 
 // The roles of operators.
@@ -107,38 +109,38 @@
 	RoleChange OperatorRole = "change"
 )
 
-// OperatorKey lets an operator use the operators' interface. Only its hash is
-// kept.
+// OperatorKey authorizes an operator for the operators' interface. Only the hash of the
+// key is stored.
 type OperatorKey struct {
 	Name   string       `json:"name"`
 	SHA256 string       `json:"sha256"`
 	Role   OperatorRole `json:"role"`
 }
 
-// Log is what is logged and how.
+// Log configures the log.
 type Log struct {
 	Level  string `json:"level,omitzero"`
 	Format string `json:"format,omitzero"`
 }
 
-// Drain is how a planned stop goes.
+// Drain configures the graceful stop.
 type Drain struct {
-	// Notice is how long the host goes on accepting after its readiness has
-	// failed, for the balancer to see it.
+	// Notice is how long the host still accepts requests after its readiness
+	// check fails, so that the load balancer can detect the failure.
 	Notice time.Duration `json:"notice,omitzero"`
-	// Limit bounds the whole stop.
+	// Limit limits the duration of the whole stop.
 	Limit time.Duration `json:"limit,omitzero"`
-	// Grace is when the platform kills a host that it has told to stop. If it is
-	// set, the limit lies before it.
+	// Grace is the time after which the platform kills a host that it has told to
+	// stop. If it is set, the default of Limit is shorter.
 	Grace time.Duration `json:"grace,omitzero"`
 }
 
-// gracePart is the part of the grace time for which a host lets requests finish:
-// until well into the last sixth, in which cutting a request that still runs is
-// nobody's fault, and with time left to end in order.
-const gracePart = 0.88
+// graceShare is the fraction of the grace time in which a host lets requests finish.
+// It ends within the last sixth, in which aborting a request does not count as a
+// fault of the host, and leaves time for an orderly exit.
+const graceShare = 0.88
 
-// The values of what the file leaves out; the fields of Host say what they mean. A deployment sets its own.
+// Default values of fields that the file does not set; see the fields of Host. Deployments set their own values.
 const (
 	defaultPoll         = time.Second
 	defaultTimeout      = 2 * time.Second
@@ -155,17 +157,17 @@
 	defaultFirstPart    = 0.75
 )
 
-// Load reads and checks a host's file.
+// Load reads and validates a host's file.
 func Load(path string) (Host, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return Host{}, merry.Prepend(err, "read host settings")
+		return Host{}, merry.Prepend(err, "read host configuration")
 	}
 	return Decode(path, data)
 }
 
-// Decode checks a host's file and fills in what it leaves out. The error is a
-// *strictjson.Error with every fault.
+// Decode validates a host's file and fills in the defaults. The error is a
+// *strictjson.Error with all faults.
 func Decode(document string, data []byte) (Host, error) {
 	host, err := strictjson.Decode[Host](schema, document, data)
 	if err != nil {
@@ -174,13 +176,13 @@
 	return host.WithDefaults(), nil
 }
 
-// WithDefaults fills in what is left out.
+// WithDefaults returns the configuration with the defaults of fields that are not set.
 func (h Host) WithDefaults() Host {
 	setDefault(&h.Platform.Poll, defaultPoll)
 	setDefault(&h.Platform.Timeout, defaultTimeout)
 	setDefault(&h.Drain.Notice, defaultNotice)
 	if h.Drain.Grace > 0 {
-		setDefault(&h.Drain.Limit, time.Duration(gracePart*float64(h.Drain.Grace)))
+		setDefault(&h.Drain.Limit, time.Duration(graceShare*float64(h.Drain.Grace)))
 	}
 	setDefault(&h.Drain.Limit, defaultLimit)
 	setDefault(&h.ReadTimeout, defaultReadTimeout)
--- a/internal/hostconfig/hostconfig_test.go
+++ b/internal/hostconfig/hostconfig_test.go
@@ -13,13 +13,13 @@
 func TestDecode(t *testing.T) {
 	tests := map[string]struct {
 		text string
-		// want lists the paths of the faults.
+		// want is the list of the paths of the faults.
 		want []string
 	}{
-		"least":           {`{"name": "h", "zone": "z", "callers": ":0", "operators": ":0", "platform": {"address": "p:1"}}`, nil},
-		"empty":           {`{}`, []string{"/"}},
-		"several at once": {`{"name": "Host A", "zone": "", "callers": "here", "operators": ":0", "platform": {"address": "p:1", "poll": "often"}}`, []string{"/callers", "/name", "/platform/poll", "/zone"}},
-		"unknown field":   {`{"name": "h", "zone": "z", "callers": ":0", "operators": ":0", "platform": {"address": "p:1"}, "disk": 1}`, []string{"/"}},
+		"least":          {`{"name": "h", "zone": "z", "callers": ":0", "operators": ":0", "platform": {"address": "p:1"}}`, nil},
+		"empty":          {`{}`, []string{"/"}},
+		"several faults": {`{"name": "Host A", "zone": "", "callers": "here", "operators": ":0", "platform": {"address": "p:1", "poll": "often"}}`, []string{"/callers", "/name", "/platform/poll", "/zone"}},
+		"unknown field":  {`{"name": "h", "zone": "z", "callers": ":0", "operators": ":0", "platform": {"address": "p:1"}, "disk": 1}`, []string{"/"}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestDrainEndsInTheLastSixthOfTheGrace(t *testing.T) {
+func TestDrainLimitIsInLastSixthOfGrace(t *testing.T) {
 	for name, grace := range map[string]time.Duration{"short": 3 * time.Second, "usual": 8 * time.Second, "long": 30 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
