--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain keeps what was decided for the last requests of a host, so that an operator can ask
-// why one ran where and when it did, waited or was refused. Both programs use it. It holds no contents
-// of requests.
+// Package explain stores the routing decisions for the last requests of a host, so that an operator can
+// find out why a request ran on an endpoint, waited or was refused. Both programs use it. It owns the
+// stored records, which include no contents of requests.
 package explain
 
 import (
@@ -10,27 +10,27 @@
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-// Bounds of what is kept, in memory of a host.
+// Limits of the memory for records.
 const (
-	// maxRecords is the number of requests.
+	// maxRecords is the maximum number of stored requests.
 	maxRecords = 4096
-	// maxSteps is the number of steps of one request: a few for each try.
+	// maxSteps is the maximum number of steps of one request. Each attempt takes a few steps.
 	maxSteps = 32
 )
 
-// Step is one thing that happened to a request.
+// Step is one event in the processing of a request.
 type Step struct {
 	At time.Time `json:"at"`
-	// What is a short name of the step, such as "grant" or "refused".
+	// What is the short name of the step, such as "grant" or "refused".
 	What     string `json:"what"`
 	Endpoint string `json:"endpoint,omitzero"`
 	Reason   string `json:"reason,omitzero"`
-	// Scheduler is the host that decided.
+	// Scheduler is the host that made the decision.
 	Scheduler string             `json:"scheduler,omitzero"`
 	Figures   *admission.Figures `json:"figures,omitzero"`
 }
 
-// Record is all that is known of one request.
+// Record is the stored information about one request.
 type Record struct {
 	ID        string `json:"id"`
 	Host      string `json:"host"`
@@ -39,11 +39,11 @@
 	Shard     string `json:"shard"`
 	Tier      int    `json:"tier"`
 	Steps     []Step `json:"steps"`
-	// Dropped counts steps beyond the bound.
+	// Dropped is the number of steps that were not stored because of the limit.
 	Dropped int `json:"dropped,omitzero"`
 }
 
-// Ring keeps the last records.
+// Ring stores the last records. It is safe for concurrent use.
 type Ring struct {
 	mu      sync.Mutex
 	records map[string]*Record
@@ -56,19 +56,19 @@
 	return &Ring{records: make(map[string]*Record), order: make([]string, maxRecords)}
 }
 
-// Begin starts a record and forgets the oldest one if the ring is full.
+// Begin stores a new record and evicts the oldest one if the ring is full.
 func (r *Ring) Begin(record Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if old := r.order[r.next]; old != "" {
-		delete(r.records, old)
+	if oldest := r.order[r.next]; oldest != "" {
+		delete(r.records, oldest)
 	}
 	r.order[r.next] = record.ID
 	r.next = (r.next + 1) % maxRecords
 	r.records[record.ID] = &record
 }
 
-// Add appends a step to a record that is still kept.
+// Add appends a step to a record. It does nothing if the record was evicted.
 func (r *Ring) Add(id string, step Step) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,7 +83,7 @@
 	record.Steps = append(record.Steps, step)
 }
 
-// Get returns a copy of a record.
+// Get returns a copy of a record. It returns false if the ring does not contain the record.
 func (r *Ring) Get(id string) (Record, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,7 +91,7 @@
 	if !ok {
 		return Record{}, false
 	}
-	found := *record
-	found.Steps = append([]Step(nil), record.Steps...)
-	return found, true
+	result := *record
+	result.Steps = append([]Step(nil), record.Steps...)
+	return result, true
 }
