--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,5 +1,6 @@
-// Package record keeps the shape of the last requests of a host, so that an operator can make a trace
-// of them (oxbowslip-replay record). oxbowslipd fills it. It keeps sizes and names, no contents.
+// Package record stores the sizes and names of the last requests of a host, so that an operator can
+// create a trace from them (oxbowslip-replay record). oxbowslipd adds the entries. They include no
+// contents of requests.
 package record
 
 import (
@@ -7,21 +8,21 @@
 	"time"
 )
 
-// maxEntries bounds what is kept, in memory of a host: the requests of some minutes.
+// maxEntries is the maximum number of stored entries. It bounds memory and covers some minutes of requests.
 const maxEntries = 1 << 15
 
-// Entry is the shape of one request.
+// Entry holds the sizes and names of one request.
 type Entry struct {
 	Arrived   time.Time `json:"arrived"`
 	Class     string    `json:"class"`
 	Workspace string    `json:"workspace"`
 	Model     string    `json:"model"`
-	// Prompt and Answer are in tokens; an answer that was not given is 0.
+	// Prompt and Answer are lengths in tokens. Answer is 0 if the request was not answered.
 	Prompt int `json:"prompt"`
 	Answer int `json:"answer"`
 }
 
-// Ring keeps the last entries.
+// Ring stores the last entries. It is safe for concurrent use.
 type Ring struct {
 	mu      sync.Mutex
 	entries []Entry
@@ -31,7 +32,7 @@
 // New returns an empty ring.
 func New() *Ring { return &Ring{} }
 
-// Add keeps an entry and forgets the oldest one if the ring is full.
+// Add stores an entry and evicts the oldest one if the ring is full.
 func (r *Ring) Add(e Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,16 +44,16 @@
 	r.next = (r.next + 1) % maxEntries
 }
 
-// Since returns the entries that arrived after a time, in the order in which they
-// ended.
+// Since returns the entries of requests that arrived after a time, in the order in
+// which the requests ended.
 func (r *Ring) Since(after time.Time) []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	since := []Entry{}
+	recent := []Entry{}
 	for i := range r.entries {
 		if e := r.entries[(r.next+i)%len(r.entries)]; e.Arrived.After(after) {
-			since = append(since, e)
+			recent = append(recent, e)
 		}
 	}
-	return since
+	return recent
 }
