--- a/internal/operator/changes.go
+++ b/internal/operator/changes.go
@@ -18,35 +18,35 @@
 
 // ChangeRequest is an operator's change of the settings.
 type ChangeRequest struct {
-	// ID is the operator's own; the same ID is accepted once.
+	// ID is chosen by the operator. A change with the same ID is accepted only once.
 	ID string `json:"id"`
-	// Base is the revision that the operator saw.
+	// Base is the revision that the operator made the patch for.
 	Base uint64 `json:"base"`
 	// Patch is a JSON merge patch (RFC 7396) of the tree.
 	Patch jsontext.Value `json:"patch"`
 }
 
-// ChangeAnswer is what became of a change. Exactly one of Revision and Error
-// is set.
+// ChangeAnswer is the result of a change. Exactly one of Revision and Error is
+// set.
 type ChangeAnswer struct {
 	Revision uint64 `json:"revision,omitzero"`
 	Error    string `json:"error,omitzero"`
 	// Accepted is "yes", "no" or "unknown".
 	Accepted string `json:"accepted"`
-	// Faults lists what would be wrong with the tree.
+	// Faults are the faults of the tree that the change would result in.
 	Faults []strictjson.Fault `json:"faults,omitzero"`
-	// Other is the change that is in the way, Paths what both touch.
+	// Other is the conflicting change. Paths are the paths that both changes modify.
 	Other *settings.Change `json:"other,omitzero"`
 	Paths []string         `json:"paths,omitzero"`
 }
 
-// SettingsAnswer is the tree in force.
+// SettingsAnswer is the tree in force with its revision number.
 type SettingsAnswer struct {
 	Revision uint64         `json:"revision"`
 	Tree     jsontext.Value `json:"tree"`
 }
 
-// maxChangeBytes bounds the body of a change.
+// maxChangeBytes limits the size of a change's body.
 const maxChangeBytes = 4 << 20
 
 func (s *Server) showSettings(w http.ResponseWriter, _ *http.Request) {
@@ -59,7 +59,7 @@
 }
 
 func (s *Server) showChange(w http.ResponseWriter, r *http.Request) {
-	// The route allows digits only; a number that is too large names nothing.
+	// The route matches digits only. For a number out of range, ParseUint returns the largest uint64, which is not in use.
 	revision, _ := strconv.ParseUint(mux.Vars(r)["revision"], 10, 64)
 	c, err := s.parts.Changes.Find(r.Context(), revision)
 	switch {
@@ -72,7 +72,7 @@
 	}
 }
 
-func (s *Server) takeChange(w http.ResponseWriter, r *http.Request) {
+func (s *Server) acceptChange(w http.ResponseWriter, r *http.Request) {
 	var request ChangeRequest
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxChangeBytes))
 	if err == nil {
@@ -85,14 +85,14 @@
 		httprelay.WriteJSON(w, http.StatusBadRequest, ChangeAnswer{Error: err.Error(), Accepted: "no"})
 		return
 	}
-	c := settings.Change{ID: request.ID, Base: request.Base, Patch: request.Patch, Who: who(r)}
+	c := settings.Change{ID: request.ID, Base: request.Base, Patch: request.Patch, Who: operatorName(r)}
 	revision, err := s.parts.Changes.Accept(r.Context(), c)
 	status, result := changeAnswer(revision, err)
 	httprelay.WriteJSON(w, status, result)
 }
 
-// decodeChange decodes an operator's change. Its error names what is wrong, and not the library's
-// own words, which differ from one run of the program to the next on purpose.
+// decodeChange decodes an operator's change. Its error describes the fault without the text of the
+// JSON library's error, which the library deliberately varies between runs of a program.
 func decodeChange(data []byte, request *ChangeRequest) error {
 	err := json.Unmarshal(data, request, json.RejectUnknownMembers(true))
 	var semantic *json.SemanticError
@@ -105,7 +105,7 @@
 	return merry.Errorf("the change can't be read at %q: %w", semantic.JSONPointer, semantic.Err)
 }
 
-// changeAnswer returns the status and body that tell an operator what became of a change.
+// changeAnswer returns the HTTP status and body for the result of a change.
 func changeAnswer(revision uint64, err error) (int, ChangeAnswer) {
 	if err == nil {
 		return http.StatusOK, ChangeAnswer{Revision: revision, Accepted: "yes"}
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -18,72 +18,73 @@
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
 
-// clientTimeout is longer than it takes a host to find out about a lost answer (package daemon/commit).
+// clientTimeout is longer than the time in which a host determines the result of a change after a lost response
+// (package daemon/commit).
 const clientTimeout = 20 * time.Second
 
-// Client is an operator's side of the interface of one host.
+// Client calls the operators' interface of one host.
 type Client struct {
 	base string
 	key  string
 	http *http.Client
 }
 
-// NewClient returns a client with an operator's key.
+// NewClient returns a client that authenticates with an operator's key.
 func NewClient(address, key string) *Client {
 	return &Client{base: "http://" + address, key: key, http: &http.Client{Timeout: clientTimeout}}
 }
 
 // Status returns the state of the host.
 func (c *Client) Status(ctx context.Context) (Status, error) {
-	return get[Status](ctx, c, "/v1/status")
+	return getJSON[Status](ctx, c, "/v1/status")
 }
 
 // Settings returns the tree in force on the host.
 func (c *Client) Settings(ctx context.Context) (SettingsAnswer, error) {
-	return get[SettingsAnswer](ctx, c, "/v1/settings")
+	return getJSON[SettingsAnswer](ctx, c, "/v1/settings")
 }
 
 // Change returns an accepted change.
 func (c *Client) Change(ctx context.Context, revision uint64) (settings.Change, error) {
-	return get[settings.Change](ctx, c, "/v1/settings/changes/"+strconv.FormatUint(revision, 10))
+	return getJSON[settings.Change](ctx, c, "/v1/settings/changes/"+strconv.FormatUint(revision, 10))
 }
 
-// Effective returns each effective value of a workspace and class.
+// Effective returns the effective values of a workspace and class.
 func (c *Client) Effective(ctx context.Context, workspace, class string) ([]settings.EffectiveValue, error) {
-	return get[[]settings.EffectiveValue](ctx, c, "/v1/settings/effective/"+url.PathEscape(workspace)+"/"+class)
+	return getJSON[[]settings.EffectiveValue](ctx, c, "/v1/settings/effective/"+url.PathEscape(workspace)+"/"+class)
 }
 
-// Explain returns what was decided for a request.
+// Explain returns the record of the decisions for a request.
 func (c *Client) Explain(ctx context.Context, id string) (explain.Record, error) {
-	return get[explain.Record](ctx, c, "/v1/requests/"+url.PathEscape(id))
+	return getJSON[explain.Record](ctx, c, "/v1/requests/"+url.PathEscape(id))
 }
 
-// LiftPoison has a poison request sent again by all hosts.
+// LiftPoison lifts the verdict on a poison request, so that all hosts send it again.
 func (c *Client) LiftPoison(ctx context.Context, key string) error {
 	status, data, err := c.do(ctx, http.MethodDelete, "/v1/poison/"+url.PathEscape(key), nil)
 	if err != nil {
 		return err
 	}
 	if status != http.StatusNoContent {
-		return problem(status, data)
+		return responseError(status, data)
 	}
 	return nil
 }
 
-// Recorded returns the shapes of the host's requests that arrived after a time.
+// Recorded returns the recorded entries of the host's requests that arrived after a time.
 func (c *Client) Recorded(ctx context.Context, after time.Time) ([]record.Entry, error) {
-	return get[[]record.Entry](ctx, c, "/v1/recorded?after="+url.QueryEscape(after.Format(time.RFC3339Nano)))
+	return getJSON[[]record.Entry](ctx, c, "/v1/recorded?after="+url.QueryEscape(after.Format(time.RFC3339Nano)))
 }
 
-// RefusedError is a change that was not accepted, or of which that is not known.
+// RefusedError reports a change that was not accepted, or whose result is unknown.
 type RefusedError struct {
 	Answer ChangeAnswer
 }
 
-// Error returns the host's words.
+// Error returns the host's error message.
 func (r *RefusedError) Error() string { return r.Answer.Error }
 
-// Apply sends a change. A change that was not accepted comes back as *Refused.
+// Apply sends a change. If the change was not accepted, the error is a *RefusedError.
 func (c *Client) Apply(ctx context.Context, request ChangeRequest) (ChangeAnswer, error) {
 	var result ChangeAnswer
 	body, err := json.Marshal(request)
@@ -103,21 +104,21 @@
 	return result, nil
 }
 
-func get[T any](ctx context.Context, c *Client, path string) (T, error) {
+func getJSON[T any](ctx context.Context, c *Client, path string) (T, error) {
 	var value T
 	status, data, err := c.do(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return value, err
 	}
 	if status != http.StatusOK {
-		return value, problem(status, data)
+		return value, responseError(status, data)
 	}
 	err = json.Unmarshal(data, &value, strictjson.DurationUnmarshaler)
 	return value, merry.Wrap(err)
 }
 
-// problem returns the error of an answer that is none.
-func problem(status int, data []byte) error {
+// responseError returns the error for a response whose status is not the expected one.
+func responseError(status int, data []byte) error {
 	var p Problem
 	if err := json.Unmarshal(data, &p); err != nil || p.Error == "" {
 		return merry.Errorf("the host answered with status %d", status)
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -7,36 +7,36 @@
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
 
-// ErrChangeNotFound is the error of Changes.Find for a revision that no change has.
+// ErrChangeNotFound is the error of Changes.Find for a revision without a change.
 var ErrChangeNotFound = merry.Sentinel("no such change")
 
-// Cause is why a change was not accepted.
+// Cause is the reason why a change was not accepted.
 type Cause int
 
 // The causes.
 const (
-	// CauseUnavailable: the store can't be reached; the change was not accepted.
+	// CauseUnavailable means that the store can't be reached. The change was not accepted.
 	CauseUnavailable Cause = iota
-	// CauseConflict: a change accepted since the operator's base touches the same paths.
+	// CauseConflict means that a change accepted after the operator's base modifies the same paths.
 	CauseConflict
-	// CauseInvalid: the patch is malformed, or the tree would not be valid.
+	// CauseInvalid means that the patch is malformed or the resulting tree is invalid.
 	CauseInvalid
-	// CauseUnknown: it is not known whether the change was accepted. Sending it again with
-	// the same ID is safe.
+	// CauseUnknown means that the change may have been accepted. Sending it again with the
+	// same ID is safe.
 	CauseUnknown
 )
 
-// ChangeError is a change that was not accepted, or of which that is not known.
+// ChangeError reports a change that was not accepted, or whose result is unknown.
 type ChangeError struct {
 	Cause Cause
-	// Detail is a sentence for the operator.
+	// Detail is the message for the operator.
 	Detail string
-	// Faults lists what would be wrong with the tree.
+	// Faults are the faults of the tree that the change would result in.
 	Faults []strictjson.Fault
-	// Other is the change in conflict, Paths what both touch.
+	// Other is the conflicting change. Paths are the paths that both changes modify.
 	Other *settings.Change
 	Paths []string
 }
 
-// Error returns the sentence for the operator.
+// Error returns Detail.
 func (e *ChangeError) Error() string { return e.Detail }
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -25,7 +25,7 @@
 
 var goldenChange = settings.Change{Revision: 3, ID: "other", Base: 2, Patch: []byte(`{"root":{}}`), Who: "who", At: goldenTime}
 
-// goldenStatus has every field set.
+// goldenStatus sets most fields, to fixed values.
 var goldenStatus = Status{
 	Host: "host", Zone: "zone", Version: "1.2.3", Revision: 4, Ready: true, Problem: "problem", Open: 5,
 	Shards: []ShardStatus{{Name: "shard", Waiting: 6, Running: 7, Endpoints: []EndpointStatus{
@@ -36,7 +36,7 @@
 	Pushback: []EndpointPushback{{Endpoint: "e3", Leaving: true, Rest: time.Second, Rejects: 0.5}},
 }
 
-// goldenServer answers with fixed values. Accept fails by the ID of the change.
+// goldenServer returns a server that serves fixed values. The ID of a change selects the error of Accept.
 func goldenServer(ready bool, holder *settings.Holder, tree SettingsAnswer) *Server {
 	ring := explain.New()
 	ring.Begin(explain.Record{ID: "id-1", Host: "host", Workspace: "w", Class: "c", Shard: "s", Tier: 1})
@@ -71,7 +71,7 @@
 	})
 }
 
-// goldenChanges fails by the ID of a change.
+// goldenChanges maps the ID of a change to the error of Accept.
 type goldenChanges map[string]error
 
 func (c goldenChanges) Accept(_ context.Context, change settings.Change) (uint64, error) {
@@ -88,8 +88,8 @@
 	return settings.Change{}, errors.New("away")
 }
 
-// TestGoldenAnswers holds the answers of the operators' interface to those of commit
-// 4c58500.
+// TestGoldenAnswers checks that the responses of the operators' interface equal the
+// recorded ones.
 func TestGoldenAnswers(t *testing.T) {
 	c := qt.New(t)
 	tree, err := settings.Decode("tree", []byte(`{"root":{"classes":{"c":{"values":{"tier":1}}}},"workspaces":{"w":{}}}`))
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator is the operators' interface of one daemon, and its client: health, readiness,
-// metrics, status, explanations, and reading and changing the settings. Both programs serve it, and
-// cmd/oxbowslip calls it. It owns no state; what it shows and changes comes in as Parts.
+// Package operator implements the operators' HTTP interface of one daemon, and its client: health,
+// readiness, metrics, status, explanations, and reading and changing the settings. Both programs serve
+// it, and cmd/oxbowslip calls it. It owns no state and reads and changes that of its Parts.
 package operator
 
 import (
@@ -25,20 +25,20 @@
 	Name    string `json:"name"`
 	Waiting int    `json:"waiting"`
 	Running int    `json:"running"`
-	// Endpoints is what the shard's scheduler has learned of each.
+	// Endpoints is the state of each endpoint that the shard's scheduler has learned.
 	Endpoints []EndpointStatus `json:"endpoints,omitzero"`
 }
 
-// EndpointStatus is what the shared queue of a shard has learned of an endpoint.
+// EndpointStatus is the state of an endpoint that the scheduler of a shard has learned.
 type EndpointStatus struct {
 	ID       string  `json:"id"`
 	InFlight int     `json:"in_flight"`
 	Limit    float64 `json:"limit"`
 	// Between is the mean time between tokens.
 	Between time.Duration `json:"between"`
-	// Ejected is why the endpoint gets no work now, or empty.
+	// Ejected is the reason why the endpoint is ejected, or empty if it is not.
 	Ejected string `json:"ejected,omitzero"`
-	// Probing is set while one request tests whether the endpoint works again.
+	// Probing is set while one request probes whether the endpoint has recovered.
 	Probing bool `json:"probing,omitzero"`
 }
 
@@ -52,98 +52,101 @@
 	Problem  string        `json:"problem,omitzero"`
 	Open     int           `json:"open"`
 	Shards   []ShardStatus `json:"shards"`
-	// Schedulers is the host that schedules each shard, as this host sees it.
+	// Schedulers maps each shard to its scheduler, as far as this host has the information.
 	Schedulers map[string]string `json:"schedulers"`
-	// Refusals counts refusals by reason since the start; those at 0 are left
-	// out.
+	// Refusals is the number of refusals by reason since the start, without
+	// counts of 0.
 	Refusals map[string]uint64 `json:"refusals"`
-	// Hosts is the number of hosts that this one knows, itself included. Directory is the
-	// revision up to which it knows the endpoints, Endpoints the number of those that take new
-	// work, Ejected the IDs of those that get none from this host because they failed.
+	// Hosts is the number of live hosts that this host has in its membership, including itself.
+	// Directory is the directory revision up to which it has received the endpoints. Endpoints is
+	// the number of endpoints that accept new requests. Ejected are the IDs of the endpoints that
+	// this host has ejected after failures.
 	Hosts     int    `json:"hosts,omitzero"`
 	Directory uint64 `json:"directory,omitzero"`
-	// Era counts how often the store has come back from an older copy, as far as the host knows.
+	// Era is the number of restores of the store from an older backup that the host has been informed of.
 	Era       uint64    `json:"era,omitzero"`
 	Endpoints int       `json:"endpoints,omitzero"`
 	Ejected   []string  `json:"paused,omitzero"`
 	Now       time.Time `json:"now"`
-	// Freshness is nil for hosts that poll the platform themselves.
+	// Freshness is nil on hosts that poll the platform themselves.
 	Freshness *Freshness `json:"freshness,omitzero"`
-	// Leader is what the host knows of the one that reports usage and orders endpoints, or nil where there is none.
+	// Leader describes the leader, which reports usage and orders endpoints. It is nil if the hosts elect no leader.
 	Leader *Leader `json:"leader,omitzero"`
-	// Poison are the requests that this host does not send, because endpoints end when they run them.
+	// Poison are the requests that this host does not send because they crash the endpoints that run them.
 	Poison []PoisonRequest `json:"poison,omitzero"`
-	// Pushback are the endpoints that leave, want rest or reject requests, by ID.
+	// Pushback are the endpoints, by ID, that are leaving, resting or rejecting requests.
 	Pushback []EndpointPushback `json:"pushback,omitzero"`
 }
 
-// EndpointPushback is what a host knows of an endpoint that does not take all requests.
+// EndpointPushback describes an endpoint that does not accept all requests.
 type EndpointPushback struct {
 	Endpoint string `json:"endpoint"`
-	// Leaving is set if it takes no new work any more.
+	// Leaving is set if the endpoint accepts no new requests because it is stopping.
 	Leaving bool `json:"leaving,omitzero"`
-	// Rest is for how long it wants no request from the host; 0 if it does not rest.
+	// Rest is the remaining time during which the endpoint wants no requests from this host; 0 if it is not resting.
 	Rest time.Duration `json:"rest,omitzero"`
-	// Rejects is the share of requests that it is expected to reject, from 0 to 1.
+	// Rejects is the expected fraction of requests that the endpoint rejects, from 0 to 1.
 	Rejects float64 `json:"rejects,omitzero"`
-	// Fails is the share of requests that it is expected to fail beyond what its peers fail, from 0 to 1.
+	// Fails is the expected fraction of requests that the endpoint fails in excess of its peers, from 0 to 1.
 	Fails float64 `json:"fails,omitzero"`
-	// Limit is how many requests a second it takes from all hosts, or nil if it names no limit.
+	// Limit is the number of requests a second that the endpoint accepts from all hosts together, or nil if it names no
+	// limit.
 	Limit *float64 `json:"limit,omitzero"`
 }
 
-// Leader is what a host knows of the leader.
+// Leader describes the leader as far as a host has the information.
 type Leader struct {
-	// Host is the one that leads, or empty if none does as far as this one knows.
+	// Host is the leader, or empty if this host knows of no leader.
 	Host string `json:"host"`
-	// Token is the fencing token of its lease, Left how long that lasts yet; below 0 if it has ended.
+	// Token is the fencing token of the leader's lease. Left is the remaining time of the lease, negative if it has expired.
 	Token uint64        `json:"token"`
 	Left  time.Duration `json:"left"`
-	// Reported is the number of the window of usage up to which all are reported.
+	// Reported is the number of the last usage window up to which all windows are reported.
 	Reported uint64 `json:"reported"`
-	// Leads is set if this host leads by its own clock.
+	// Leads is set if this host is the leader according to its own clock.
 	Leads bool `json:"leads,omitzero"`
 }
 
-// PoisonRequest is a request that no host sends.
+// PoisonRequest is a request that no host sends because it crashes endpoints.
 type PoisonRequest struct {
-	// Key is that of the request, as request: lines show it.
+	// Key is the key of the request that the log lines with the prefix "request:" contain.
 	Key string `json:"key"`
-	// Endpoints are the keys of those that ended under it, the first one first.
+	// Endpoints are the keys of the endpoints that crashed while running the request, in order of the crashes.
 	Endpoints []string `json:"endpoints"`
-	// Left is how long that still holds.
+	// Left is the remaining time until the verdict expires.
 	Left time.Duration `json:"left"`
 }
 
-// Freshness is how old what a host knows from the deployment's store may be.
+// Freshness is the possible age of a host's copy of the store's tables.
 type Freshness struct {
 	// Settings and Endpoints are the times since the store last confirmed, to this host or to a
-	// peer, that the host knows all of them; below 0 if that has not happened since its start.
+	// peer, that the host's copy is complete. They are negative before the first confirmation
+	// since the start.
 	Settings  time.Duration `json:"settings"`
 	Endpoints time.Duration `json:"endpoints"`
-	// ReadsStore is set if the host reads the store for all others and gets answers.
+	// ReadsStore is set if the host reads the store for its peers and receives responses.
 	ReadsStore bool `json:"reads_store,omitzero"`
 }
 
-// Problem is an error answer.
+// Problem is the body of an error response.
 type Problem struct {
 	Error string `json:"error"`
 }
 
-// Server answers operators.
+// Server serves the operators' interface.
 type Server struct{ parts Parts }
 
-// Changes accepts changes of the settings and reads accepted ones. A host whose settings
-// are changed elsewhere refuses all.
+// Changes accepts changes of the settings and reads accepted changes. Hosts whose settings
+// are changed outside of this interface reject all changes.
 type Changes interface {
-	// Accept stores a change and returns its revision. A change that was not accepted, or
-	// of which that is not known, is a *ChangeError.
+	// Accept stores a change and returns its revision. The error is a *ChangeError if the
+	// change was not accepted or its result is unknown.
 	Accept(ctx context.Context, c settings.Change) (uint64, error)
 	// Find reads an accepted change. The error is ErrChangeNotFound if there is none.
 	Find(ctx context.Context, revision uint64) (settings.Change, error)
 }
 
-// Parts are what the server shows and changes.
+// Parts are the dependencies of a Server.
 type Parts struct {
 	Keys      []hostconfig.OperatorKey
 	Counters  *counters.Counters
@@ -151,64 +154,64 @@
 	Recorded  *record.Ring
 	Settings  *settings.Holder
 	Changes   Changes
-	// Tree returns the tree in force; its revision is 0 before the first.
+	// Tree returns the tree in force. Its revision is 0 if none is in force yet.
 	Tree   func() SettingsAnswer
 	Status func() Status
-	// LiftPoison has a poison request sent again by all hosts, and reports whether it was one. It is nil where hosts don't
-	// look for them.
+	// LiftPoison lifts the verdict on a poison request on all hosts, and reports whether there was one. It is nil on hosts
+	// that don't detect poison requests.
 	LiftPoison func(key string) bool
 }
 
-// New returns a server for operators that does not listen yet.
+// New returns a Server. It does not listen; see HTTP.
 func New(parts Parts) *Server { return &Server{parts: parts} }
 
-// readHeaderTime bounds how long an operator may send the headers of a call.
-const readHeaderTime = 10 * time.Second
+// readHeaderTimeout limits the time in which an operator has to send the headers of a request.
+const readHeaderTimeout = 10 * time.Second
 
-// HTTP returns the HTTP server. Health, readiness and metrics need no key.
+// HTTP returns the HTTP server. Health, readiness and metrics require no key.
 func (s *Server) HTTP() *http.Server {
 	router := mux.NewRouter()
 	router.HandleFunc("/healthz", s.health).Methods(http.MethodGet)
 	router.HandleFunc("/readyz", s.ready).Methods(http.MethodGet)
 	router.HandleFunc("/metrics", s.metrics).Methods(http.MethodGet)
-	router.HandleFunc("/v1/status", s.with(hostconfig.RoleRead, s.showStatus)).Methods(http.MethodGet)
-	router.HandleFunc("/v1/requests/{id}", s.with(hostconfig.RoleRead, s.explain)).Methods(http.MethodGet)
-	router.HandleFunc("/v1/settings/effective/{workspace}/{class:.+}", s.with(hostconfig.RoleRead, s.effective)).Methods(http.MethodGet)
-	router.HandleFunc("/v1/recorded", s.with(hostconfig.RoleRead, s.showRecorded)).Methods(http.MethodGet)
-	router.HandleFunc("/v1/settings", s.with(hostconfig.RoleRead, s.showSettings)).Methods(http.MethodGet)
-	router.HandleFunc("/v1/settings/changes/{revision:[0-9]+}", s.with(hostconfig.RoleRead, s.showChange)).Methods(http.MethodGet)
-	router.HandleFunc("/v1/poison/{key}", s.with(hostconfig.RoleChange, s.lift)).Methods(http.MethodDelete)
-	router.HandleFunc("/v1/settings/changes", s.with(hostconfig.RoleChange, s.takeChange)).Methods(http.MethodPost)
-	return &http.Server{Handler: router, ReadHeaderTimeout: readHeaderTime}
+	router.HandleFunc("/v1/status", s.requireRole(hostconfig.RoleRead, s.showStatus)).Methods(http.MethodGet)
+	router.HandleFunc("/v1/requests/{id}", s.requireRole(hostconfig.RoleRead, s.explain)).Methods(http.MethodGet)
+	router.HandleFunc("/v1/settings/effective/{workspace}/{class:.+}", s.requireRole(hostconfig.RoleRead, s.effective)).Methods(http.MethodGet)
+	router.HandleFunc("/v1/recorded", s.requireRole(hostconfig.RoleRead, s.showRecorded)).Methods(http.MethodGet)
+	router.HandleFunc("/v1/settings", s.requireRole(hostconfig.RoleRead, s.showSettings)).Methods(http.MethodGet)
+	router.HandleFunc("/v1/settings/changes/{revision:[0-9]+}", s.requireRole(hostconfig.RoleRead, s.showChange)).Methods(http.MethodGet)
+	router.HandleFunc("/v1/poison/{key}", s.requireRole(hostconfig.RoleChange, s.liftPoison)).Methods(http.MethodDelete)
+	router.HandleFunc("/v1/settings/changes", s.requireRole(hostconfig.RoleChange, s.acceptChange)).Methods(http.MethodPost)
+	return &http.Server{Handler: router, ReadHeaderTimeout: readHeaderTimeout}
 }
 
-// with lets only operators pass whose key allows the role.
-func (s *Server) with(role hostconfig.OperatorRole, next http.HandlerFunc) http.HandlerFunc {
+// requireRole rejects operators whose key does not permit the role, and calls next for the others.
+func (s *Server) requireRole(role hostconfig.OperatorRole, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-		found := s.find(key)
+		found := s.findKey(key)
 		switch {
 		case found == nil:
 			httprelay.WriteJSON(w, http.StatusUnauthorized, Problem{Error: "send an operator's key as Authorization: Bearer KEY"})
 		case role == hostconfig.RoleChange && found.Role != hostconfig.RoleChange:
 			httprelay.WriteJSON(w, http.StatusForbidden, Problem{Error: "this key may read, not change"})
 		default:
-			next(w, r.WithContext(context.WithValue(r.Context(), whoKey{}, found.Name)))
+			next(w, r.WithContext(context.WithValue(r.Context(), operatorNameKey{}, found.Name)))
 		}
 	}
 }
 
-// whoKey is the context key of the operator's name.
-type whoKey struct{}
+// operatorNameKey is the context key for the operator's name.
+type operatorNameKey struct{}
 
-// who returns the name of the operator of a request that passed with.
-func who(r *http.Request) string {
-	name, _ := r.Context().Value(whoKey{}).(string)
+// operatorName returns the operator's name of a request that requireRole let pass.
+func operatorName(r *http.Request) string {
+	name, _ := r.Context().Value(operatorNameKey{}).(string)
 	return name
 }
 
-// find compares all keys in constant time.
-func (s *Server) find(key string) *hostconfig.OperatorKey {
+// findKey returns the operator key that matches, or nil. It compares all keys in constant time to prevent timing attacks.
+func (s *Server) findKey(key string) *hostconfig.OperatorKey {
 	hash := []byte(settings.HashKey(key))
 	var found *hostconfig.OperatorKey
 	for i := range s.parts.Keys {
@@ -265,7 +268,7 @@
 	httprelay.WriteJSON(w, http.StatusOK, record)
 }
 
-func (s *Server) lift(w http.ResponseWriter, r *http.Request) {
+func (s *Server) liftPoison(w http.ResponseWriter, r *http.Request) {
 	key := mux.Vars(r)["key"]
 	if s.parts.LiftPoison == nil || !s.parts.LiftPoison(key) {
 		httprelay.WriteJSON(w, http.StatusNotFound, Problem{Error: "this host gives no request up that has the key " + key})
