--- a/internal/logread/golden_test.go
+++ b/internal/logread/golden_test.go
@@ -12,16 +12,16 @@
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
 
-// TestGoldenLog reads a log that hosts of commit 4c58500 wrote, and finds the story of a
-// request in it as that version did.
+// TestGoldenLog checks that a log that hosts of an older version wrote is still readable: the
+// history of a request in it equals the recorded one.
 func TestGoldenLog(t *testing.T) {
 	c := qt.New(t)
 	file, err := os.Open("testdata/4c58500.log")
 	c.Assert(err, qt.IsNil)
 	defer file.Close()
-	story, err := FindRequest(file, "daacfb46a24d20cb")
+	history, err := FindRequest(file, "daacfb46a24d20cb")
 	c.Assert(err, qt.IsNil)
-	data, err := json.Marshal(story, strictjson.DurationMarshaler, jsontext.WithIndent("  "))
+	data, err := json.Marshal(history, strictjson.DurationMarshaler, jsontext.WithIndent("  "))
 	c.Assert(err, qt.IsNil)
 	golden.Text(t, "story.json", string(data)+"\n")
 }
--- a/internal/logread/logread.go
+++ b/internal/logread/logread.go
@@ -1,6 +1,7 @@
-// Package logread finds in the saved logs of many hosts what became of one request, and what its hosts
-// knew of the endpoints that it met. cmd/oxbowslip uses it when no live host remembers the request. It
-// reads lines by their fields; logs of older versions stay readable.
+// Package logread extracts the history of one request from the saved logs of many hosts, together with
+// the lines on its endpoints, the store and the settings. cmd/oxbowslip uses it for requests whose
+// records no live host stores any longer. It interprets lines by their fields and continues to read the
+// logs of older versions. It owns no state.
 package logread
 
 import (
@@ -16,10 +17,10 @@
 	"oxbowslip.dev/oxbowslip/internal/explain"
 )
 
-// ErrNotFound means that no line of the logs is about the request.
-var ErrNotFound = merry.Sentinel("no line of these logs is about the request")
+// ErrNotFound means that the logs contain no line on the request.
+var ErrNotFound = merry.Sentinel("the logs contain no line on the request")
 
-// Line is a log line of a host, with the fields that are used here.
+// Line is a log line of a host, with the fields that this package uses.
 type Line struct {
 	Time  time.Time `json:"time"`
 	Level string    `json:"level"`
@@ -44,52 +45,52 @@
 	Until     time.Time      `json:"until"`
 	State     string         `json:"state"`
 	Gone      bool           `json:"gone"`
-	// Endpoints is a number or a list, Lapsed a number; they mark lines on the whole directory.
+	// Endpoints is a number or a list, Lapsed is a number. Lines on the whole directory have one of them.
 	Endpoints any `json:"endpoints,omitzero"`
 	Lapsed    int `json:"lapsed,omitzero"`
 
-	// Source is what stood before the JSON text of the line, such as the name of the
-	// host where a collector puts it there.
+	// Source is the text before the JSON object of the line, such as the name of the
+	// host that a log collector adds.
 	Source string `json:"-"`
 }
 
-// RequestHistory is what the logs say about a request.
+// RequestHistory holds the lines of the logs that concern a request.
 type RequestHistory struct {
-	// Request are the lines of the request itself; a caller that came back under
-	// the same ID has several.
+	// Request are the lines of the request itself. There are several if the caller
+	// sent further requests with the same ID.
 	Request []Line
-	// Around are the lines on the endpoints that it met, from a while before it
-	// to its end, and on the store and the settings.
+	// Around are the lines on its endpoints, the store and the settings, from
+	// contextBefore before the request to its end.
 	Around []Line
 }
 
-// before is how long before a request lines on its endpoints count. An ejection lasts up to 8 s.
-const before = 10 * time.Second
+// contextBefore is the time before a request from which context lines are selected. An ejection lasts up to 8 s.
+const contextBefore = 10 * time.Second
 
-// maxLineBytes bounds a line of a log; one that is longer ends the reading with an error.
+// maxLineBytes limits the length of a log line. Reading fails at a longer line.
 const maxLineBytes = 1 << 20
 
-// FindRequest finds the story of a request in logs, one JSON object a line. Other lines are
-// passed over.
+// FindRequest returns the history of a request from logs with one JSON object per line. It
+// ignores other lines.
 func FindRequest(logs io.Reader, id string) (RequestHistory, error) {
-	lines, err := parse(logs)
+	lines, err := parseLines(logs)
 	if err != nil {
 		return RequestHistory{}, err
 	}
-	var story RequestHistory
+	var history RequestHistory
 	for i := range lines {
 		if lines[i].ID == id {
-			story.Request = append(story.Request, lines[i])
+			history.Request = append(history.Request, lines[i])
 		}
 	}
-	if len(story.Request) == 0 {
-		return story, merry.Wrap(ErrNotFound, merry.AppendMessage(id))
+	if len(history.Request) == 0 {
+		return history, merry.Wrap(ErrNotFound, merry.AppendMessage(id))
 	}
-	story.Around = around(lines, story.Request)
-	return story, nil
+	history.Around = selectContext(lines, history.Request)
+	return history, nil
 }
 
-func parse(logs io.Reader) ([]Line, error) {
+func parseLines(logs io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(logs)
 	scanner.Buffer(nil, maxLineBytes)
@@ -108,16 +109,16 @@
 	return lines, merry.Wrap(scanner.Err())
 }
 
-// isOfSettings reports whether a line is on the store or the settings. Such lines carry a revision
-// and no endpoints, whatever their sentences say; those that older versions wrote without a revision
-// are known by their words.
-func (l *Line) isOfSettings() bool {
+// isAboutSettings reports whether a line concerns the store or the settings. Such lines have a revision
+// and no fields on endpoints. Older versions wrote lines without a revision; those are identified by
+// their message.
+func (l *Line) isAboutSettings() bool {
 	byFields := l.Revision > 0 && l.Endpoint == "" && l.Endpoints == nil && l.Lapsed == 0
 	return byFields || strings.Contains(l.Text, "store") || strings.Contains(l.Text, "in force")
 }
 
-// around picks the lines on what the hosts knew while the request ran.
-func around(lines, requests []Line) []Line {
+// selectContext returns the lines on the endpoints, the store and the settings around the time of the requests.
+func selectContext(lines, requests []Line) []Line {
 	endpoints := make(map[string]bool)
 	for _, r := range requests {
 		for _, step := range r.Steps {
@@ -125,23 +126,23 @@
 		}
 	}
 	delete(endpoints, "")
-	first := began(&requests[0])
-	last := requests[len(requests)-1].Time
-	var picked []Line
+	start := arrivalTime(&requests[0])
+	end := requests[len(requests)-1].Time
+	var selected []Line
 	for i := range lines {
 		line := &lines[i]
-		if line.ID != "" || line.Time.Before(first.Add(-before)) || line.Time.After(last.Add(time.Second)) {
+		if line.ID != "" || line.Time.Before(start.Add(-contextBefore)) || line.Time.After(end.Add(time.Second)) {
 			continue
 		}
-		if endpoints[line.Endpoint] || line.isOfSettings() {
-			picked = append(picked, *line)
+		if endpoints[line.Endpoint] || line.isAboutSettings() {
+			selected = append(selected, *line)
 		}
 	}
-	slices.SortStableFunc(picked, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	return picked
+	slices.SortStableFunc(selected, func(a, b Line) int { return a.Time.Compare(b.Time) })
+	return selected
 }
 
-// began is when a request arrived. Its line is written at its end.
-func began(request *Line) time.Time {
+// arrivalTime returns the time at which a request arrived. The line is logged when the request ends.
+func arrivalTime(request *Line) time.Time {
 	return request.Time.Add(-time.Duration(request.TookMS) * time.Millisecond)
 }
--- a/internal/logread/logread_test.go
+++ b/internal/logread/logread_test.go
@@ -19,22 +19,22 @@
  10.7 host-2 {"time":"2026-06-17T05:24:40Z","level":"warning","msg":"endpoints: endpoint paused","endpoint":"e1"}
 `
 
-func TestRead(t *testing.T) {
+func TestFindRequest(t *testing.T) {
 	c := qt.New(t)
-	story, err := FindRequest(strings.NewReader(logs), "r1")
+	history, err := FindRequest(strings.NewReader(logs), "r1")
 	c.Assert(err, qt.IsNil)
-	c.Assert(story.Request, qt.HasLen, 1)
-	r := story.Request[0]
+	c.Assert(history.Request, qt.HasLen, 1)
+	r := history.Request[0]
 	c.Check([]string{r.Source, r.Reason, r.Ran}, qt.DeepEquals, []string{"10.6 host-1", "endpoint_failed", "unknown"})
 	c.Check(r.Steps, qt.HasLen, 2)
 	var around []string
-	for _, line := range story.Around {
+	for _, line := range history.Around {
 		around = append(around, line.Source+" "+line.Endpoint)
 	}
 	c.Check(around, qt.DeepEquals, []string{"10.1 host-1 e1", "10.2 host-2 e1", "10.4 host-1 "})
 }
 
-func TestReadFindsNothing(t *testing.T) {
+func TestFindUnknownRequest(t *testing.T) {
 	_, err := FindRequest(strings.NewReader(logs), "nobody")
 	qt.Check(t, errors.Is(err, ErrNotFound), qt.IsTrue)
 }
