--- a/cmd/oxbowslip/doctor.go
+++ b/cmd/oxbowslip/doctor.go
@@ -10,14 +10,14 @@
 	"oxbowslip.dev/oxbowslip/internal/operator"
 )
 
-// doctor asks hosts for their state and reports what is wrong. It fails if anything is.
+// doctor queries the status of hosts and prints the problems that it finds. It returns an error if there are any.
 func (t *tool) doctor(ctx context.Context, addresses []string) error {
 	var reports []hostReport
 	for _, address := range addresses {
 		status, err := operator.NewClient(address, t.key).Status(ctx)
 		reports = append(reports, hostReport{Address: address, Status: status, err: err})
 	}
-	findings := examine(reports)
+	findings := findProblems(reports)
 	for _, finding := range findings {
 		fmt.Println(finding)
 	}
@@ -28,38 +28,38 @@
 	return nil
 }
 
-// hostReport is what one host answered.
+// hostReport is the status of one host, or the error of the query.
 type hostReport struct {
 	Address string
 	Status  operator.Status
 	err     error
 }
 
-// oldAge is how long what a host knows may go unconfirmed before that is a finding: the strictest bound on a
-// change of the users' deployments.
-const oldAge = 2 * time.Second
+// maxUnconfirmedAge is the age of the last confirmation above which a host's copy is reported as a finding. It is the
+// strictest time limit for a change in the users' deployments.
+const maxUnconfirmedAge = 2 * time.Second
 
-// examine compares the states of hosts.
-func examine(reports []hostReport) []string {
+// findProblems checks and compares the statuses of hosts, and returns a finding for each problem.
+func findProblems(reports []hostReport) []string {
 	var findings []string
-	newest, newestEra, most, readers, fronts := uint64(0), uint64(0), 0, 0, 0
+	newestRevision, newestEra, maxEndpoints, numReaders, numFronts := uint64(0), uint64(0), 0, 0, 0
 	for i := range reports {
-		newest = max(newest, reports[i].Status.Revision)
-		most = max(most, reports[i].Status.Endpoints)
+		newestRevision = max(newestRevision, reports[i].Status.Revision)
+		maxEndpoints = max(maxEndpoints, reports[i].Status.Endpoints)
 		newestEra = max(newestEra, reports[i].Status.Era)
 		if f := reports[i].Status.Freshness; f != nil {
-			fronts++
+			numFronts++
 			if f.ReadsStore {
-				readers++
+				numReaders++
 			}
 		}
 	}
-	if fronts > 0 && readers == 0 {
-		findings = append(findings, fmt.Sprintf("none of %d hosts that answered reads the store; is it down, or are others readers?", fronts))
+	if numFronts > 0 && numReaders == 0 {
+		findings = append(findings, fmt.Sprintf("none of %d hosts that answered reads the store; is it down, or are others readers?", numFronts))
 	}
-	findings = append(findings, examineLeaders(reports)...)
-	findings = append(findings, examinePushback(reports)...)
-	findings = append(findings, examineLimits(reports)...)
+	findings = append(findings, checkLeaders(reports)...)
+	findings = append(findings, checkPushback(reports)...)
+	findings = append(findings, checkLimits(reports)...)
 	for i := range reports {
 		r := &reports[i]
 		add := func(format string, args ...any) {
@@ -73,64 +73,64 @@
 		if !s.Ready {
 			add("not ready: %s", s.Problem)
 		}
-		if s.Revision < newest {
-			add("settings revision %d, another host has %d; see its log for 'store lost'", s.Revision, newest)
+		if s.Revision < newestRevision {
+			add("settings revision %d, another host has %d; see its log for 'store lost'", s.Revision, newestRevision)
 		}
 		if s.Freshness != nil {
-			unconfirmed(add, "settings", s.Freshness.Settings)
-			unconfirmed(add, "endpoints", s.Freshness.Endpoints)
+			checkConfirmation(add, "settings", s.Freshness.Settings)
+			checkConfirmation(add, "endpoints", s.Freshness.Endpoints)
 		}
 		if s.Era < newestEra {
-			add("knows era %d of the store, another host %d; see OPERATIONS, \"The store came back from a copy\"", s.Era, newestEra)
+			add("has era %d of the store, another host has %d; see OPERATIONS, \"The store came back from a copy\"", s.Era, newestEra)
 		}
-		if s.Endpoints < most {
-			add("knows %d endpoints, another host %d", s.Endpoints, most)
+		if s.Endpoints < maxEndpoints {
+			add("has %d endpoints, another host has %d", s.Endpoints, maxEndpoints)
 		}
 		if s.Hosts > 0 && s.Hosts < len(reports) {
-			add("hears %d hosts of %d; are heartbeats (UDP, the peers' address) let through?", s.Hosts, len(reports))
+			add("has %d live hosts of %d in its membership; are heartbeats (UDP, the peers' address) blocked?", s.Hosts, len(reports))
 		}
 		for _, p := range s.Poison {
-			add("does not send the request %s: %d endpoints ended under it; `oxbowslip poison lift` once they are mended", p.Key, len(p.Endpoints))
+			add("does not send the request %s: %d endpoints crashed while running it; `oxbowslip poison lift` once they are fixed", p.Key, len(p.Endpoints))
 		}
 		for _, endpoint := range s.Ejected {
-			add("sends nothing new to %s, which failed; see its log for 'endpoint ejected'", endpoint)
+			add("sends no new requests to %s because it failed; see its log for 'endpoint ejected'", endpoint)
 		}
 	}
 	return findings
 }
 
-// examineLeaders finds out whether exactly one host leads, where hosts have a leader.
-func examineLeaders(reports []hostReport) []string {
+// checkLeaders checks that exactly one host is the leader, if the hosts elect one.
+func checkLeaders(reports []hostReport) []string {
 	var leaders []string
-	known := 0
+	numElecting := 0
 	for i := range reports {
 		l := reports[i].Status.Leader
 		if l == nil {
 			continue
 		}
-		known++
+		numElecting++
 		if l.Leads {
 			leaders = append(leaders, reports[i].Address)
 		}
 	}
 	switch {
-	case known == 0 || len(leaders) == 1:
+	case numElecting == 0 || len(leaders) == 1:
 		return nil
 	case len(leaders) == 0:
-		return []string{fmt.Sprintf("none of %d hosts leads: usage is not reported, endpoints are not ordered; see their logs for 'leader:'", known)}
+		return []string{fmt.Sprintf("none of %d hosts is the leader: usage is not reported, endpoints are not ordered; see their logs for 'leader:'", numElecting)}
 	}
-	return []string{fmt.Sprintf("%d hosts take themselves for the leader: %v; ask again, one may just have taken over", len(leaders), leaders)}
+	return []string{fmt.Sprintf("%d hosts report that they are the leader: %v; ask again, a takeover may be in progress", len(leaders), leaders)}
 }
 
-// manyRejected is the share of rejected or failed requests from which an endpoint is a finding.
-const manyRejected = 0.25
+// minReportedShare is the fraction of rejected or failed requests from which an endpoint is reported.
+const minReportedShare = 0.25
 
-// examinePushback finds the endpoints that rest, or reject or fail much, each once for all hosts.
-func examinePushback(reports []hostReport) []string {
+// checkPushback returns one finding for each endpoint that is resting or rejects or fails many requests.
+func checkPushback(reports []hostReport) []string {
 	hosts, rejects, fails := make(map[string]int), make(map[string]float64), make(map[string]float64)
 	for i := range reports {
 		for _, p := range reports[i].Status.Pushback {
-			if p.Rest > 0 || p.Rejects >= manyRejected || p.Fails >= manyRejected {
+			if p.Rest > 0 || p.Rejects >= minReportedShare || p.Fails >= minReportedShare {
 				hosts[p.Endpoint]++
 				rejects[p.Endpoint] = max(rejects[p.Endpoint], p.Rejects)
 				fails[p.Endpoint] = max(fails[p.Endpoint], p.Fails)
@@ -139,14 +139,14 @@
 	}
 	var findings []string
 	for _, endpoint := range slices.Sorted(maps.Keys(hosts)) {
-		findings = append(findings, fmt.Sprintf("endpoint %s rejects %.0f %%, fails %.0f %% or rests, as %d of %d hosts say; is it overloaded? see OPERATIONS, \"An endpoint rejects, rests or leaves\"",
+		findings = append(findings, fmt.Sprintf("endpoint %s rejects %.0f %%, fails %.0f %% or rests, according to %d of %d hosts; is it overloaded? see OPERATIONS, \"An endpoint rejects, rests or leaves\"",
 			endpoint, 100*rejects[endpoint], 100*fails[endpoint], hosts[endpoint], len(reports)))
 	}
 	return findings
 }
 
-// examineLimits finds the endpoints that have named a limit, each once for all hosts.
-func examineLimits(reports []hostReport) []string {
+// checkLimits returns one finding for each endpoint that has named a limit.
+func checkLimits(reports []hostReport) []string {
 	limits := make(map[string]float64)
 	for i := range reports {
 		for _, p := range reports[i].Status.Pushback {
@@ -162,13 +162,13 @@
 	return findings
 }
 
-// unconfirmed adds a finding if what a host knows is too old or was never confirmed.
-func unconfirmed(add func(format string, args ...any), what string, age time.Duration) {
+// checkConfirmation adds a finding if the last confirmation of a host's copy is too old or missing.
+func checkConfirmation(add func(format string, args ...any), what string, age time.Duration) {
 	const cause = "it gets no answer from the store ('store lost' in its log) and no datagram from hosts that do"
 	switch {
 	case age < 0:
-		add("its %s were never confirmed since its start: %s", what, cause)
-	case age > oldAge:
+		add("its %s have not been confirmed since its start: %s", what, cause)
+	case age > maxUnconfirmedAge:
 		add("its %s were last confirmed %s ago: %s", what, age.Round(time.Millisecond), cause)
 	}
 }
--- a/cmd/oxbowslip/doctor_test.go
+++ b/cmd/oxbowslip/doctor_test.go
@@ -10,55 +10,55 @@
 	"oxbowslip.dev/oxbowslip/internal/operator"
 )
 
-func TestExamine(t *testing.T) {
-	well := operator.Status{Ready: true, Revision: 7, Endpoints: 12, Hosts: 2}
-	behind := well
-	behind.Revision = 5
-	lonely := well
-	lonely.Hosts = 1
-	fresh := well
-	fresh.Freshness = &operator.Freshness{Settings: time.Second, Endpoints: 0, ReadsStore: true}
-	restored := fresh
+func TestFindProblems(t *testing.T) {
+	healthy := operator.Status{Ready: true, Revision: 7, Endpoints: 12, Hosts: 2}
+	outdated := healthy
+	outdated.Revision = 5
+	isolated := healthy
+	isolated.Hosts = 1
+	confirmed := healthy
+	confirmed.Freshness = &operator.Freshness{Settings: time.Second, Endpoints: 0, ReadsStore: true}
+	restored := confirmed
 	restored.Era = 1
-	old := well
-	old.Freshness = &operator.Freshness{Settings: oldAge + 1, Endpoints: oldAge}
-	unknown := well
-	unknown.Freshness = &operator.Freshness{Settings: -time.Millisecond, Endpoints: -time.Millisecond, ReadsStore: true}
-	ejected := well
+	unconfirmed := healthy
+	unconfirmed.Freshness = &operator.Freshness{Settings: maxUnconfirmedAge + 1, Endpoints: maxUnconfirmedAge}
+	neverConfirmed := healthy
+	neverConfirmed.Freshness = &operator.Freshness{Settings: -time.Millisecond, Endpoints: -time.Millisecond, ReadsStore: true}
+	ejected := healthy
 	ejected.Ejected = []string{"e1"}
-	poison := well
+	poison := healthy
 	poison.Poison = []operator.PoisonRequest{{Key: "0f", Endpoints: []string{"a", "b", "c"}}}
-	rejected, leaving := well, well
+	rejected, leaving := healthy, healthy
 	rejected.Pushback = []operator.EndpointPushback{{Endpoint: "a", Rejects: 0.9}, {Endpoint: "b", Rest: time.Second}, {Endpoint: "c", Rejects: 0.1}}
 	leaving.Pushback = []operator.EndpointPushback{{Endpoint: "a", Leaving: true}}
-	led := well
-	led.Leader = &operator.Leader{Host: "b", Leads: true}
-	notLed := well
-	notLed.Leader = new(operator.Leader)
+	leads := healthy
+	leads.Leader = &operator.Leader{Host: "b", Leads: true}
+	hasNoLeader := healthy
+	hasNoLeader.Leader = new(operator.Leader)
 	tests := map[string]struct {
 		second operator.Status
 		err    error
 		want   int
 	}{
-		"all well":                         {well, nil, 0},
-		"behind":                           {behind, nil, 1},
-		"confirmed":                        {fresh, nil, 0},
-		"old, and no host reads the store": {old, nil, 2},
-		"the other is in an earlier era":   {restored, nil, 1},
-		"never confirmed":                  {unknown, nil, 2},
-		"hears nobody":                     {lonely, nil, 1},
-		"an ejected one":                   {ejected, nil, 1},
-		"one leads":                        {led, nil, 0},
-		"nobody leads":                     {notLed, nil, 1},
-		"a poison request":                 {poison, nil, 1},
-		"endpoints reject and rest":        {rejected, nil, 2},
-		"an endpoint leaves":               {leaving, nil, 0},
-		"no answer":                        {operator.Status{}, errors.New("refused"), 1},
-		"not ready at all":                 {operator.Status{Problem: "no settings yet", Hosts: 2}, nil, 3},
+		"all healthy": {healthy, nil, 0},
+		"behind":      {outdated, nil, 1},
+		"confirmed":   {confirmed, nil, 0},
+		"confirmed too long ago, and no host reads the store": {unconfirmed, nil, 2},
+		"the other host has an older era":                     {restored, nil, 1},
+		"not confirmed since the start":                       {neverConfirmed, nil, 2},
+		"no other hosts in the membership":                    {isolated, nil, 1},
+		"an ejected endpoint":                                 {ejected, nil, 1},
+		"one host is the leader":                              {leads, nil, 0},
+		"no host is the leader":                               {hasNoLeader, nil, 1},
+		"a poison request":                                    {poison, nil, 1},
+		"endpoints reject or rest":                            {rejected, nil, 2},
+		"an endpoint is leaving":                              {leaving, nil, 0},
+		"no answer":                                           {operator.Status{}, errors.New("refused"), 1},
+		"not ready at all":                                    {operator.Status{Problem: "no settings yet", Hosts: 2}, nil, 3},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			findings := examine([]hostReport{{Address: "a", Status: well}, {Address: "b", Status: test.second, err: test.err}})
+			findings := findProblems([]hostReport{{Address: "a", Status: healthy}, {Address: "b", Status: test.second, err: test.err}})
 			qt.Check(t, findings, qt.HasLen, test.want, qt.Commentf("%v", findings))
 		})
 	}
--- a/cmd/oxbowslip/logs.go
+++ b/cmd/oxbowslip/logs.go
@@ -10,19 +10,19 @@
 	"oxbowslip.dev/oxbowslip/internal/logread"
 )
 
-// logs prints what the logs of many hosts say about a request. Without files, they are
-// read from standard input.
+// logs prints the history of a request from the logs of many hosts. Without files, it
+// reads the logs from standard input.
 func (t *tool) logs(id string, files []string) error {
 	reader, closeAll, err := openAll(files)
 	if err != nil {
 		return err
 	}
 	defer closeAll()
-	story, err := logread.FindRequest(reader, id)
+	history, err := logread.FindRequest(reader, id)
 	if err != nil {
 		return err
 	}
-	return t.print(story, func(w *tabwriter.Writer) { printStory(w, &story) })
+	return t.print(history, func(w *tabwriter.Writer) { printRequestHistory(w, &history) })
 }
 
 func openAll(files []string) (io.Reader, func(), error) {
@@ -48,14 +48,14 @@
 	return io.MultiReader(readers...), closeAll, nil
 }
 
-const logTime = "15:04:05.000"
+const logTimeFormat = "15:04:05.000"
 
-func printStory(w *tabwriter.Writer, story *logread.RequestHistory) {
-	for i := range story.Request {
-		r := &story.Request[i]
+func printRequestHistory(w *tabwriter.Writer, history *logread.RequestHistory) {
+	for i := range history.Request {
+		r := &history.Request[i]
 		fmt.Fprintf(w, "request %s of %s, class %s, service %s, settings revision %d (%s)\n", r.ID, r.Workspace, r.Class, r.Service, r.Revision, r.Source)
 		fmt.Fprintf(w, "%s: %s %s ran=%s %s; %d tries, %d ms, first event after %d ms, %d events, longest pause %d ms\n\n",
-			r.Time.Format(logTime), r.Text, r.Reason, r.Ran, r.Detail, r.Tries, r.TookMS, r.FirstMS, r.Events, r.PauseMS)
+			r.Time.Format(logTimeFormat), r.Text, r.Reason, r.Ran, r.Detail, r.Tries, r.TookMS, r.FirstMS, r.Events, r.PauseMS)
 		fmt.Fprintln(w, "time\tstep\tendpoint\treason\tfigures")
 		for _, step := range r.Steps {
 			figures := ""
@@ -63,14 +63,14 @@
 				figures = fmt.Sprintf("waited %s; %d open and %d tokens unread there, %d tokens cached, first event expected after %s",
 					f.Waited.Round(time.Millisecond), f.InFlight, f.Ahead, f.CachedTokens, f.PredictedFirstToken.Round(time.Millisecond))
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", step.At.Format(logTime), step.What, step.Endpoint, step.Reason, figures)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", step.At.Format(logTimeFormat), step.What, step.Endpoint, step.Reason, figures)
 		}
 		fmt.Fprintln(w)
 	}
 	fmt.Fprintln(w, "what the hosts believed meanwhile")
 	fmt.Fprintln(w, "time\thost\tline\tendpoint\tcause")
-	for i := range story.Around {
-		l := &story.Around[i]
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", l.Time.Format(logTime), l.Source, l.Text, l.Endpoint, l.Error)
+	for i := range history.Around {
+		l := &history.Around[i]
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", l.Time.Format(logTimeFormat), l.Source, l.Text, l.Endpoint, l.Error)
 	}
 }
--- a/cmd/oxbowslip/main.go
+++ b/cmd/oxbowslip/main.go
@@ -1,9 +1,10 @@
-// Command oxbowslip is the operators' command line: it reads and changes the
+// Command oxbowslip is the operators' command-line tool: it reads and changes the
 // settings, shows the state of the fleet and explains decisions.
 //
-// It exits with 0 if all went well, 1 if something failed or a change was not
-// accepted, 2 if its arguments are wrong, and 3 if it is not known whether a
-// change was accepted; giving the same change ID again is safe then.
+// The exit status is 0 on success, 1 if an operation failed or a change was not
+// accepted, 2 if the arguments are invalid, and 3 if it is unknown whether a
+// change was accepted. In the last case it is safe to repeat the change with the
+// same change ID.
 package main
 
 import (
@@ -115,7 +116,7 @@
 func main() {
 	var args arguments
 	parser := arg.MustParse(&args)
-	run := pick(&args)
+	run := selectCommand(&args)
 	if run == nil {
 		parser.WriteHelp(os.Stderr)
 		os.Exit(exitUsage)
@@ -124,15 +125,15 @@
 	os.Exit(exitCode(run(context.Background(), tool)))
 }
 
-// command is what a sub-command does.
+// command runs a sub-command.
 type command func(ctx context.Context, t *tool) error
 
-func pick(args *arguments) command {
+func selectCommand(args *arguments) command {
 	switch {
 	case args.Status != nil:
 		return func(ctx context.Context, t *tool) error {
 			if args.Status.Watch {
-				return repeat(ctx, t.status)
+				return repeatUntilDone(ctx, t.status)
 			}
 			return t.status(ctx)
 		}
@@ -143,16 +144,16 @@
 	case args.Doctor != nil:
 		return func(ctx context.Context, t *tool) error { return t.doctor(ctx, args.Doctor.Hosts) }
 	case args.Settings != nil:
-		return pickSettings(args.Settings)
+		return selectSettingsCommand(args.Settings)
 	case args.Endpoint != nil:
-		return pickEndpoint(args.Endpoint)
+		return selectEndpointCommand(args.Endpoint)
 	case args.Poison != nil:
-		return pickPoison(args.Poison)
+		return selectPoisonCommand(args.Poison)
 	}
 	return nil
 }
 
-func pickSettings(s *settingsCommand) command {
+func selectSettingsCommand(s *settingsCommand) command {
 	switch {
 	case s.Get != nil:
 		return func(ctx context.Context, t *tool) error { return t.get(ctx) }
@@ -174,7 +175,7 @@
 	return nil
 }
 
-func pickPoison(p *poisonCommand) command {
+func selectPoisonCommand(p *poisonCommand) command {
 	switch {
 	case p.List != nil:
 		return func(ctx context.Context, t *tool) error { return t.poison(ctx) }
@@ -184,14 +185,14 @@
 	return nil
 }
 
-func pickEndpoint(e *endpointCommand) command {
+func selectEndpointCommand(e *endpointCommand) command {
 	switch {
 	case e.List != nil:
 		return func(ctx context.Context, t *tool) error { return t.endpoints(ctx) }
 	case e.In != nil:
-		return func(ctx context.Context, t *tool) error { return t.order(ctx, e.In, "in") }
+		return func(ctx context.Context, t *tool) error { return t.setEndpointState(ctx, e.In, "in") }
 	case e.Out != nil:
-		return func(ctx context.Context, t *tool) error { return t.order(ctx, e.Out, "out") }
+		return func(ctx context.Context, t *tool) error { return t.setEndpointState(ctx, e.Out, "out") }
 	}
 	return nil
 }
--- a/cmd/oxbowslip/tool.go
+++ b/cmd/oxbowslip/tool.go
@@ -20,14 +20,14 @@
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
 
-// tool does what the sub-commands say at one host.
+// tool runs the sub-commands against one host.
 type tool struct {
 	client *operator.Client
 	key    string
 	json   bool
 }
 
-// print writes a value as JSON if that was asked for, else as a table.
+// print prints a value as JSON with the option --json, and as a table otherwise.
 func (t *tool) print(value any, rows func(w *tabwriter.Writer)) error {
 	if t.json {
 		return printJSON(value)
@@ -67,7 +67,7 @@
 		}
 		if f := s.Freshness; f != nil {
 			fmt.Fprintf(w, "confirmed by the store: settings %s, endpoints %s; reads the store for others: %t\n\n",
-				ago(f.Settings), ago(f.Endpoints), f.ReadsStore)
+				ageText(f.Settings), ageText(f.Endpoints), f.ReadsStore)
 		}
 		if l := s.Leader; l != nil {
 			fmt.Fprintf(w, "leader: %s, token %d, lease ends in %s; usage reported up to window %d\n\n", cmp.Or(l.Host, "none"), l.Token, l.Left.Round(time.Millisecond), l.Reported)
@@ -88,7 +88,7 @@
 				fmt.Fprintf(w, "%s\t%s\t\t\t\n", shard.Name, scheduler)
 				continue
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\n", shard.Name, scheduler, shard.Waiting, shard.Running, ejected(&shard))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\n", shard.Name, scheduler, shard.Waiting, shard.Running, ejectedText(&shard))
 		}
 		fmt.Fprintln(w, "\nrefusals since the start")
 		for _, reason := range slices.Sorted(maps.Keys(s.Refusals)) {
@@ -97,7 +97,7 @@
 	})
 }
 
-// pushbackText says what an endpoint does instead of taking requests.
+// pushbackText describes how an endpoint restricts the requests that it accepts.
 func pushbackText(p *operator.EndpointPushback) string {
 	var texts []string
 	if p.Leaving {
@@ -118,15 +118,15 @@
 	return strings.Join(texts, ", ")
 }
 
-// ago returns how long ago something was confirmed, in words.
-func ago(age time.Duration) string {
+// ageText formats the time since the last confirmation, which is negative if there was none.
+func ageText(age time.Duration) string {
 	if age < 0 {
 		return "never"
 	}
 	return age.Round(time.Millisecond).String() + " ago"
 }
 
-func ejected(shard *operator.ShardStatus) string {
+func ejectedText(shard *operator.ShardStatus) string {
 	var list []string
 	for _, e := range shard.Endpoints {
 		if e.Ejected != "" {
@@ -217,7 +217,7 @@
 	return t.change(ctx, operator.ChangeRequest{ID: command.ID, Base: command.Base, Patch: patch}, command.Hosts)
 }
 
-// statePatch orders one endpoint in or out.
+// statePatch is a merge patch that sets the state of an endpoint.
 type statePatch struct {
 	Endpoints map[string]stateValue `json:"endpoints"`
 }
@@ -226,7 +226,7 @@
 	State settings.EndpointState `json:"state"`
 }
 
-func (t *tool) order(ctx context.Context, command *stateCommand, state settings.EndpointState) error {
+func (t *tool) setEndpointState(ctx context.Context, command *stateCommand, state settings.EndpointState) error {
 	patch, err := json.Marshal(statePatch{map[string]stateValue{command.Name: {state}}})
 	if err != nil {
 		return err
@@ -234,7 +234,7 @@
 	return t.change(ctx, operator.ChangeRequest{Patch: patch}, command.Hosts)
 }
 
-// change sends a change and waits until it is in force on the hosts named.
+// change sends a change and waits until it is in force on the given hosts.
 func (t *tool) change(ctx context.Context, request operator.ChangeRequest, hosts []string) error {
 	if request.ID == "" {
 		request.ID = uuid.NewString()
@@ -246,42 +246,42 @@
 		}
 		request.Base = s.Revision
 	}
-	begun := time.Now()
+	start := time.Now()
 	result, err := t.client.Apply(ctx, request)
 	if err != nil {
 		return fmt.Errorf("change %s: %w", request.ID, err)
 	}
 	fmt.Printf("change %s accepted as revision %d\n", request.ID, result.Revision)
-	return t.waitInForce(ctx, result.Revision, hosts, begun)
+	return t.waitInForce(ctx, result.Revision, hosts, start)
 }
 
-// How long to wait for hosts, and how often to ask.
+// The time-out of waiting for a change to be in force on hosts, and the interval between queries of their status.
 const (
-	inForceTime = 15 * time.Second
-	inForcePoll = 50 * time.Millisecond
+	inForceTimeout      = 15 * time.Second
+	inForcePollInterval = 50 * time.Millisecond
 )
 
-func (t *tool) waitInForce(ctx context.Context, revision uint64, hosts []string, begun time.Time) error {
+func (t *tool) waitInForce(ctx context.Context, revision uint64, hosts []string, start time.Time) error {
 	if len(hosts) == 0 {
 		return nil
 	}
 	lagging := hosts
-	for time.Since(begun) < inForceTime {
+	for time.Since(start) < inForceTimeout {
 		lagging = slices.DeleteFunc(slices.Clone(lagging), func(host string) bool {
 			s, err := operator.NewClient(host, t.key).Status(ctx)
 			return err == nil && s.Revision >= revision
 		})
 		if len(lagging) == 0 {
-			fmt.Printf("in force on %d of %d hosts after %.1f s\n", len(hosts), len(hosts), time.Since(begun).Seconds())
+			fmt.Printf("in force on %d of %d hosts after %.1f s\n", len(hosts), len(hosts), time.Since(start).Seconds())
 			return nil
 		}
-		time.Sleep(inForcePoll)
+		time.Sleep(inForcePollInterval)
 	}
 	return fmt.Errorf("in force on %d of %d hosts after %s; these lag: %s",
-		len(hosts)-len(lagging), len(hosts), inForceTime, strings.Join(lagging, ", "))
+		len(hosts)-len(lagging), len(hosts), inForceTimeout, strings.Join(lagging, ", "))
 }
 
-// poison lists the requests that the host does not send.
+// poison lists the requests that the host does not send because they crash endpoints.
 func (t *tool) poison(ctx context.Context) error {
 	s, err := t.client.Status(ctx)
 	if err != nil {
--- a/cmd/oxbowslip/watch.go
+++ b/cmd/oxbowslip/watch.go
@@ -12,12 +12,12 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// watchInterval is the time between two looks at a host.
+// watchInterval is the interval at which a watched host is queried.
 const watchInterval = time.Second
 
-// repeat calls show until ctx ends. An answer that does not come is reported, and the
-// watch goes on: the host may come back.
-func repeat(ctx context.Context, show func(ctx context.Context) error) error {
+// repeatUntilDone calls show at watchInterval until ctx is done. It prints errors and continues,
+// because the host may become reachable again.
+func repeatUntilDone(ctx context.Context, show func(ctx context.Context) error) error {
 	for {
 		if err := show(ctx); err != nil {
 			fmt.Fprintln(os.Stderr, "oxbowslip:", err)
@@ -30,8 +30,8 @@
 	}
 }
 
-// diff prints the merge patch that leads from the tree in force to the one in a file,
-// after checking that one whole. It can be given to apply.
+// diff validates the tree in a file and prints the merge patch from the tree in force to
+// it. The patch is valid input of the sub-command apply.
 func (t *tool) diff(ctx context.Context, path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// mergePatch returns the merge patch (RFC 7396) from one document to another.
+// mergePatch returns the JSON merge patch (RFC 7396) from one document to another.
 func mergePatch(from, to []byte) (jsontext.Value, error) {
 	patch, err := jsonpatch.CreateMergePatch(from, to)
 	if err != nil {
@@ -63,14 +63,14 @@
 	return value, err
 }
 
-// watchSettings prints what each revision that comes into force changes.
+// watchSettings prints the changes of each new revision as a merge patch.
 func (t *tool) watchSettings(ctx context.Context) error {
 	last, err := t.client.Settings(ctx)
 	if err != nil {
 		return err
 	}
 	fmt.Printf("revision %d is in force\n", last.Revision)
-	return repeat(ctx, func(ctx context.Context) error {
+	return repeatUntilDone(ctx, func(ctx context.Context) error {
 		next, err := t.client.Settings(ctx)
 		if err != nil || next.Revision == last.Revision {
 			return err
@@ -79,7 +79,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("%s revision %d: %s\n", time.Now().Format(logTime), next.Revision, patch)
+		fmt.Printf("%s revision %d: %s\n", time.Now().Format(logTimeFormat), next.Revision, patch)
 		last = next
 		return nil
 	})
--- a/cmd/oxbowslip/watch_test.go
+++ b/cmd/oxbowslip/watch_test.go
@@ -8,9 +8,9 @@
 
 func TestMergePatch(t *testing.T) {
 	tests := map[string]struct{ from, to, want string }{
-		"the same":  {`{"a":1}`, `{"a":1}`, `{}`},
-		"changed":   {`{"a":{"b":1,"c":2}}`, `{"a":{"b":1,"c":3}}`, "{\n\t\"a\": {\n\t\t\"c\": 3\n\t}\n}"},
-		"taken out": {`{"a":1,"b":2}`, `{"a":1}`, "{\n\t\"b\": null\n}"},
+		"no change":      {`{"a":1}`, `{"a":1}`, `{}`},
+		"changed":        {`{"a":{"b":1,"c":2}}`, `{"a":{"b":1,"c":3}}`, "{\n\t\"a\": {\n\t\t\"c\": 3\n\t}\n}"},
+		"removed member": {`{"a":1,"b":2}`, `{"a":1}`, "{\n\t\"b\": null\n}"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
