--- a/cmd/oxbowslipd/golden_test.go
+++ b/cmd/oxbowslipd/golden_test.go
@@ -6,5 +6,5 @@
 	"oxbowslip.dev/oxbowslip/internal/proof/golden"
 )
 
-// TestGoldenOptions holds the command line to that of commit 4c58500.
+// TestGoldenOptions checks that the command-line options equal the recorded ones.
 func TestGoldenOptions(t *testing.T) { golden.Text(t, "options.txt", golden.Options(arguments{})) }
--- a/cmd/oxbowslipd/main.go
+++ b/cmd/oxbowslipd/main.go
@@ -1,7 +1,8 @@
-// Command oxbowslipd is the router's daemon: one runs on each host.
+// Command oxbowslipd is the daemon of the router; one instance runs on each host.
 //
-// It exits with 0 after a planned stop, 1 if it could not start or was cut
-// short, and 2 if its settings or arguments are wrong.
+// The exit status is 0 after a graceful stop, 1 if the daemon could not start or
+// aborted requests during the stop, and 2 if its configuration or arguments are
+// invalid.
 package main
 
 import (
