--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -57,7 +57,7 @@
 // StoreCallReasons lists all reasons.
 var StoreCallReasons = []StoreCallReason{StoreCallLoad, StoreCallRead, StoreCallAsk}
 
-// Signal is a statement of an endpoint about itself in a response. The set is closed.
+// Signal is an observation about an endpoint that is derived from one of its responses. The set is closed.
 type Signal string
 
 // The signals.
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -17,7 +17,7 @@
 	servers []*http.Server
 }
 
-// New returns an empty group. It reports listeners that fail after their start to log.
+// New returns an empty group. It logs when a listener fails after its start.
 func New(log *logrus.Entry) *Group { return &Group{log: log} }
 
 // Start listens on an address and serves in the background. It returns the bound address,
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -109,7 +109,7 @@
 
 // PoisonRequest is a request that no host sends because it crashes endpoints.
 type PoisonRequest struct {
-	// Key is the key of the request that the log lines with the prefix "request:" contain.
+	// Key is the key of the request, which its log lines (prefix "request:") contain.
 	Key string `json:"key"`
 	// Endpoints are the keys of the endpoints that crashed while running the request, in order of the crashes.
 	Endpoints []string `json:"endpoints"`
