--- a/internal/proof/replay/fault.go
+++ b/internal/proof/replay/fault.go
@@ -6,21 +6,21 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// fault makes one fault true.
-func (sim *simulation) fault(now time.Time, event *Event) {
+// applyFault applies a fault event of the trace.
+func (sim *simulation) applyFault(now time.Time, event *Event) {
 	e := sim.engines[event.Endpoint]
 	switch event.Fault {
 	case FaultCrash:
 		e.crashed = true
 		e.stepDue = time.Time{}
 		for _, id := range e.model.Crash() {
-			sim.lose(now, e, sim.jobs[id])
+			sim.breakConnection(now, e, sim.jobs[id])
 		}
 	case FaultRecover:
 		e.crashed = false
 		e.model.SetSlow(1)
 		e.model.SetStalled(now, false)
-		sim.schedule(e)
+		sim.scheduleStep(e)
 	case FaultSlow:
 		e.model.SetSlow(event.Factor)
 	case FaultStall:
@@ -28,16 +28,17 @@
 		e.stepDue = time.Time{}
 	case FaultOut, FaultIn:
 		e.out = event.Fault == FaultOut
-		e.outAt = now
-		e.shard.policy.SetEndpoints(now, e.shard.usable())
-		sim.settle(now, e.shard)
+		e.outSince = now
+		e.shard.policy.SetEndpoints(now, e.shard.endpointsInUse())
+		sim.applyDecisions(now, e.shard)
 	case FaultFreeze, FaultThaw:
-		sim.frozen = event.Fault == FaultFreeze
+		sim.reportsFrozen = event.Fault == FaultFreeze
 	}
 }
 
-// lose breaks the connection of a request that an engine lost.
-func (sim *simulation) lose(now time.Time, e *simulatedEngine, j *job) {
+// breakConnection fails the attempt of a request that was running on a crashed engine. The owner notices after the
+// network delay. A request sent past the router fails immediately.
+func (sim *simulation) breakConnection(now time.Time, e *simulatedEngine, j *job) {
 	if j.endpoint != e || j.state != stateSent {
 		return
 	}
@@ -46,17 +47,18 @@
 		return
 	}
 	attempt := j.attempt
-	sim.at(now.Add(networkDelay), func(now time.Time) { sim.attemptFailed(now, j, attempt, request.EventBroken) })
+	sim.at(now.Add(networkDelay), func(now time.Time) { sim.failAttempt(now, j, attempt, request.EventBroken) })
 }
 
-// report lets the engines report their load, late by one interval.
-func (sim *simulation) report(time.Time) {
+// reportLoads sends the engines' load reports to a policy that uses them, once per reportInterval. A report
+// arrives one interval after it was made.
+func (sim *simulation) reportLoads(time.Time) {
 	for _, e := range sim.engineList {
-		policy, ok := e.shard.policy.(reported)
-		if ok && !sim.frozen {
+		policy, ok := e.shard.policy.(loadReportReceiver)
+		if ok && !sim.reportsFrozen {
 			load := e.model.Load()
 			sim.after(reportInterval, func(time.Time) { policy.Report(e.id, load) })
 		}
 	}
-	sim.after(reportInterval, sim.report)
+	sim.after(reportInterval, sim.reportLoads)
 }
--- a/internal/proof/replay/invariant.go
+++ b/internal/proof/replay/invariant.go
@@ -8,7 +8,7 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// The invariants, named after the promises of the brief.
+// The names of the invariants, as printed in results.
 const (
 	NoLowerBeforeShed  = "no-lower-tier-kept-before-a-shed"
 	PreemptDownwards   = "preemption-only-downwards"
@@ -21,74 +21,74 @@
 	EveryRequestEnds   = "every-request-ends"
 )
 
-// Invariants lists the checks of every replay.
+// Invariants lists the invariants that every replay checks.
 var Invariants = []string{
 	NoLowerBeforeShed, PreemptDownwards, AtMostOnce, LeavingGetsNothing, NotRunIsTrue, WholeAnswers, EveryClassServed,
 	NothingLeaks, EveryRequestEnds,
 }
 
-func (sim *simulation) violate(invariant, detail string) {
+func (sim *simulation) recordViolation(invariant, detail string) {
 	sim.violations = append(sim.violations, Violation{Invariant: invariant, At: sim.now.Sub(epoch), Detail: detail})
 }
 
-// checkDecision checks a decision against the replay's own books.
+// checkDecision checks a policy's decision against the state that the replay keeps of requests and engines.
 func (sim *simulation) checkDecision(now time.Time, s *simulatedShard, j *job, d *admission.Decision) {
 	switch d.Kind {
 	case admission.Grant:
 		e := sim.engines[d.Endpoint]
 		if e.out {
-			sim.violate(LeavingGetsNothing, fmt.Sprintf("%s was granted %s, out since %s", j.id, e.id, now.Sub(e.outAt)))
+			sim.recordViolation(LeavingGetsNothing, fmt.Sprintf("%s was granted %s, out since %s", j.id, e.id, now.Sub(e.outSince)))
 		}
 		if j.executions > 0 && !j.policy.Repeatable {
-			sim.violate(AtMostOnce, j.id+" was granted again")
+			sim.recordViolation(AtMostOnce, j.id+" was granted again")
 		}
 	case admission.Refuse:
 		sim.checkShed(s, j, d)
 	case admission.Preempt:
-		sim.checkPreempt(s, j)
+		sim.checkPreemption(s, j)
 	}
 }
 
-// checkRefusal compares what a caller is told with what the engines did.
-func (sim *simulation) checkRefusal(j *job) {
+// checkNotRun checks that a request reported to its caller as not run was never started at an engine.
+func (sim *simulation) checkNotRun(j *job) {
 	if j.lifecycle.Ran() == request.RanNo && j.executions > 0 {
-		sim.violate(NotRunIsTrue, j.id+" was refused as not run, and ran")
+		sim.recordViolation(NotRunIsTrue, j.id+" was refused as not run, and ran")
 	}
 }
 
-// checkShed finds requests of lower tiers that wait while a higher one is
-// refused for want of room. One that was granted before and comes back is left
-// out: it may be in its owner's pause, where the scheduler does not hold it.
+// checkShed reports a violation if a request is refused for lack of room while a request of a lower
+// tier waits. Retries are left out: one that is in its owner's back-off is not in the scheduler's queue.
 func (sim *simulation) checkShed(s *simulatedShard, j *job, d *admission.Decision) {
 	if d.Reason != admission.ReasonNoRoom {
 		return
 	}
-	for _, other := range sim.order {
+	for _, other := range sim.jobList {
 		if other.shard == s && other.state == stateWaiting && !other.request.Retry && other != j && other.policy.Tier > j.policy.Tier {
-			sim.violate(NoLowerBeforeShed, fmt.Sprintf("%s of tier %d was refused for room while %s of tier %d waited",
+			sim.recordViolation(NoLowerBeforeShed, fmt.Sprintf("%s of tier %d was refused for room while %s of tier %d waited",
 				j.id, j.policy.Tier, other.id, other.policy.Tier))
 			return
 		}
 	}
 }
 
-func (sim *simulation) checkPreempt(s *simulatedShard, j *job) {
+// checkPreemption checks that a preempted request is repeatable and that a request of a higher tier waits.
+func (sim *simulation) checkPreemption(s *simulatedShard, j *job) {
 	if !j.policy.Repeatable {
-		sim.violate(PreemptDownwards, j.id+" may not be repeated and was preempted")
+		sim.recordViolation(PreemptDownwards, j.id+" may not be repeated and was preempted")
 	}
-	for _, other := range sim.order {
+	for _, other := range sim.jobList {
 		if other.shard == s && other.state == stateWaiting && other.policy.Tier < j.policy.Tier {
 			return
 		}
 	}
-	sim.violate(PreemptDownwards, fmt.Sprintf("%s of tier %d was preempted for nobody above", j.id, j.policy.Tier))
+	sim.recordViolation(PreemptDownwards, fmt.Sprintf("%s of tier %d was preempted for nobody above", j.id, j.policy.Tier))
 }
 
-// checkEnd checks what must hold when all is over.
-func (sim *simulation) checkEnd() {
+// checkFinalState checks the invariants that hold for the run as a whole, after the last event.
+func (sim *simulation) checkFinalState() {
 	served := make(map[string]int)
 	sent := make(map[string]int)
-	for _, j := range sim.order {
+	for _, j := range sim.jobList {
 		if j.event.Outside {
 			continue
 		}
@@ -97,23 +97,23 @@
 		case stateAnswered:
 			served[j.event.Class]++
 			if j.tokens < j.event.Answer {
-				sim.violate(WholeAnswers, fmt.Sprintf("%s ended with %d of %d tokens", j.id, j.tokens, j.event.Answer))
+				sim.recordViolation(WholeAnswers, fmt.Sprintf("%s ended with %d of %d tokens", j.id, j.tokens, j.event.Answer))
 			}
 		case stateWaiting, stateSent:
-			sim.violate(EveryRequestEnds, j.id+" of "+j.event.Class+" never ended")
+			sim.recordViolation(EveryRequestEnds, j.id+" of "+j.event.Class+" never ended")
 		}
 		if j.executions > 1 && !j.policy.Repeatable {
-			sim.violate(AtMostOnce, fmt.Sprintf("%s ran %d times", j.id, j.executions))
+			sim.recordViolation(AtMostOnce, fmt.Sprintf("%s ran %d times", j.id, j.executions))
 		}
 	}
 	for class, n := range sent {
 		if n > 0 && served[class] == 0 {
-			sim.violate(EveryClassServed, fmt.Sprintf("%s: none of %d was answered", class, n))
+			sim.recordViolation(EveryClassServed, fmt.Sprintf("%s: none of %d was answered", class, n))
 		}
 	}
 	for _, s := range sim.shardList() {
 		if s.policy.Waiting() != 0 || s.policy.Running() != 0 {
-			sim.violate(NothingLeaks, fmt.Sprintf("%s: %d waiting and %d running at the end", s.model, s.policy.Waiting(), s.policy.Running()))
+			sim.recordViolation(NothingLeaks, fmt.Sprintf("%s: %d waiting and %d running at the end", s.model, s.policy.Waiting(), s.policy.Running()))
 		}
 	}
 }
--- a/internal/proof/replay/policy.go
+++ b/internal/proof/replay/policy.go
@@ -12,7 +12,7 @@
 	"oxbowslip.dev/oxbowslip/internal/proof/emulator"
 )
 
-// Policy decides for one shard. *schedule.Scheduler is one.
+// Policy schedules the requests of one shard. *schedule.Scheduler implements it.
 type Policy interface {
 	SetEndpoints(now time.Time, endpoints []schedule.Endpoint)
 	Submit(now time.Time, request admission.Request)
@@ -28,15 +28,15 @@
 	Running() int
 }
 
-// reported is a policy that receives the engines' load reports.
-type reported interface {
+// loadReportReceiver is implemented by policies that use the engines' load reports.
+type loadReportReceiver interface {
 	Report(endpoint string, load emulator.Load)
 }
 
-// Current is the policy of the daemons.
+// Current is the name of the daemons' own policy.
 const Current = "current"
 
-// The baselines.
+// The names of the baselines.
 const (
 	LeastConnections = "fcfs-least-connections"
 	TwoChoices       = "random-two-choices"
@@ -46,63 +46,63 @@
 // Policies lists the names that NewPolicy takes: the daemons' policy and the baselines.
 var Policies = []string{Current, LeastConnections, TwoChoices, LeastReported}
 
-// NewPolicy returns a new policy by its name.
+// NewPolicy creates a policy by its name. The seed sets the random choices of a baseline.
 func NewPolicy(name string, seed uint64) (Policy, error) {
 	switch name {
 	case LeastConnections, TwoChoices, LeastReported:
-		return newDirect(name, seed), nil
+		return newBaseline(name, seed), nil
 	case Current:
 		return schedule.New(schedule.Options{}), nil
 	}
 	return nil, merry.Errorf("no policy %q; the policies are %s", name, strings.Join(Policies, ", "))
 }
 
-// direct sends every request on at once and lets the engines queue: what a
-// router without levels of service does.
-type direct struct {
+// baseline grants every request immediately and leaves queueing to the engines, as a router without
+// request classes does.
+type baseline struct {
 	name      string
 	random    *rand.Rand
-	endpoints []*directEndpoint
-	byID      map[string]*directEndpoint
-	open      map[string]*directEndpoint
+	endpoints []*baselineEndpoint
+	byID      map[string]*baselineEndpoint
+	open      map[string]*baselineEndpoint
 	decisions []admission.Decision
 }
 
-type directEndpoint struct {
+type baselineEndpoint struct {
 	id       string
 	inFlight int
 	load     emulator.Load
 }
 
-func newDirect(name string, seed uint64) *direct {
-	return &direct{
+func newBaseline(name string, seed uint64) *baseline {
+	return &baseline{
 		name: name, random: rand.New(rand.NewPCG(seed, 1)),
-		byID: make(map[string]*directEndpoint), open: make(map[string]*directEndpoint),
+		byID: make(map[string]*baselineEndpoint), open: make(map[string]*baselineEndpoint),
 	}
 }
 
-// SetEndpoints replaces the endpoints.
-func (d *direct) SetEndpoints(_ time.Time, endpoints []schedule.Endpoint) {
+// SetEndpoints replaces the list of endpoints.
+func (d *baseline) SetEndpoints(_ time.Time, endpoints []schedule.Endpoint) {
 	d.endpoints = d.endpoints[:0]
 	for _, config := range endpoints {
 		e, ok := d.byID[config.ID]
 		if !ok {
-			e = &directEndpoint{id: config.ID}
+			e = &baselineEndpoint{id: config.ID}
 			d.byID[config.ID] = e
 		}
 		d.endpoints = append(d.endpoints, e)
 	}
 }
 
-// Submit grants at once.
-func (d *direct) Submit(now time.Time, r admission.Request) {
+// Submit grants a request immediately. It refuses the request if there is no endpoint.
+func (d *baseline) Submit(now time.Time, r admission.Request) {
 	if len(d.endpoints) == 0 {
 		d.decisions = append(d.decisions, admission.Decision{
 			Kind: admission.Refuse, ID: r.ID, Reason: admission.ReasonNoEndpoint, RetryAfter: time.Second,
 		})
 		return
 	}
-	e := d.choose()
+	e := d.chooseEndpoint()
 	e.inFlight++
 	d.open[r.ID] = e
 	d.decisions = append(d.decisions, admission.Decision{
@@ -110,7 +110,7 @@
 	})
 }
 
-func (d *direct) choose() *directEndpoint {
+func (d *baseline) chooseEndpoint() *baselineEndpoint {
 	switch d.name {
 	case TwoChoices:
 		a, b := d.endpoints[d.random.IntN(len(d.endpoints))], d.endpoints[d.random.IntN(len(d.endpoints))]
@@ -119,14 +119,14 @@
 		}
 		return a
 	case LeastReported:
-		return d.least(func(e *directEndpoint) int { return e.load.Running + e.load.Waiting })
+		return d.leastLoaded(func(e *baselineEndpoint) int { return e.load.Running + e.load.Waiting })
 	default:
-		return d.least(func(e *directEndpoint) int { return e.inFlight })
+		return d.leastLoaded(func(e *baselineEndpoint) int { return e.inFlight })
 	}
 }
 
-// least returns the endpoint with the least load; among equals, a random one.
-func (d *direct) least(load func(*directEndpoint) int) *directEndpoint {
+// leastLoaded returns the endpoint with the lowest load, starting the search at a random endpoint.
+func (d *baseline) leastLoaded(load func(*baselineEndpoint) int) *baselineEndpoint {
 	start := d.random.IntN(len(d.endpoints))
 	best := d.endpoints[start]
 	for i := range d.endpoints {
@@ -138,50 +138,50 @@
 	return best
 }
 
-// Report records a load report.
-func (d *direct) Report(endpoint string, load emulator.Load) {
+// Report stores an endpoint's load report.
+func (d *baseline) Report(endpoint string, load emulator.Load) {
 	if e, ok := d.byID[endpoint]; ok {
 		e.load = load
 	}
 }
 
-// Finished frees a place.
-func (d *direct) Finished(_ time.Time, id string, _ admission.Result, _ int) {
+// Finished removes a request from the in-flight count of its endpoint.
+func (d *baseline) Finished(_ time.Time, id string, _ admission.Result, _ int) {
 	if e, ok := d.open[id]; ok {
 		e.inFlight--
 		delete(d.open, id)
 	}
 }
 
-// Withdraw frees a place.
-func (d *direct) Withdraw(now time.Time, id string) { d.Finished(now, id, admission.Cancelled, 0) }
+// Withdraw removes a request as Finished does.
+func (d *baseline) Withdraw(now time.Time, id string) { d.Finished(now, id, admission.Cancelled, 0) }
 
-// Take returns the decisions.
-func (d *direct) Take() []admission.Decision {
+// Take returns and clears the pending decisions.
+func (d *baseline) Take() []admission.Decision {
 	taken := d.decisions
 	d.decisions = nil
 	return taken
 }
 
-// The rest does not matter to a policy that never waits.
+// The remaining methods of Policy are trivial because a baseline has no queue.
 
 // Started does nothing.
-func (d *direct) Started(time.Time, string) {}
+func (d *baseline) Started(time.Time, string) {}
 
 // FirstToken does nothing.
-func (d *direct) FirstToken(time.Time, string) {}
+func (d *baseline) FirstToken(time.Time, string) {}
 
 // Progress does nothing.
-func (d *direct) Progress(time.Time, string, int) {}
+func (d *baseline) Progress(time.Time, string, int) {}
 
 // Tick does nothing.
-func (d *direct) Tick(time.Time) {}
+func (d *baseline) Tick(time.Time) {}
 
-// Next is far away.
-func (d *direct) Next(now time.Time) time.Time { return now.Add(time.Hour) }
+// Next returns a time an hour ahead, because a baseline needs no ticks.
+func (d *baseline) Next(now time.Time) time.Time { return now.Add(time.Hour) }
 
 // Waiting is always 0.
-func (d *direct) Waiting() int { return 0 }
+func (d *baseline) Waiting() int { return 0 }
 
-// Running counts the open requests.
-func (d *direct) Running() int { return len(d.open) }
+// Running returns the number of granted requests that have not finished.
+func (d *baseline) Running() int { return len(d.open) }
--- a/internal/proof/replay/record.go
+++ b/internal/proof/replay/record.go
@@ -8,9 +8,8 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// Recorded makes a trace of what a host recorded, with the settings that were in
-// force. A request without an answer is taken to be as long as the shortest that
-// an engine gives. Keys are left out.
+// Recorded makes a trace from the requests that a host recorded and the settings in force. A request
+// without an answer gets an answer of one token, the shortest that an engine generates. Keys are left out.
 func Recorded(name string, tree *settings.Tree, entries []record.Entry) *Trace {
 	t := &Trace{Header: Header{Format: Format, Name: name, Seed: 1, Settings: withoutKeys(tree), Engines: DefaultEngines}}
 	entries = slices.Clone(entries)
@@ -24,6 +23,7 @@
 	return t
 }
 
+// withoutKeys returns a copy of a settings tree without the workspaces' keys.
 func withoutKeys(tree *settings.Tree) settings.Tree {
 	bare := *tree
 	bare.Workspaces = make(map[string]settings.Workspace, len(tree.Workspaces))
--- a/internal/proof/replay/replay_test.go
+++ b/internal/proof/replay/replay_test.go
@@ -25,9 +25,9 @@
 	return trace
 }
 
-// generated returns the trace that a description stands for, as a reader of its written
-// form gets it.
-func generated(c *qt.C, path string) (trace *Trace, text []byte) {
+// generateTrace generates the trace of a description and writes it. It returns the trace as read back
+// and the written text.
+func generateTrace(c *qt.C, path string) (trace *Trace, text []byte) {
 	data, err := os.ReadFile(path)
 	c.Assert(err, qt.IsNil)
 	description, err := ReadDescription(data)
@@ -49,14 +49,14 @@
 	return paths
 }
 
-// TestTraces replays the trace of every description: all invariants hold, all stated
-// outcomes are reached, and no baseline does better.
+// TestTraces replays the trace of every description: all invariants hold, all stated outcomes are
+// reached, and attainment is higher than under each baseline.
 func TestTraces(t *testing.T) {
 	for _, path := range descriptionPaths(qt.New(t)) {
 		t.Run(filepath.Base(path), func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			trace, _ := generated(c, path)
+			trace, _ := generateTrace(c, path)
 			result, err := Run(trace, Current)
 			c.Assert(err, qt.IsNil)
 			c.Check(result.Violations, qt.HasLen, 0, qt.Commentf("%v", result.Violations))
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestExact replays a trace twice: the same in, the same out.
-func TestExact(t *testing.T) {
+// TestReplayIsDeterministic checks that two replays of a trace give equal results.
+func TestReplayIsDeterministic(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(traceDir, "engines-crash-in-turn.jsonl")
 	first, err := Run(readTrace(c, path), Current)
@@ -81,13 +81,13 @@
 	c.Assert(second, qt.DeepEquals, first)
 }
 
-// TestGenerated compares the traces that are kept as examples of the format with what
-// their descriptions generate.
-func TestGenerated(t *testing.T) {
+// TestCommittedTracesMatchDescriptions checks that the traces committed as examples of the format are
+// those that their descriptions generate. Run `make traces` after a change of the generator.
+func TestCommittedTracesMatchDescriptions(t *testing.T) {
 	for _, name := range []string{"engine-slow", "engines-crash-in-turn"} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			_, text := generated(c, filepath.Join(traceDir, name+".json"))
+			_, text := generateTrace(c, filepath.Join(traceDir, name+".json"))
 			committed, err := os.ReadFile(filepath.Join(traceDir, name+".jsonl"))
 			c.Assert(err, qt.IsNil)
 			c.Assert(bytes.Equal(text, committed), qt.IsTrue, qt.Commentf("make traces"))
@@ -95,9 +95,9 @@
 	}
 }
 
-// TestRecorded makes a trace of recorded requests and reads it back. No key of
-// the settings may be in it.
-func TestRecorded(t *testing.T) {
+// TestTraceFromRecordedRequests makes a trace of recorded requests, reads it back and replays it.
+// The trace must not contain the keys of the settings.
+func TestTraceFromRecordedRequests(t *testing.T) {
 	c := qt.New(t)
 	tree := &readTrace(c, filepath.Join(traceDir, "engine-slow.jsonl")).Header.Settings
 	tree.Workspaces["heron"] = settings.Workspace{Keys: []settings.Key{{Name: "k", SHA256: settings.HashKey("secret")}}}
@@ -120,8 +120,8 @@
 	c.Assert(result.OK(), qt.IsTrue)
 }
 
-// TestRandomTraces draws small traces with faults, many classes and tight
-// limits, and checks the invariants of every event.
+// TestRandomTraces replays random short traces with faults, several classes and tight limits, and checks
+// the invariants at every event.
 func TestRandomTraces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawDescription(t)
@@ -134,8 +134,8 @@
 			t.Fatalf("run: %v", err)
 		}
 		for _, v := range result.Violations {
-			// A class may get nothing in a few seconds of chaos; that it is
-			// served is checked on the traces, which last long enough.
+			// Ten seconds with faults are too short to guarantee that every class is served.
+			// TestTraces checks that on longer traces.
 			if v.Invariant != EveryClassServed {
 				t.Fatalf("%s at %s: %s", v.Invariant, v.At, v.Detail)
 			}
--- a/internal/proof/replay/report.go
+++ b/internal/proof/replay/report.go
@@ -13,7 +13,7 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/schedule"
 )
 
-// ClassResult is what one class got.
+// ClassResult is the outcome of a replay for one request class.
 type ClassResult struct {
 	Class    string `json:"class"`
 	Tier     int    `json:"tier"`
@@ -23,13 +23,13 @@
 	Refused  int    `json:"refused"`
 	Gone     int    `json:"caller_gone"`
 	Failed   int    `json:"failed"`
-	// LateFirst and LateBetween count whole answers whose first token, or whose
-	// time between tokens, missed the target.
+	// LateFirst and LateBetween count complete answers that missed the target for the first token
+	// and for the time between tokens.
 	LateFirst   int `json:"late_first"`
 	LateBetween int `json:"late_between"`
-	// Reasons counts refusals.
+	// Reasons counts refusals by reason.
 	Reasons map[admission.Reason]int `json:"reasons"`
-	// GoodTokens are those of answers that met the target.
+	// GoodTokens counts the tokens of answers that met the target.
 	GoodTokens  int           `json:"good_tokens"`
 	Wasted      int           `json:"wasted_tokens"`
 	WastedRead  int           `json:"wasted_prompt_tokens"`
@@ -37,7 +37,7 @@
 	FirstToken  time.Duration `json:"first_token_p95"`
 }
 
-// Attainment is the part of the requests sent that met their target.
+// Attainment returns the fraction of the sent requests that met their target.
 func (r *ClassResult) Attainment() float64 {
 	return float64(r.Attained) / float64(max(r.Sent, 1))
 }
@@ -47,12 +47,12 @@
 	Trace   string        `json:"trace"`
 	Policy  string        `json:"policy"`
 	Classes []ClassResult `json:"classes"`
-	// Attainment is over all classes, each request weighted by its tier.
+	// Attainment is the fraction of all requests that met their target, weighted by tier.
 	Attainment float64 `json:"attainment"`
-	// Goodput is good tokens a second between the first and the last arrival,
-	// as a part of Capacity.
+	// Goodput is the rate of tokens in answers that met their target, in the measured window, as a
+	// fraction of Capacity.
 	Goodput float64 `json:"goodput"`
-	// Busy is all tokens generated in the same time, as a part of Capacity.
+	// Busy is the rate of all generated tokens in the same window, as a fraction of Capacity.
 	Busy       float64     `json:"busy"`
 	Capacity   float64     `json:"capacity_tokens_per_second"`
 	Generated  int         `json:"generated_tokens"`
@@ -65,8 +65,8 @@
 // OK reports whether all invariants held and all stated outcomes were reached.
 func (r *Result) OK() bool { return len(r.Violations) == 0 && len(r.Missed) == 0 }
 
-// Run replays a trace under a policy. Outcomes are checked for the daemons' own
-// policy only.
+// Run replays a trace under a policy. Final invariants are not checked for the baselines, and stated
+// outcomes only for the daemons' own policy.
 func Run(trace *Trace, policy string) (*Result, error) {
 	s, err := newSimulation(trace, policy)
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 	s.run()
 	if !isBaseline(policy) {
-		s.checkEnd()
+		s.checkFinalState()
 	}
 	r := s.result()
 	if policy == Current {
@@ -87,7 +87,7 @@
 	return policy == LeastConnections || policy == TwoChoices || policy == LeastReported
 }
 
-// result adds up what became of the requests.
+// result summarizes the finished run.
 func (sim *simulation) result() *Result {
 	r := &Result{Trace: sim.trace.Header.Name, Policy: sim.policyName, Violations: sim.violations}
 	wasted := sim.addClasses(r)
@@ -97,7 +97,7 @@
 	r.Wasted = float64(wasted) / math.Max(float64(r.Generated), 1)
 	r.Capacity = sim.capacity()
 	r.Goodput = sim.goodput() / r.Capacity
-	r.Busy = sim.generated / r.Capacity
+	r.Busy = sim.generatedRate / r.Capacity
 	for _, s := range sim.shardList() {
 		if scheduler, ok := s.policy.(*schedule.Scheduler); ok {
 			r.Steps += scheduler.Steps
@@ -106,13 +106,13 @@
 	return r
 }
 
-// addClasses fills in the classes and the attainment over all of them, and returns the wasted
-// tokens.
+// addClasses fills in the result of each class and the weighted attainment over all classes. It returns
+// the number of wasted tokens.
 func (sim *simulation) addClasses(r *Result) (wasted int) {
 	index := make(map[string]int)
 	firstTokens := make(map[string][]time.Duration)
 	weight, attained := 0.0, 0.0
-	for _, j := range sim.order {
+	for _, j := range sim.jobList {
 		if j.event.Outside {
 			continue
 		}
@@ -124,15 +124,15 @@
 			r.Classes = append(r.Classes, ClassResult{Class: class, Tier: j.policy.Tier, Reasons: make(map[admission.Reason]int)})
 		}
 		r.Classes[i].add(j)
-		if !j.firstToken.IsZero() {
-			firstTokens[class] = append(firstTokens[class], j.firstToken.Sub(j.arrived))
+		if !j.firstTokenAt.IsZero() {
+			firstTokens[class] = append(firstTokens[class], j.firstTokenAt.Sub(j.arrivedAt))
 		}
-		share := tierWeight(j.policy.Tier)
-		weight += share
-		if j.attained() {
-			attained += share
+		requestWeight := tierWeight(j.policy.Tier)
+		weight += requestWeight
+		if j.metTarget() {
+			attained += requestWeight
 		}
-		wasted += j.wasted
+		wasted += j.wastedTokens
 	}
 	for i := range r.Classes {
 		r.Classes[i].FirstToken = quantile(firstTokens[r.Classes[i].Class], 0.95)
@@ -144,90 +144,93 @@
 	return wasted
 }
 
-// tierWeight makes a request of each tier count twice one of the next.
+// tierWeight returns the weight of a request in the attainment over all classes. Each tier weighs twice as
+// much as the next lower one.
 func tierWeight(tier int) float64 { return float64(int(1) << (schedule.Tiers - 1 - tier)) }
 
+// add counts a request by its final state.
 func (r *ClassResult) add(j *job) {
 	r.Sent++
 	switch j.state {
 	case stateAnswered:
 		r.Answered++
-		if j.lateFirst() {
+		if j.missedFirstToken() {
 			r.LateFirst++
 		}
-		if j.lateBetween() {
+		if j.missedBetweenTokens() {
 			r.LateBetween++
 		}
 	case stateRefused:
 		r.Refused++
 		r.Reasons[j.reason]++
-	case stateGone:
+	case stateCallerGone:
 		r.Gone++
 	case stateFailed:
 		r.Failed++
 	}
-	if j.attained() {
+	if j.metTarget() {
 		r.Attained++
 		r.GoodTokens += j.tokens
 	}
-	r.Wasted += j.wasted
-	r.WastedRead += j.wastedPrefill
-	if !j.granted.IsZero() {
-		r.LongestWait = max(r.LongestWait, j.granted.Sub(j.arrived))
+	r.Wasted += j.wastedTokens
+	r.WastedRead += j.wastedPromptTokens
+	if !j.grantedAt.IsZero() {
+		r.LongestWait = max(r.LongestWait, j.grantedAt.Sub(j.arrivedAt))
 	}
 }
 
-// attained reports whether a request got a whole answer that met its target.
-func (j *job) attained() bool {
+// metTarget reports whether a request got a complete answer that met its targets.
+func (j *job) metTarget() bool {
 	if j.state != stateAnswered {
 		return false
 	}
-	whole := j.ended.Sub(j.arrived)
+	whole := j.endedAt.Sub(j.arrivedAt)
 	if j.policy.WholeAnswer > 0 && whole > j.policy.WholeAnswer {
 		return false
 	}
-	return !j.lateFirst() && !j.lateBetween()
+	return !j.missedFirstToken() && !j.missedBetweenTokens()
 }
 
-func (j *job) lateFirst() bool {
-	return j.policy.FirstToken > 0 && j.firstToken.Sub(j.arrived) > j.policy.FirstToken
+func (j *job) missedFirstToken() bool {
+	return j.policy.FirstToken > 0 && j.firstTokenAt.Sub(j.arrivedAt) > j.policy.FirstToken
 }
 
-func (j *job) lateBetween() bool {
+func (j *job) missedBetweenTokens() bool {
 	if j.policy.BetweenTokens == 0 || j.tokens < 2 {
 		return false
 	}
-	return j.ended.Sub(j.firstToken)/time.Duration(j.tokens-1) > j.policy.BetweenTokens
+	return j.endedAt.Sub(j.firstTokenAt)/time.Duration(j.tokens-1) > j.policy.BetweenTokens
 }
 
-// window is the part of the run that goodput is measured in.
-func (sim *simulation) window() (from, to time.Time) {
+// measuredWindow returns the part of the run in which goodput is measured.
+func (sim *simulation) measuredWindow() (from, to time.Time) {
 	m := sim.trace.Header.Measure
 	if m.ToSecond == 0 {
-		return epoch, sim.lastEvent
+		return epoch, sim.lastEventAt
 	}
 	return epoch.Add(time.Duration(m.FromSecond) * time.Second), epoch.Add(time.Duration(m.ToSecond) * time.Second)
 }
 
-// goodput is the tokens a second, in the window, of requests that met their
-// target. A request's tokens are spread evenly from its first to its last.
+// goodput returns the rate, in tokens per second within the measured window, of requests that met their
+// target. The tokens of a request count as spread evenly between its first and its last.
 func (sim *simulation) goodput() float64 {
-	from, to := sim.window()
+	from, to := sim.measuredWindow()
 	tokens := 0.0
-	for _, j := range sim.order {
-		if j.event.Outside || !j.attained() {
+	for _, j := range sim.jobList {
+		if j.event.Outside || !j.metTarget() {
 			continue
 		}
-		length := max(j.ended.Sub(j.firstToken), time.Millisecond)
-		inside := min(j.ended.Sub(from), to.Sub(j.firstToken), length, to.Sub(from))
+		length := max(j.endedAt.Sub(j.firstTokenAt), time.Millisecond)
+		inside := min(j.endedAt.Sub(from), to.Sub(j.firstTokenAt), length, to.Sub(from))
 		tokens += float64(j.tokens) * max(0, inside.Seconds()/length.Seconds())
 	}
 	return tokens / math.Max(to.Sub(from).Seconds(), 1)
 }
 
-// capacity is what the engine model generates in tokens a second with the trace's
-// mean prompt and answer at the strictest target between tokens: the batch b
-// for which step + b*perRequest + b*(prompt/answer)*perPromptToken = target.
+// capacity returns the rate, in tokens per second, that the engines can generate at a target of 48 ms between
+// tokens, the
+// strictest target of the traces, given the trace's mean prompt and answer. The batch size b per engine is the solution of
+// step + b*perRequest + b*(prompt/answer)*perPromptToken = target, at most MaxRunning.
 func (sim *simulation) capacity() float64 {
 	prompt, answer := 0.0, 0.0
 	target := 0.048
@@ -254,7 +257,7 @@
 	return values[int(q*float64(len(values)-1))]
 }
 
-// Print writes the results of one trace under several policies.
+// Print writes the per-class results of one trace under several policies, then the summary.
 func Print(w io.Writer, results []*Result) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "policy\tclass\ttier\tsent\tanswered\tattained\tlate first\tlate between\trefused\tgone\tfailed\tfirst token p95\tlongest wait\twasted")
@@ -265,12 +268,12 @@
 				100*c.Attainment(), c.LateFirst, c.LateBetween, c.Refused, c.Gone, c.Failed, c.FirstToken.Round(time.Millisecond), c.LongestWait.Round(time.Millisecond), c.Wasted)
 		}
 	}
-	// The writer is a terminal or a buffer; an error here has no one to go to.
+	// The writer is a terminal or a buffer, so a write error can't be reported anywhere.
 	_ = table.Flush()
 	Summary(w, results)
 }
 
-// Summary writes one line for each result.
+// Summary writes one line per result, then the missed outcomes and the first violation of each.
 func Summary(w io.Writer, results []*Result) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "trace\tpolicy\tattainment by tier weight\tgoodput of capacity\tgenerated of capacity\twasted\tviolations\tmissed")
@@ -278,7 +281,7 @@
 		fmt.Fprintf(table, "%s\t%s\t%.2f%%\t%.1f%%\t%.1f%%\t%.2f%%\t%d\t%d\n", r.Trace, r.Policy, 100*r.Attainment, 100*r.Goodput, 100*r.Busy, 100*r.Wasted,
 			len(r.Violations), len(r.Missed))
 	}
-	// As above.
+	// See Print.
 	_ = table.Flush()
 	for _, r := range results {
 		for _, missed := range r.Missed {
--- a/internal/proof/replay/trace.go
+++ b/internal/proof/replay/trace.go
@@ -1,7 +1,6 @@
-// Package replay runs recorded or generated traces through a scheduling policy
-// against the engine model in virtual time, checks the invariants at every
-// event, and reports what each class got. The same trace, seed and policy give
-// the same result on any machine.
+// Package replay runs recorded or generated traces through a scheduling policy against emulated engines in
+// virtual time. It checks the invariants at every event and reports the result of each request class. The same
+// trace, seed and policy give the same result on any machine.
 package replay
 
 import (
@@ -29,23 +28,22 @@
 	Seed   uint64 `json:"seed"`
 	// Settings is the tree in force: classes, workspaces, models, endpoints.
 	Settings settings.Tree `json:"settings"`
-	// Engines is the engine model of all endpoints.
+	// Engines is the performance model that all endpoints share.
 	Engines EngineModel `json:"engines"`
-	// Callers is how callers behave, class by class.
+	// Callers describes the callers' behaviour by class.
 	Callers  map[string]Caller `json:"callers,omitzero"`
 	Outcomes []Outcome         `json:"outcomes,omitzero"`
-	// Measure is the part of the trace that goodput is measured in; the zero
-	// value means all of it.
+	// Measure is the part of the trace in which goodput is measured. The zero value means all of it.
 	Measure Window `json:"measure,omitzero"`
 }
 
-// Window is a part of a trace.
+// Window is a part of a trace, in seconds from its start. ToSecond is exclusive.
 type Window struct {
 	FromSecond int `json:"from_s"`
 	ToSecond   int `json:"to_s"`
 }
 
-// EngineModel is the engine model in microseconds and tokens.
+// EngineModel is the performance model of an engine in microseconds and tokens.
 type EngineModel struct {
 	StepMicros           int `json:"step_us"`
 	PerRequestMicros     int `json:"per_request_us"`
@@ -55,12 +53,12 @@
 	CacheTokens          int `json:"cache_tokens"`
 }
 
-// DefaultEngines is emulator.DefaultConfig in the trace's units.
+// DefaultEngines is emulator.DefaultConfig in the units of a trace.
 var DefaultEngines = EngineModel{
 	StepMicros: 18000, PerRequestMicros: 800, PerPromptTokenMicros: 60, ChunkTokens: 256, MaxRunning: 64, CacheTokens: 120_000,
 }
 
-func (m EngineModel) config() emulator.Config {
+func (m EngineModel) emulatorConfig() emulator.Config {
 	return emulator.Config{
 		StepTime:       time.Duration(m.StepMicros) * time.Microsecond,
 		PerRequest:     time.Duration(m.PerRequestMicros) * time.Microsecond,
@@ -71,13 +69,13 @@
 	}
 }
 
-// Caller is how the callers of a class behave.
+// Caller describes the behaviour of the callers of a class.
 type Caller struct {
-	// PatienceMillis is how long they wait for the first token before they go
-	// away; 0 means for ever.
+	// PatienceMillis is the time that they wait for the first token before they disconnect; 0 means without
+	// limit.
 	PatienceMillis int `json:"patience_ms,omitzero"`
-	// Retries is how often they come back after a refusal or after they went
-	// away. Each return is a request of its own.
+	// Retries is the number of times that they try again after a refusal or after they disconnected. Each
+	// retry is a request of its own.
 	Retries int `json:"retries,omitzero"`
 }
 
@@ -90,20 +88,19 @@
 	Model     string `json:"model,omitzero"`
 	Prompt    int    `json:"prompt,omitzero"`
 	Answer    int    `json:"answer,omitzero"`
-	// Document is the name of a text that the prompt begins with, DocumentTokens its
-	// length.
+	// Document is the name of a shared document that the prompt begins with, DocumentTokens its length.
 	Document       string `json:"document,omitzero"`
 	DocumentTokens int    `json:"document_tokens,omitzero"`
-	// Outside marks a request that reaches an engine past the router.
+	// Outside marks a request that is sent to an engine directly, bypassing the router.
 	Outside bool `json:"outside,omitzero"`
 
 	Fault    FaultKind `json:"fault,omitzero"`
 	Endpoint string    `json:"endpoint,omitzero"`
-	// Factor is how slow a slow engine is.
+	// Factor multiplies the step time of a slow engine.
 	Factor float64 `json:"factor,omitzero"`
 }
 
-// FaultKind is what happens to an endpoint.
+// FaultKind is a kind of fault or of operational change.
 type FaultKind string
 
 // The kinds of fault.
@@ -112,35 +109,34 @@
 	FaultRecover FaultKind = "recover"
 	FaultSlow    FaultKind = "slow"
 	FaultStall   FaultKind = "stall"
-	// FaultOut is a change of the settings: the endpoint gets no new work.
+	// FaultOut takes the endpoint out of use by a change of the settings: it gets no new requests. FaultIn puts it back.
 	FaultOut FaultKind = "out"
 	FaultIn  FaultKind = "in"
-	// FaultFreeze stops all load reports, FaultThaw lets them go on.
+	// FaultFreeze stops all load reports, FaultThaw resumes them.
 	FaultFreeze FaultKind = "freeze_reports"
 	FaultThaw   FaultKind = "thaw_reports"
 )
 
-// Outcome is what a trace states of its own run. Zero fields state nothing.
+// Outcome states bounds that the replay of a trace must meet. A zero field states no bound.
 type Outcome struct {
-	// Class and Workspaces pick the requests that the outcome is about; empty
-	// means all. Arrived picks those that arrived in a part of the trace.
+	// Class, Workspaces and Arrived (the time of arrival) select the requests to which the outcome applies.
+	// An empty field selects all.
 	Class      string   `json:"class,omitzero"`
 	Workspaces []string `json:"workspaces,omitzero"`
 	Arrived    Window   `json:"arrived,omitzero"`
-	// MinAttainment is the part of the requests that meet their target, each
-	// weighted by its tier.
+	// MinAttainment is the minimum fraction of requests that meet their target, weighted by tier.
 	MinAttainment float64 `json:"min_attainment,omitzero"`
-	// MinServed is the part that gets a whole answer.
+	// MinServed is the minimum fraction of requests that get a complete answer.
 	MinServed float64 `json:"min_served,omitzero"`
-	// MaxWaitMillis bounds the longest time before a grant.
+	// MaxWaitMillis bounds the time between arrival and first grant.
 	MaxWaitMillis int `json:"max_wait_ms,omitzero"`
-	// MinGoodput is goodput as a part of the engines' capacity, and MaxWasted
-	// wasted tokens as a part of those generated. They are about the whole run.
+	// MinGoodput bounds goodput as a fraction of the engines' capacity, MaxWasted wasted tokens as a fraction
+	// of those generated. Both apply to all requests, whatever the outcome selects.
 	MinGoodput float64 `json:"min_goodput,omitzero"`
 	MaxWasted  float64 `json:"max_wasted,omitzero"`
 }
 
-// Trace is a trace in memory.
+// Trace is a decoded trace.
 type Trace struct {
 	Header Header
 	Events []Event
@@ -148,7 +144,7 @@
 
 const maxLineBytes = 4 << 20
 
-// Read reads a trace and checks its settings.
+// Read reads a trace and validates its settings.
 func Read(r io.Reader) (*Trace, error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLineBytes)
@@ -158,17 +154,18 @@
 		if len(line) == 0 {
 			continue
 		}
-		if err := t.add(number, line); err != nil {
+		if err := t.addLine(number, line); err != nil {
 			return nil, merry.Prependf(err, "line %d", number)
 		}
 	}
 	if err := lines.Err(); err != nil {
 		return nil, merry.Prepend(err, "read trace")
 	}
-	return t, t.check()
+	return t, t.validate()
 }
 
-func (t *Trace) add(number int, line []byte) error {
+// addLine decodes a line: the header if it is the first, otherwise an event.
+func (t *Trace) addLine(number int, line []byte) error {
 	if number == 1 {
 		return json.Unmarshal(line, &t.Header, json.RejectUnknownMembers(true), strictjson.Durations)
 	}
@@ -177,15 +174,16 @@
 		return err
 	}
 	if (event.Class == "") == (event.Fault == "") {
-		return merry.New("an event has either a class or a fault")
+		return merry.New("an event needs a class or a fault, and not both")
 	}
 	t.Events = append(t.Events, event)
 	return nil
 }
 
-func (t *Trace) check() error {
+// validate checks the format and replaces the settings by their validated form.
+func (t *Trace) validate() error {
 	if t.Header.Format != Format {
-		return merry.Errorf("trace format %d, this program reads %d", t.Header.Format, Format)
+		return merry.Errorf("unsupported trace format %d: this program reads format %d", t.Header.Format, Format)
 	}
 	data, err := settings.Encode(&t.Header.Settings)
 	if err != nil {
@@ -199,7 +197,7 @@
 	return nil
 }
 
-// Write writes a trace in the form that Read reads.
+// Write writes a trace in the format that Read accepts.
 func Write(w io.Writer, t *Trace) error {
 	out := bufio.NewWriter(w)
 	header, err := json.Marshal(&t.Header, json.Deterministic(true), strictjson.DurationTexts)
