--- a/internal/proof/demo/change.go
+++ b/internal/proof/demo/change.go
@@ -12,8 +12,8 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// patch is a change of one endpoint.
-type patch struct {
+// settingsPatch is the JSON merge patch that changes endpoints.
+type settingsPatch struct {
 	Endpoints map[string]endpointPatch `json:"endpoints"`
 }
 
@@ -22,10 +22,9 @@
 	Address string                 `json:"address,omitzero"`
 }
 
-// SetEndpointState sets the state of an endpoint and waits until that is in force on every
-// host.
+// SetEndpointState sets the state of an endpoint and waits until the change is in force on every host.
 func (c *Cluster) SetEndpointState(endpoint string, state settings.EndpointState) error {
-	if err := c.change(endpoint, endpointPatch{State: state}); err != nil {
+	if err := c.applyPatch(endpoint, endpointPatch{State: state}); err != nil {
 		return err
 	}
 	c.mu.Lock()
@@ -34,32 +33,31 @@
 		c.outSince[endpoint] = time.Now()
 	}
 	c.mu.Unlock()
-	c.waitInForce()
+	c.waitForRevision()
 	return nil
 }
 
-// SetEndpointAddress moves an endpoint to another address and waits until that is in
-// force on every host.
+// SetEndpointAddress moves an endpoint to another address and waits until the change is in force on every host.
 func (c *Cluster) SetEndpointAddress(endpoint, address string) error {
-	if err := c.change(endpoint, endpointPatch{Address: address}); err != nil {
+	if err := c.applyPatch(endpoint, endpointPatch{Address: address}); err != nil {
 		return err
 	}
-	c.waitInForce()
+	c.waitForRevision()
 	return nil
 }
 
-// waitInForce waits until every host that is up has the last change.
-func (c *Cluster) waitInForce() {
+// waitForRevision waits until the last change is in force on every host that is up.
+func (c *Cluster) waitForRevision() {
 	for _, host := range c.Hosts() {
 		for !host.Down && host.Daemon.Revision() < c.revision {
-			time.Sleep(readyPoll)
+			time.Sleep(readyPollInterval)
 		}
 	}
 }
 
-// change changes an endpoint through the operators' interface of a host.
-func (c *Cluster) change(endpoint string, p endpointPatch) error {
-	text, err := json.Marshal(patch{map[string]endpointPatch{endpoint: p}})
+// applyPatch changes an endpoint through the operators' interface of a ready host.
+func (c *Cluster) applyPatch(endpoint string, p endpointPatch) error {
+	text, err := json.Marshal(settingsPatch{map[string]endpointPatch{endpoint: p}})
 	if err != nil {
 		return err
 	}
--- a/internal/proof/demo/cluster.go
+++ b/internal/proof/demo/cluster.go
@@ -1,6 +1,6 @@
-// Package demo runs the whole system in one process on loopback: the platform,
-// engines and services as stand-ins, several daemons, and a load of both users'
-// request classes whose answers are checked word by word.
+// Package demo runs the whole system in one process on loopback: several daemons, and stand-ins for the
+// platform, the engines and the services. It sends a load of both users' request classes, injects faults and
+// checks the invariants, including the full text of every answer.
 package demo
 
 import (
@@ -27,42 +27,40 @@
 //go:embed tree.json
 var treeText []byte
 
-// The keys of the demonstration. They open nothing else.
+// The keys of the demonstration. They are valid only in its own cluster.
 const (
 	callerKeyPrefix = "demo-key-"
 	OperatorKey     = "demo-operator-key"
 	peerKey         = "demo-peer-key-0123456789"
 )
 
-// CallerKey is the key of a workspace of the demonstration.
+// CallerKey returns the key of a workspace of the demonstration.
 func CallerKey(workspace string) string { return callerKeyPrefix + workspace }
 
-// Config is what a cluster is made of.
+// Config configures a cluster.
 type Config struct {
 	Hosts int
-	// Engines counts the engines of each model.
+	// Engines is the number of engines of each model, Speed their performance model.
 	Engines map[string]int
 	Speed   emulator.Config
-	// Callers and Operators are the addresses of the first host.
+	// Callers and Operators are the addresses on which the first host listens for callers and operators.
 	Callers   string
 	Operators string
-	// Notice is how long a leaving host goes on accepting.
+	// Notice is the time for which a leaving host continues to accept requests.
 	Notice time.Duration
-	// Poll is the mean time between two reads of the settings' head; 0 means
-	// 200 ms.
+	// Poll is the mean interval between two reads of the settings' head; 0 means 200 ms.
 	Poll time.Duration
-	// PeerAddress returns the address that the platform's list shows for a host's
-	// own; nil means the same.
+	// PeerAddress maps a host's address for peers to the one in the platform's list of hosts; nil means that
+	// they are equal.
 	PeerAddress func(address string) string
-	// CallerTimeout bounds how long a caller may take to read or to send; 0
-	// means the daemon's own.
+	// CallerTimeout is the hosts' read and write timeout for callers; 0 means the daemon's default.
 	CallerTimeout time.Duration
 	Log           io.Writer
-	// LogLevel is the daemons' level; empty means warn.
+	// LogLevel is the daemons' log level; empty means warn.
 	LogLevel string
 }
 
-// DefaultConfig is the embedded default: three daemons, six engines.
+// DefaultConfig is a cluster of three daemons and six engines.
 var DefaultConfig = Config{
 	Hosts:     3,
 	Engines:   map[string]int{"voyage": 4, "triage": 2},
@@ -79,11 +77,11 @@
 	Zone   string
 	Daemon *daemon.Daemon
 	app    *fx.App
-	// Down is set if the host was killed or stopped.
+	// Down is set once the host was killed or stopped.
 	Down bool
 }
 
-// Cluster is the whole system in one process.
+// Cluster is a running cluster with its stand-ins.
 type Cluster struct {
 	Config   Config
 	Tree     *settings.Tree
@@ -93,19 +91,19 @@
 
 	mu       sync.Mutex
 	hosts    []*Host
-	next     int
+	nextHost int
 	revision uint64
 	client   *http.Client
-	// outSince is when each endpoint was taken out of use, cut how many requests
-	// planned stops did not let finish.
-	outSince map[string]time.Time
-	cut      int
+	// outSince is the time at which each endpoint was taken out of use, abortedRequests the number of requests
+	// that graceful stops aborted.
+	outSince        map[string]time.Time
+	abortedRequests int
 }
 
-// Models of the demonstration and the zones that its endpoints are spread over.
+// zones are the zones over which hosts and endpoints are spread.
 var zones = []string{"basin-a", "basin-b", "basin-c"}
 
-// Start builds a cluster and waits until every host is ready.
+// Start starts a cluster and waits until every host is ready.
 func Start(ctx context.Context, config Config) (*Cluster, error) {
 	tree, err := settings.Decode("tree.json", treeText)
 	if err != nil {
@@ -134,12 +132,12 @@
 			return nil, err
 		}
 	}
-	c.list()
+	c.publishHosts()
 	return c, c.waitReady(ctx)
 }
 
-// list puts the hosts that are up on the platform's list.
-func (c *Cluster) list() {
+// publishHosts sets the platform's list of hosts to those that are up.
+func (c *Cluster) publishHosts() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var hosts []tableclient.Host
@@ -155,6 +153,7 @@
 	c.Platform.SetHosts(hosts)
 }
 
+// startEndpoints starts the engines and services and adds them to the settings.
 func (c *Cluster) startEndpoints() error {
 	c.Tree.Endpoints = make(map[string]settings.Endpoint)
 	for model, count := range c.Config.Engines {
@@ -187,10 +186,11 @@
 	if err := c.startHost(ctx, len(c.Hosts())); err != nil {
 		return err
 	}
-	c.list()
+	c.publishHosts()
 	return c.waitReady(ctx)
 }
 
+// startHost starts the host with an index from 0 and adds it to the cluster.
 func (c *Cluster) startHost(ctx context.Context, i int) error {
 	config := c.hostConfig(i)
 	log, err := logging.New(c.Config.Log, cmp.Or(c.Config.LogLevel, "warn"), "text")
@@ -207,7 +207,7 @@
 	return nil
 }
 
-// hostConfig returns the file of the host with an index from 0.
+// hostConfig returns the configuration of the host with an index from 0.
 func (c *Cluster) hostConfig(i int) hostconfig.Host {
 	config := hostconfig.Host{
 		Name:      fmt.Sprintf("host-%d", i+1),
@@ -235,41 +235,42 @@
 	return config
 }
 
-// How often readiness is looked at, and how long it may take.
+// The interval between checks of a host's readiness, and the time within which all hosts must be ready.
 const (
-	readyPoll = 10 * time.Millisecond
-	readyTime = 20 * time.Second
+	readyPollInterval = 10 * time.Millisecond
+	readyTimeout      = 20 * time.Second
 )
 
+// waitReady waits until every host that is up is ready.
 func (c *Cluster) waitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, host := range c.Hosts() {
 		for !host.Down && !host.Daemon.Ready() {
 			select {
-			case <-time.After(readyPoll):
+			case <-time.After(readyPollInterval):
 			case <-ctx.Done():
-				return fmt.Errorf("a host is not ready: %s", host.Daemon.Problem())
+				return fmt.Errorf("host not ready within the time limit: %s", host.Daemon.Problem())
 			}
 		}
 	}
 	return nil
 }
 
-// Hosts returns the daemons.
+// Hosts returns all hosts, including those that are down.
 func (c *Cluster) Hosts() []*Host {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]*Host(nil), c.hosts...)
 }
 
-// Pick returns the next ready host, as the platform's balancer would.
+// Pick returns the ready hosts in turn, as the platform's load balancer would.
 func (c *Cluster) Pick() (*Host, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for range c.hosts {
-		c.next++
-		host := c.hosts[c.next%len(c.hosts)]
+		c.nextHost++
+		host := c.hosts[c.nextHost%len(c.hosts)]
 		if !host.Down && host.Daemon.Ready() {
 			return host, true
 		}
@@ -277,39 +278,38 @@
 	return nil, false
 }
 
-// Kill ends a host as a crash would.
+// Kill stops a host without a drain, as a crash would.
 func (c *Cluster) Kill(host *Host) {
-	c.mark(host)
-	c.relist()
+	c.markDown(host)
+	c.schedulePublish()
 	host.Daemon.Kill()
 }
 
-// Drain stops a host as planned and reports how many requests were cut.
+// Drain stops a host gracefully and returns the number of requests that it aborted.
 func (c *Cluster) Drain(ctx context.Context, host *Host) (int, error) {
 	err := host.app.Stop(ctx)
-	c.mark(host)
-	c.relist()
-	cut := host.Daemon.Cut()
+	c.markDown(host)
+	c.schedulePublish()
+	aborted := host.Daemon.Cut()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut += cut
-	return cut, err
+	c.abortedRequests += aborted
+	return aborted, err
 }
 
-func (c *Cluster) mark(host *Host) {
+func (c *Cluster) markDown(host *Host) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	host.Down = true
 }
 
-// relist brings the platform's list up to date after hosts went, late as the
-// platform does.
-func (c *Cluster) relist() { time.AfterFunc(listLag, c.list) }
+// schedulePublish updates the platform's list of hosts after hostListDelay, because the real list is late too.
+func (c *Cluster) schedulePublish() { time.AfterFunc(hostListDelay, c.publishHosts) }
 
-// listLag is how late the platform's list shows that a host is gone.
-const listLag = 3 * time.Second
+// hostListDelay is the time until the platform's list no longer shows a host that is down.
+const hostListDelay = 3 * time.Second
 
-// Close ends everything at once.
+// Close stops all hosts and stand-ins without a drain.
 func (c *Cluster) Close() {
 	for _, host := range c.Hosts() {
 		if !host.Down {
--- a/internal/proof/demo/faults.go
+++ b/internal/proof/demo/faults.go
@@ -16,7 +16,7 @@
 // Fault is the name of a fault that a demonstration can inject.
 type Fault string
 
-// The faults.
+// The names of the faults.
 const (
 	EngineCrash  Fault = "engine-crash"
 	EngineSlow   Fault = "engine-slow"
@@ -29,10 +29,10 @@
 	AnswerLost   Fault = "answer-lost"
 )
 
-// Faults lists all faults by name.
+// Faults lists all faults.
 var Faults = []Fault{EngineCrash, EngineSlow, EngineDrop, PlatformDown, PlatformSlow, AnswerLost, HostKill, HostDrain, EndpointOut}
 
-// ParseFault checks a fault's name.
+// ParseFault returns the fault of a name.
 func ParseFault(name string) (Fault, error) {
 	if slices.Contains(Faults, Fault(name)) {
 		return Fault(name), nil
@@ -44,30 +44,32 @@
 	return "", merry.Errorf("no fault %q; the faults are %s", name, strings.Join(names, ", "))
 }
 
-// victim is the engine that faults are shown on.
-const victim = "voyage-1"
+// faultyEngine is the engine to which the faults of engines and endpoints apply.
+const faultyEngine = "voyage-1"
 
-// slowPlatform is the delay of a slow platform.
-const slowPlatform = 1500 * time.Millisecond
+// slowPlatformDelay is the delay of the platform's answers while PlatformSlow is in effect.
+const slowPlatformDelay = 1500 * time.Millisecond
 
-// inject shows each fault from a third of the run on, for a third of it.
-func inject(ctx context.Context, c *Cluster, faults []Fault, length time.Duration) []string {
+// injectFaults starts all faults after a third of the run and ends them after two thirds. It returns notes on
+// what was done.
+func injectFaults(ctx context.Context, c *Cluster, faults []Fault, length time.Duration) []string {
 	var notes []string
 	if !sleep(ctx, length/3) {
 		return nil
 	}
 	for _, fault := range faults {
-		notes = append(notes, c.begin(ctx, fault))
+		notes = append(notes, c.beginFault(ctx, fault))
 	}
 	sleep(ctx, length/3)
 	for _, fault := range faults {
-		if err := c.end(fault); err != nil {
+		if err := c.endFault(fault); err != nil {
 			notes = append(notes, fmt.Sprintf("%s: not ended: %v", fault, err))
 		}
 	}
 	return notes
 }
 
+// sleep waits for a time. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -77,25 +79,25 @@
 	}
 }
 
-// begin starts a fault and says what was done.
-func (c *Cluster) begin(ctx context.Context, fault Fault) string {
-	engine := c.Engines[victim]
+// beginFault starts a fault and returns a note on what was done.
+func (c *Cluster) beginFault(ctx context.Context, fault Fault) string {
+	engine := c.Engines[faultyEngine]
 	switch fault {
 	case EngineCrash:
 		engine.Crash()
-		return victim + " crashed"
+		return faultyEngine + " crashed"
 	case EngineSlow:
 		engine.SetFaults(standin.EngineFaults{Slow: 4})
-		return victim + " became four times as slow"
+		return faultyEngine + " became four times as slow"
 	case EngineDrop:
 		engine.SetFaults(standin.EngineFaults{DropAfterReading: true})
 		c.Services["booking"].SetFaults(standin.ServiceFaults{DropAfterReading: true})
-		return victim + " and booking dropped connections after reading"
+		return faultyEngine + " and booking dropped connections after reading"
 	case PlatformDown:
 		c.Platform.SetFaults(standin.PlatformFaults{Down: true})
 		return "the platform went down"
 	case PlatformSlow:
-		c.Platform.SetFaults(standin.PlatformFaults{Slow: slowPlatform})
+		c.Platform.SetFaults(standin.PlatformFaults{Slow: slowPlatformDelay})
 		return "the platform became slow"
 	case AnswerLost:
 		c.Platform.SetFaults(standin.PlatformFaults{LoseAnswers: true})
@@ -104,27 +106,27 @@
 		c.Kill(c.Hosts()[c.Config.Hosts-1])
 		return "the last host was killed"
 	case HostDrain:
-		cut, err := c.Drain(context.WithoutCancel(ctx), c.Hosts()[c.Config.Hosts-1])
+		aborted, err := c.Drain(context.WithoutCancel(ctx), c.Hosts()[c.Config.Hosts-1])
 		if err != nil {
 			return "the last host's planned stop failed: " + err.Error()
 		}
-		return fmt.Sprintf("the last host stopped as planned and cut %d requests", cut)
+		return fmt.Sprintf("the last host stopped as planned and cut %d requests", aborted)
 	case EndpointOut:
-		if err := c.SetEndpointState(victim, settings.StateOut); err != nil {
+		if err := c.SetEndpointState(faultyEngine, settings.StateOut); err != nil {
 			return "the change failed: " + err.Error()
 		}
-		return victim + " was taken out of use"
+		return faultyEngine + " was taken out of use"
 	}
 	return ""
 }
 
-// end ends a fault that passes; others last.
-func (c *Cluster) end(fault Fault) error {
+// endFault ends a temporary fault. Killed or drained hosts and endpoints out of use stay so.
+func (c *Cluster) endFault(fault Fault) error {
 	switch fault {
 	case EngineCrash:
-		return c.Engines[victim].Start("")
+		return c.Engines[faultyEngine].Start("")
 	case EngineSlow, EngineDrop:
-		c.Engines[victim].SetFaults(standin.EngineFaults{})
+		c.Engines[faultyEngine].SetFaults(standin.EngineFaults{})
 		c.Services["booking"].SetFaults(standin.ServiceFaults{})
 	case PlatformDown, PlatformSlow, AnswerLost:
 		c.Platform.SetFaults(standin.PlatformFaults{})
--- a/internal/proof/demo/invariants.go
+++ b/internal/proof/demo/invariants.go
@@ -8,8 +8,7 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// check is one promise of the brief, checked on the samples and on what the
-// stand-ins saw.
+// check is an invariant that is checked on the samples and on the records of the stand-ins.
 type check struct {
 	name string
 	find func(c *Cluster, r *Report) []string
@@ -18,16 +17,16 @@
 var checks = []check{
 	{"own-and-whole-answer", findWrongAnswers},
 	{"not-run-is-true", findFalseNotRun},
-	{"at-most-once", findRepeated},
-	{"every-class-served", findStarved},
-	{"refusals-have-reasons", findUnexplained},
-	{"leaving-endpoint-gets-no-new-work", findLateWork},
-	{"planned-stop-cuts-nothing", findCut},
-	{"settings-never-go-back", findOlderSettings},
+	{"at-most-once", findRepeatedRuns},
+	{"every-class-served", findUnservedClasses},
+	{"refusals-have-reasons", findRefusalsWithoutReason},
+	{"leaving-endpoint-gets-no-new-work", findWorkAfterRemoval},
+	{"planned-stop-cuts-nothing", findAbortedRequests},
+	{"settings-never-go-back", findSettingsRollbacks},
 }
 
-// verify runs all checks and books the violations.
-func (r *Report) verify(c *Cluster) {
+// runChecks runs all checks and records the violations.
+func (r *Report) runChecks(c *Cluster) {
 	for _, check := range checks {
 		r.Checked = append(r.Checked, check.name)
 		for _, found := range check.find(c, r) {
@@ -46,7 +45,7 @@
 	return found
 }
 
-// executions adds up how often each request was begun anywhere.
+// executions returns the number of times that each request was started at any endpoint.
 func (c *Cluster) executions() map[string]int {
 	total := make(map[string]int)
 	for _, engine := range c.Engines {
@@ -73,7 +72,7 @@
 	return found
 }
 
-func findRepeated(c *Cluster, r *Report) []string {
+func findRepeatedRuns(c *Cluster, r *Report) []string {
 	executions := c.executions()
 	var found []string
 	for _, s := range r.Samples {
@@ -85,21 +84,21 @@
 	return found
 }
 
-// enoughSent is how many requests a class must have sent before it counts as
-// starved.
-const enoughSent = 3
+// minSentToCheck is the minimum number of requests that a class must have sent for the check that it was
+// served.
+const minSentToCheck = 3
 
-func findStarved(_ *Cluster, r *Report) []string {
+func findUnservedClasses(_ *Cluster, r *Report) []string {
 	var found []string
 	for _, row := range r.Classes {
-		if row.Sent >= enoughSent && row.Answered == 0 {
+		if row.Sent >= minSentToCheck && row.Answered == 0 {
 			found = append(found, fmt.Sprintf("%s: none of %d requests was answered", row.Class, row.Sent))
 		}
 	}
 	return found
 }
 
-func findUnexplained(_ *Cluster, r *Report) []string {
+func findRefusalsWithoutReason(_ *Cluster, r *Report) []string {
 	var found []string
 	for _, s := range r.Samples {
 		if s.Status >= 400 && s.Reason == "" {
@@ -109,43 +108,43 @@
 	return found
 }
 
-// outTime is how long an endpoint may still get work after it was taken out of use.
-const outTime = 2 * time.Second
+// maxRemovalDelay is the time for which an endpoint may still receive requests after it was taken out of use.
+const maxRemovalDelay = 2 * time.Second
 
-func findLateWork(c *Cluster, _ *Report) []string {
+func findWorkAfterRemoval(c *Cluster, _ *Report) []string {
 	var found []string
 	for endpoint, since := range c.outSince {
-		if late := c.Engines[endpoint].LastBegun().Sub(since); late > outTime {
+		if late := c.Engines[endpoint].LastBegun().Sub(since); late > maxRemovalDelay {
 			found = append(found, fmt.Sprintf("%s began a request %s after it was taken out of use", endpoint, late))
 		}
 	}
 	return found
 }
 
-func findCut(c *Cluster, _ *Report) []string {
-	if c.cut == 0 {
+func findAbortedRequests(c *Cluster, _ *Report) []string {
+	if c.abortedRequests == 0 {
 		return nil
 	}
-	return []string{fmt.Sprintf("%d requests were cut", c.cut)}
+	return []string{fmt.Sprintf("%d requests were cut", c.abortedRequests)}
 }
 
-func findOlderSettings(_ *Cluster, r *Report) []string { return r.older }
+func findSettingsRollbacks(_ *Cluster, r *Report) []string { return r.settingsRollbacks }
 
-// watchRevisions samples the revision in force on each host until ctx ends, and
-// returns the cases in which it went down.
+// watchRevisions polls the settings revision in force on each host until ctx ends, and returns the cases in which
+// it decreased.
 func watchRevisions(ctx context.Context, c *Cluster) []string {
-	var older []string
+	var rollbacks []string
 	seen := make(map[string]uint64)
-	for sleep(ctx, revisionPoll) {
+	for sleep(ctx, revisionPollInterval) {
 		for _, host := range c.Hosts() {
 			now := host.Daemon.Revision()
 			if now < seen[host.Name] {
-				older = append(older, fmt.Sprintf("%s went from revision %d to %d", host.Name, seen[host.Name], now))
+				rollbacks = append(rollbacks, fmt.Sprintf("%s went from revision %d to %d", host.Name, seen[host.Name], now))
 			}
 			seen[host.Name] = now
 		}
 	}
-	return older
+	return rollbacks
 }
 
-const revisionPoll = 20 * time.Millisecond
+const revisionPollInterval = 20 * time.Millisecond
--- a/internal/proof/demo/load.go
+++ b/internal/proof/demo/load.go
@@ -23,13 +23,13 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// Source is one class's part of the load.
+// Source is a stream of requests of one class.
 type Source struct {
 	Class     string
 	Workspace string
-	// Rate is the mean number of requests a second.
+	// Rate is the mean number of requests per second.
 	Rate float64
-	// Model is set for chat requests; Service and Path for calls.
+	// Model is set for chat requests; Service, Method and Path are set for calls of a service.
 	Model   string
 	Service string
 	Method  string
@@ -37,12 +37,12 @@
 	Stream  bool
 	// Keyed sends an idempotency key with each request.
 	Keyed bool
-	// PromptWords and AnswerTokens are means.
+	// PromptWords and AnswerTokens are mean lengths.
 	PromptWords  int
 	AnswerTokens int
 }
 
-// DefaultSources is a mixed load of both users' classes.
+// DefaultSources is a mixed load of both users' request classes.
 var DefaultSources = []Source{
 	{Class: "skipper-question", Workspace: "towpath-hire", Rate: 6, Model: "voyage", Stream: true, PromptWords: 30, AnswerTokens: 30},
 	{Class: "itinerary", Workspace: "prairie-boats", Rate: 3, Model: "voyage", Stream: true, PromptWords: 300, AnswerTokens: 90},
@@ -54,18 +54,18 @@
 	{Class: "issue-fetch", Workspace: "harbour-bank", Rate: 4, Service: "tracker", Method: http.MethodGet, Path: "/issues/12"},
 }
 
-// Sample is what became of one request.
+// Sample is the outcome of one request as seen by its caller.
 type Sample struct {
 	Source Source
 	ID     string
 	Status int
-	// Answered is set if the whole answer came and was right.
+	// Answered is set if the answer was complete and correct.
 	Answered bool
-	// Wrong is what was wrong with an answer that claimed to be whole.
+	// Wrong describes the error in an answer that ended as complete.
 	Wrong  string
 	Reason request.Reason
 	Ran    request.Ran
-	// Broken is set if the answer broke off and the caller could tell.
+	// Broken is set if there was no answer, or if it visibly broke off.
 	Broken     bool
 	Begun      time.Time
 	FirstToken time.Duration
@@ -74,34 +74,33 @@
 	Host       *Host
 }
 
-// load sends the sources' requests for a time and collects the samples.
+// load sends the requests of all sources and collects their samples.
 type load struct {
-	cluster *Cluster
-	client  *http.Client
-	mu      sync.Mutex
-	samples []Sample
-	waiting sync.WaitGroup
+	cluster  *Cluster
+	client   *http.Client
+	mu       sync.Mutex
+	samples  []Sample
+	inFlight sync.WaitGroup
 }
 
 func newLoad(c *Cluster) *load {
 	return &load{cluster: c, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}}
 }
 
-// run sends every source's requests until ctx ends, and waits for the answers.
+// run sends the requests of every source until ctx ends, and waits for the answers.
 func (l *load) run(ctx context.Context, seed uint64, sources []Source) []Sample {
 	var senders sync.WaitGroup
 	for i, source := range sources {
-		senders.Go(func() { l.send(ctx, rand.New(rand.NewPCG(seed, uint64(i))), source) })
+		senders.Go(func() { l.sendFrom(ctx, rand.New(rand.NewPCG(seed, uint64(i))), source) })
 	}
 	senders.Wait()
-	l.waiting.Wait()
+	l.inFlight.Wait()
 	l.client.CloseIdleConnections()
 	return l.samples
 }
 
-// send begins requests at random times, whether earlier ones were answered or
-// not.
-func (l *load) send(ctx context.Context, random *rand.Rand, source Source) {
+// sendFrom sends the requests of a source at random times, independently of the answers to earlier ones.
+func (l *load) sendFrom(ctx context.Context, random *rand.Rand, source Source) {
 	for n := 0; ; n++ {
 		gap := time.Duration(random.ExpFloat64() / source.Rate * float64(time.Second))
 		select {
@@ -109,9 +108,9 @@
 		case <-ctx.Done():
 			return
 		}
-		body := source.body(random, n)
-		l.waiting.Go(func() {
-			sample := l.one(source, body)
+		body := source.newBody(random, n)
+		l.inFlight.Go(func() {
+			sample := l.sendRequest(source, body)
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			l.samples = append(l.samples, sample)
@@ -119,7 +118,7 @@
 	}
 }
 
-// chatBody is a chat request of the load.
+// chatBody is the body of a chat request.
 type chatBody struct {
 	Model    string        `json:"model"`
 	Stream   bool          `json:"stream"`
@@ -131,16 +130,17 @@
 	Content string `json:"content"`
 }
 
-// body makes the request's body and the text that its answer must have.
-type body struct {
-	data []byte
-	want string
+// requestBody is the body of a request and the text that its answer must have.
+type requestBody struct {
+	data       []byte
+	wantAnswer string
 }
 
-func (s Source) body(random *rand.Rand, n int) body {
+// newBody makes the n-th body of a source, with random contents.
+func (s Source) newBody(random *rand.Rand, n int) requestBody {
 	if s.Model == "" {
 		text := fmt.Sprintf("%s %d %d", s.Class, n, random.Uint64())
-		return body{data: []byte(text), want: s.Method + " " + s.Path + "\n" + text}
+		return requestBody{data: []byte(text), wantAnswer: s.Method + " " + s.Path + "\n" + text}
 	}
 	words := 1 + int(random.ExpFloat64()*float64(s.PromptWords))
 	answer := min(1+int(random.ExpFloat64()*float64(s.AnswerTokens)), 400)
@@ -150,11 +150,11 @@
 	if err != nil {
 		panic(err) // Plain structs always marshal.
 	}
-	return body{data: data, want: standin.Answer([]byte(gjson.GetBytes(data, "messages").Raw), answer)}
+	return requestBody{data: data, wantAnswer: standin.Answer([]byte(gjson.GetBytes(data, "messages").Raw), answer)}
 }
 
-// one sends one request and checks its answer.
-func (l *load) one(source Source, b body) Sample {
+// sendRequest sends a request to the next ready host and checks the answer.
+func (l *load) sendRequest(source Source, b requestBody) Sample {
 	sample := Sample{Source: source, Begun: time.Now()}
 	host, ok := l.cluster.Pick()
 	if !ok {
@@ -162,7 +162,7 @@
 		return sample
 	}
 	sample.Host = host
-	response, err := l.client.Do(source.request(host.Daemon.CallersAddress(), b.data))
+	response, err := l.client.Do(source.newRequest(host.Daemon.CallersAddress(), b.data))
 	if err != nil {
 		sample.Broken = true
 		return sample
@@ -171,7 +171,7 @@
 	sample.ID = response.Header.Get("X-Request-Id")
 	sample.Status = response.StatusCode
 	if response.StatusCode != http.StatusOK {
-		sample.refused(response)
+		sample.readRefusal(response)
 		return sample
 	}
 	var text string
@@ -184,15 +184,16 @@
 	switch {
 	case err != nil:
 		sample.Broken = true
-	case text != b.want:
-		sample.Wrong = fmt.Sprintf("got %d bytes, wanted %d", len(text), len(b.want))
+	case text != b.wantAnswer:
+		sample.Wrong = fmt.Sprintf("got %d bytes, wanted %d", len(text), len(b.wantAnswer))
 	default:
 		sample.Answered = true
 	}
 	return sample
 }
 
-func (s Source) request(address string, data []byte) *http.Request {
+// newRequest makes the HTTP request for a body.
+func (s Source) newRequest(address string, data []byte) *http.Request {
 	method, path := http.MethodPost, "/v1/chat/completions"
 	if s.Service != "" {
 		method, path = s.Method, "/v1/services/"+s.Service+s.Path
@@ -211,7 +212,8 @@
 	return r
 }
 
-func (s *Sample) refused(response *http.Response) {
+// readRefusal reads the reason of a refusal, and whether the request may have run, from the response's body.
+func (s *Sample) readRefusal(response *http.Response) {
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
 		s.Broken = true
@@ -221,8 +223,9 @@
 	s.Ran = request.Ran(gjson.GetBytes(data, "error.ran").Str)
 }
 
-var errNoEnd = errors.New("no end mark")
+var errNoEndMark = errors.New("stream ended without its end marker")
 
+// readStream reads a streamed answer and returns its text. An error event or a missing end marker is an error.
 func (s *Sample) readStream(r io.Reader) (string, error) {
 	var text strings.Builder
 	for event, err := range sse.Read(r, nil) {
@@ -235,7 +238,7 @@
 		if fault := gjson.Get(event.Data, "error"); fault.Exists() {
 			s.Reason = request.Reason(fault.Get("reason").Str)
 			s.Ran = request.Ran(fault.Get("ran").Str)
-			return "", errNoEnd
+			return "", errNoEndMark
 		}
 		if s.Tokens == 0 {
 			s.FirstToken = time.Since(s.Begun)
@@ -243,9 +246,10 @@
 		s.Tokens++
 		text.WriteString(gjson.Get(event.Data, "choices.0.delta.content").Str)
 	}
-	return "", errNoEnd
+	return "", errNoEndMark
 }
 
+// readWhole reads an answer that is not streamed and returns its text.
 func (s *Sample) readWhole(r io.Reader) (string, error) {
 	data, err := io.ReadAll(r)
 	if err != nil {
@@ -258,9 +262,8 @@
 	return gjson.GetBytes(data, "choices.0.message.content").Str, nil
 }
 
-// attained reports whether the answer met its class's targets as the caller
-// saw it.
-func (s *Sample) attained(policy *settings.Policy) bool {
+// metTargets reports whether the answer met the targets of its class, as measured by the caller.
+func (s *Sample) metTargets(policy *settings.Policy) bool {
 	if !s.Answered {
 		return false
 	}
@@ -277,8 +280,8 @@
 		(s.Whole-s.FirstToken)/time.Duration(s.Tokens-1) <= policy.BetweenTokens
 }
 
-// target is a class's targets in short.
-func target(policy *settings.Policy) string {
+// formatTargets formats the targets of a class for the table.
+func formatTargets(policy *settings.Policy) string {
 	if policy.WholeAnswer > 0 {
 		return "whole " + policy.WholeAnswer.String()
 	}
--- a/internal/proof/demo/report.go
+++ b/internal/proof/demo/report.go
@@ -12,7 +12,7 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// ClassReport is one class's row of the table.
+// ClassReport is the row of one request class in the table.
 type ClassReport struct {
 	Class    string `json:"class"`
 	Tier     int    `json:"tier"`
@@ -22,32 +22,33 @@
 	Broken   int    `json:"broken"`
 	// Refused counts refusals by reason.
 	Refused map[request.Reason]int `json:"refused"`
-	// Attainment is the part of the requests sent that met the target.
+	// Attainment is the fraction of the sent requests that met the target.
 	Attainment float64 `json:"attainment"`
-	// Goodput is tokens a second in answers that met the target.
+	// Goodput is the rate of tokens in answers that met the target.
 	Goodput      float64 `json:"goodput_tokens_per_second"`
 	WastedTokens int     `json:"wasted_tokens"`
 }
 
-// Report is the outcome of a run.
+// Report is the result of a run.
 type Report struct {
-	Seed       uint64         `json:"seed"`
-	Seconds    float64        `json:"seconds"`
-	Faults     []string       `json:"faults"`
-	Classes    []ClassReport  `json:"classes"`
-	Checked    []string       `json:"invariants_checked"`
-	Violations []string       `json:"violations"`
-	Generated  int            `json:"generated_tokens"`
-	Wasted     map[string]int `json:"wasted_tokens_by_cause"`
-	Retries    map[string]int `json:"retries_by_reason"`
-	Notes      []string       `json:"notes,omitzero"`
-	Samples    []Sample       `json:"-"`
-	Length     time.Duration  `json:"-"`
-	older      []string
-	index      map[string]int
+	Seed              uint64         `json:"seed"`
+	Seconds           float64        `json:"seconds"`
+	Faults            []string       `json:"faults"`
+	Classes           []ClassReport  `json:"classes"`
+	Checked           []string       `json:"invariants_checked"`
+	Violations        []string       `json:"violations"`
+	Generated         int            `json:"generated_tokens"`
+	Wasted            map[string]int `json:"wasted_tokens_by_cause"`
+	Retries           map[string]int `json:"retries_by_reason"`
+	Notes             []string       `json:"notes,omitzero"`
+	Samples           []Sample       `json:"-"`
+	Length            time.Duration  `json:"-"`
+	settingsRollbacks []string
+	index             map[string]int
 }
 
-func (r *Report) class(name string) *ClassReport {
+// classRow returns the row of a class and adds it if needed.
+func (r *Report) classRow(name string) *ClassReport {
 	i, ok := r.index[name]
 	if !ok {
 		i = len(r.Classes)
@@ -57,13 +58,13 @@
 	return &r.Classes[i]
 }
 
-// newReport counts the samples class by class.
+// newReport makes a report of the samples, with a row for each class.
 func newReport(c *Cluster, samples []Sample, length time.Duration) *Report {
 	r := &Report{Samples: samples, Length: length, Seconds: length.Seconds(), index: make(map[string]int)}
 	for _, source := range DefaultSources {
-		row := r.class(source.Class)
+		row := r.classRow(source.Class)
 		policy, _ := c.Tree.Effective(source.Workspace, source.Class)
-		row.Tier, row.Target = policy.Tier, target(&policy)
+		row.Tier, row.Target = policy.Tier, formatTargets(&policy)
 		attained, good := 0, 0
 		for i := range samples {
 			s := &samples[i]
@@ -80,7 +81,7 @@
 			case s.Reason != "":
 				row.Refused[s.Reason]++
 			}
-			if s.attained(&policy) {
+			if s.metTargets(&policy) {
 				attained++
 				good += s.Tokens
 			}
@@ -94,17 +95,17 @@
 	return r
 }
 
-// Print writes the table and the invariants.
+// Print writes the table, the totals, the notes on injected faults and the violated invariants.
 func (r *Report) Print(w io.Writer) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "class\ttier\ttarget\tsent\tanswered\tbroken\trefused\tattained\tgoodput tok/s\twasted tok")
 	for _, row := range r.Classes {
 		fmt.Fprintf(table, "%s\t%d\t%s\t%d\t%d\t%d\t%s\t%.1f%%\t%.1f\t%d\n", row.Class, row.Tier, row.Target, row.Sent,
-			row.Answered, row.Broken, reasons(row.Refused), 100*row.Attainment, row.Goodput, row.WastedTokens)
+			row.Answered, row.Broken, formatReasons(row.Refused), 100*row.Attainment, row.Goodput, row.WastedTokens)
 	}
-	// The writer is a terminal or a buffer; an error here has no one to go to.
+	// The writer is a terminal or a buffer, so a write error can't be reported anywhere.
 	_ = table.Flush()
-	fmt.Fprintf(w, "\ntokens generated %d, wasted by cause %s, retries %s\n", r.Generated, counts(r.Wasted), counts(r.Retries))
+	fmt.Fprintf(w, "\ntokens generated %d, wasted by cause %s, retries %s\n", r.Generated, formatCounts(r.Wasted), formatCounts(r.Retries))
 	for _, note := range r.Notes {
 		fmt.Fprintln(w, note)
 	}
@@ -114,7 +115,7 @@
 	}
 }
 
-func reasons(refused map[request.Reason]int) string {
+func formatReasons(refused map[request.Reason]int) string {
 	if len(refused) == 0 {
 		return "0"
 	}
@@ -125,7 +126,7 @@
 	return strings.Join(list, ", ")
 }
 
-func counts(m map[string]int) string {
+func formatCounts(m map[string]int) string {
 	var list []string
 	for _, name := range slices.Sorted(maps.Keys(m)) {
 		if m[name] > 0 {
--- a/internal/proof/demo/run.go
+++ b/internal/proof/demo/run.go
@@ -10,50 +10,49 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// Plan is what a demonstration does.
+// Plan describes a run: its length, load and faults.
 type Plan struct {
 	Seconds int
 	Seed    uint64
 	Faults  []Fault
 	Sources []Source
-	// Progress gets a line a second.
+	// Progress receives a line per second.
 	Progress io.Writer
 }
 
-// Run sends the plan's load to a cluster, injects its faults a third of the way
-// in, and reports.
+// Run sends the plan's load to a cluster, injects its faults after a third of the time, and reports the result.
 func Run(ctx context.Context, c *Cluster, plan Plan) (*Report, error) {
 	if len(plan.Sources) == 0 {
 		plan.Sources = DefaultSources
 	}
 	length := time.Duration(plan.Seconds) * time.Second
-	begun := time.Now()
+	startedAt := time.Now()
 	loadCtx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	l := newLoad(c)
 	injected := make(chan []string, 1)
-	go func() { injected <- inject(loadCtx, c, plan.Faults, length) }()
+	go func() { injected <- injectFaults(loadCtx, c, plan.Faults, length) }()
 	shown := make(chan struct{})
-	go l.progress(loadCtx, plan.Progress, shown)
+	go l.printProgress(loadCtx, plan.Progress, shown)
 	watched := make(chan []string, 1)
 	go func() { watched <- watchRevisions(loadCtx, c) }()
 	samples := l.run(loadCtx, plan.Seed, plan.Sources)
 	<-shown
 	notes := <-injected
-	r := newReport(c, samples, time.Since(begun))
+	r := newReport(c, samples, time.Since(startedAt))
 	r.Seed = plan.Seed
 	r.Notes = notes
-	r.older = <-watched
+	r.settingsRollbacks = <-watched
 	for _, fault := range plan.Faults {
 		r.Faults = append(r.Faults, string(fault))
 	}
-	r.count(c)
-	r.verify(c)
+	r.addCounters(c)
+	r.runChecks(c)
 	return r, nil
 }
 
-// progress writes a line a second until ctx ends.
-func (l *load) progress(ctx context.Context, w io.Writer, shown chan struct{}) {
+// printProgress writes a line per second until ctx ends, then closes shown.
+func (l *load) printProgress(ctx context.Context, w io.Writer, shown chan struct{}) {
 	defer close(shown)
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -70,8 +69,8 @@
 	}
 }
 
-// count adds up the daemons' counters.
-func (r *Report) count(c *Cluster) {
+// addCounters adds up the counters of all engines and daemons.
+func (r *Report) addCounters(c *Cluster) {
 	r.Wasted = make(map[string]int)
 	r.Retries = make(map[string]int)
 	for _, engine := range c.Engines {
--- a/internal/proof/demo/serve.go
+++ b/internal/proof/demo/serve.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// PrintAddresses prints how to reach a cluster, with a command that works.
+// PrintAddresses prints the addresses and keys of a cluster, and a curl command that sends a request to it.
 func PrintAddresses(w io.Writer, c *Cluster) {
 	hosts := c.Hosts()
 	for i, host := range hosts {
