--- a/internal/proof/decisions/decisions_test.go
+++ b/internal/proof/decisions/decisions_test.go
@@ -1,4 +1,4 @@
-// Package decisions holds docs/decisions.md to the code.
+// Package decisions checks that docs/decisions.md agrees with the code.
 package decisions
 
 import (
@@ -15,8 +15,8 @@
 	"oxbowslip.dev/oxbowslip/internal/proof/sources"
 )
 
-// packages are those whose rules and constants the page lists, by name. The packages in
-// complete have all of their constants on it.
+// packages maps the names of the packages whose rules the page describes to their folders. The page must list all
+// of their constants.
 var packages = map[string]string{
 	"admission": "internal/admission", "request": "internal/request", "owner": "internal/owner", "retrybudget": "internal/retrybudget",
 	"front": "internal/front", "placement": "internal/front/placement", "relay": "internal/front/relay", "gossip": "internal/front/gossip",
@@ -25,16 +25,17 @@
 	"reporter": "internal/front/reporter", "capacity": "internal/front/capacity", "scaler": "internal/front/scaler", "poison": "internal/front/poison", "pushback": "internal/front/pushback", "ratelimit": "internal/front/ratelimit", "clock": "internal/clock", "schedule": "internal/daemon/schedule",
 }
 
-// declared is what the source of a package declares.
-type declared struct {
-	// names are functions, methods as Type.Method, types, constants and variables.
+// declarations are the top-level declarations of a package.
+type declarations struct {
+	// names are the names of functions, methods (as Type.Method), constants and variables.
 	names map[string]bool
-	// figures are the constants and variables with a number, and the back-offs.
-	figures map[string]bool
+	// numericValues are the names of numeric constants and of variables that hold a back-off.
+	numericValues map[string]bool
 }
 
-func parse(c *qt.C, folder string) *declared {
-	d := &declared{names: make(map[string]bool), figures: make(map[string]bool)}
+// parse collects the declarations of the package in a folder, without its tests.
+func parse(c *qt.C, folder string) *declarations {
+	d := &declarations{names: make(map[string]bool), numericValues: make(map[string]bool)}
 	paths, err := filepath.Glob(filepath.Join(sources.Root(c), folder, "*.go"))
 	c.Assert(err, qt.IsNil)
 	for _, path := range paths {
@@ -50,10 +51,10 @@
 	return d
 }
 
-func (d *declared) add(declaration ast.Decl) {
+func (d *declarations) add(declaration ast.Decl) {
 	switch declaration := declaration.(type) {
 	case *ast.FuncDecl:
-		d.names[receiver(declaration)+declaration.Name.Name] = true
+		d.names[receiverPrefix(declaration)+declaration.Name.Name] = true
 	case *ast.GenDecl:
 		for _, spec := range declaration.Specs {
 			if values, ok := spec.(*ast.ValueSpec); ok {
@@ -63,18 +64,19 @@
 	}
 }
 
-func (d *declared) addValues(kind token.Token, spec *ast.ValueSpec) {
+func (d *declarations) addValues(kind token.Token, spec *ast.ValueSpec) {
 	for i, name := range spec.Names {
 		d.names[name.Name] = true
-		// A typed constant is one of an enumeration.
-		if i < len(spec.Values) && (kind == token.VAR || spec.Type == nil) && isFigure(kind, spec.Values[i]) {
-			d.figures[name.Name] = true
+		// Typed constants are left out because they belong to enumerations.
+		if i < len(spec.Values) && (kind == token.VAR || spec.Type == nil) && isNumeric(kind, spec.Values[i]) {
+			d.numericValues[name.Name] = true
 		}
 	}
 }
 
-// isFigure reports whether a value is a number or is computed from one, or a back-off.
-func isFigure(kind token.Token, value ast.Expr) bool {
+// isNumeric reports whether a declaration is a constant whose value is a number or is computed, or has a back-off as
+// its value.
+func isNumeric(kind token.Token, value ast.Expr) bool {
 	switch value := value.(type) {
 	case *ast.BasicLit:
 		return kind == token.CONST && value.Kind != token.STRING
@@ -87,8 +89,8 @@
 	return false
 }
 
-// receiver returns "Type." for a method, and nothing for a function.
-func receiver(f *ast.FuncDecl) string {
+// receiverPrefix returns "Type." for a method and "" for a function.
+func receiverPrefix(f *ast.FuncDecl) string {
 	if f.Recv == nil {
 		return ""
 	}
@@ -103,41 +105,41 @@
 }
 
 var (
-	quoted    = regexp.MustCompile("`([^`]+)`")
-	qualified = regexp.MustCompile(`^([a-z]+)\.([A-Za-z]+(?:\.[A-Za-z]+)?)$`)
-	testName  = regexp.MustCompile(`^Test\w+$`)
+	codeSpan      = regexp.MustCompile("`([^`]+)`")
+	qualifiedName = regexp.MustCompile(`^([a-z]+)\.([A-Za-z]+(?:\.[A-Za-z]+)?)$`)
+	testName      = regexp.MustCompile(`^Test\w+$`)
 )
 
-// TestDecisions checks that every function, constant and test that the page names exists, and
-// that it names every constant of the packages.
+// TestDecisions checks that every function, constant and test named on the page exists, and that the page lists
+// every numeric constant of the packages.
 func TestDecisions(t *testing.T) {
 	c := qt.New(t)
-	declarations := make(map[string]*declared)
+	byPackage := make(map[string]*declarations)
 	for name, folder := range packages {
-		declarations[name] = parse(c, folder)
+		byPackage[name] = parse(c, folder)
 	}
 	tests := testNames(t)
 	listed := make(map[string]bool)
-	for _, match := range quoted.FindAllStringSubmatch(sources.Read(t, "docs/decisions.md"), -1) {
+	for _, match := range codeSpan.FindAllStringSubmatch(sources.Read(t, "docs/decisions.md"), -1) {
 		text := match[1]
 		listed[text] = true
 		if testName.MatchString(text) {
-			c.Check(tests[text], qt.IsTrue, qt.Commentf("there is no test %s", text))
+			c.Check(tests[text], qt.IsTrue, qt.Commentf("the page names test %s, which does not exist", text))
 		}
-		name := qualified.FindStringSubmatch(text)
-		if name == nil || declarations[name[1]] == nil || name[2] == "Rules" {
+		name := qualifiedName.FindStringSubmatch(text)
+		if name == nil || byPackage[name[1]] == nil || name[2] == "Rules" {
 			continue
 		}
-		c.Check(declarations[name[1]].names[name[2]], qt.IsTrue, qt.Commentf("there is no %s", text))
+		c.Check(byPackage[name[1]].names[name[2]], qt.IsTrue, qt.Commentf("the page names %s, which does not exist", text))
 	}
-	for name, source := range declarations {
-		for figure := range source.figures {
-			c.Check(listed[name+"."+figure], qt.IsTrue, qt.Commentf("the page lacks %s.%s", name, figure))
+	for name, source := range byPackage {
+		for constant := range source.numericValues {
+			c.Check(listed[name+"."+constant], qt.IsTrue, qt.Commentf("the page does not list %s.%s", name, constant))
 		}
 	}
 }
 
-// testNames returns the names of all tests.
+// testNames returns the names of all tests in the repository.
 func testNames(t *testing.T) map[string]bool {
 	names := make(map[string]bool)
 	declaration := regexp.MustCompile(`(?m)^func (Test\w+)\(`)
--- a/internal/proof/golden/golden.go
+++ b/internal/proof/golden/golden.go
@@ -1,7 +1,6 @@
-// Package golden compares what the software writes with files that earlier versions
-// wrote: messages between hosts, stored rows, JSON answers, metrics. These forms must
-// not change, because hosts of different versions run side by side and saved data has to
-// stay readable. Only tests import this package.
+// Package golden compares encoded data with golden files written by earlier versions: messages between hosts,
+// stored rows, JSON answers and metrics. Their formats must not change, because hosts of different versions run
+// side by side and stored data must stay readable. Only tests import this package.
 package golden
 
 import (
@@ -25,20 +24,19 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// update rewrites the files instead of comparing. It is for adding a case; a change to an
-// existing file means that older versions no longer understand this one.
+// update rewrites the files instead of comparing with them. It is for adding a case. A changed file means that
+// older versions can't read the data of this one.
 var update = flag.Bool("golden.update", false, "write the golden files instead of comparing with them")
 
-// lineBytes is the number of bytes on one line of a file of hex, chosen so that
-// a line fits an 80-column diff.
-const lineBytes = 32
+// bytesPerLine is the number of bytes on a line of a hex file. A line fits into an 80-column diff.
+const bytesPerLine = 32
 
 // Text compares text with the file testdata/golden/NAME of the calling package.
 func Text(t testing.TB, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
 	if *update {
-		write(t, path, got)
+		writeFile(t, path, got)
 		return
 	}
 	want, err := os.ReadFile(path)
@@ -46,12 +44,12 @@
 		t.Fatalf("golden file: %v", err)
 	}
 	if got != string(want) {
-		t.Errorf("%s: the encoded form has changed\ngot:\n%s\nwant:\n%s", path, got, want)
+		t.Errorf("%s: the encoding has changed\ngot:\n%s\nwant:\n%s", path, got, want)
 	}
 }
 
-// compareHex compares binary data with the file testdata/golden/NAME, which holds it in hex,
-// and returns the data of the file.
+// compareHex compares binary data with the file testdata/golden/NAME, which contains it in hex, and returns the
+// file's data.
 func compareHex(t testing.TB, name string, got []byte) []byte {
 	t.Helper()
 	Text(t, name, toHex(got))
@@ -66,10 +64,11 @@
 	return want
 }
 
+// toHex encodes data in lines of bytesPerLine bytes.
 func toHex(data []byte) string {
 	var text strings.Builder
 	for len(data) > 0 {
-		n := min(lineBytes, len(data))
+		n := min(bytesPerLine, len(data))
 		text.WriteString(hex.EncodeToString(data[:n]))
 		text.WriteByte('\n')
 		data = data[n:]
@@ -77,7 +76,7 @@
 	return text.String()
 }
 
-func write(t testing.TB, path, text string) {
+func writeFile(t testing.TB, path, text string) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatal(err)
@@ -87,8 +86,8 @@
 	}
 }
 
-// Message compares the encoded form of a message between hosts, given as a pointer, with the file
-// testdata/golden/NAME.cbor.hex, and checks that the file decodes into the same message.
+// Message compares the encoding of a message between hosts, given as a pointer, with the file
+// testdata/golden/NAME.cbor.hex, and checks that the file decodes into an equal message.
 func Message(t testing.TB, name string, message any) {
 	t.Helper()
 	data, err := cbor.Marshal(message)
@@ -105,8 +104,8 @@
 	}
 }
 
-// Refusals compares the status, headers and body of each refusal, as an interface for callers
-// writes them for the request "id-1", with the file testdata/golden/refusals.txt.
+// Refusals compares the status, headers and body that an interface for callers writes for each refusal of the
+// request "id-1" with the file testdata/golden/refusals.txt.
 func Refusals(t testing.TB, write func(w http.ResponseWriter, refusal *request.Refusal)) {
 	t.Helper()
 	var text strings.Builder
@@ -126,8 +125,8 @@
 	Text(t, "refusals.txt", text.String())
 }
 
-// SchemaFields lists the names of all properties in a JSON Schema, so that a test can
-// check that its example sets each of them.
+// SchemaFields returns the sorted names of all properties in a JSON Schema, so that a test can check that its
+// example sets each of them.
 func SchemaFields(t testing.TB, schema []byte) []string {
 	t.Helper()
 	var document any
@@ -140,8 +139,7 @@
 	return slices.Compact(fields)
 }
 
-// collectFields walks a decoded schema. The keys of each "properties" object are names of
-// fields.
+// collectFields walks a decoded schema and appends the keys of each "properties" object.
 func collectFields(node any, fields *[]string) {
 	switch node := node.(type) {
 	case []any:
@@ -158,8 +156,8 @@
 	}
 }
 
-// Options lists the options and commands of a program from its argument struct, one a line,
-// so that a test can hold them. Help texts are left out.
+// Options returns the options and commands that a program's argument struct declares, one per line, so that a
+// test can compare them with a golden file. Help texts are left out.
 func Options(arguments any) string {
 	var lines []string
 	collectOptions(reflect.TypeOf(arguments), "", &lines)
@@ -167,6 +165,7 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
+// collectOptions appends the fields of an argument struct and of its subcommands, prefixed by the command.
 func collectOptions(t reflect.Type, command string, lines *[]string) {
 	for i := range t.NumField() {
 		field := t.Field(i)
--- a/internal/proof/names/names_test.go
+++ b/internal/proof/names/names_test.go
@@ -1,4 +1,4 @@
-// Package names holds the names of the code to the glossary.
+// Package names checks that names and comments in the code follow the glossary.
 package names
 
 import (
@@ -14,11 +14,11 @@
 	"oxbowslip.dev/oxbowslip/internal/proof/sources"
 )
 
-// withdrawnRow matches a row of the glossary's table of withdrawn words: `word` | instead.
+// withdrawnRow matches a row of the glossary's table of withdrawn words: | `word` | replacement |.
 var withdrawnRow = regexp.MustCompile("^\\| `([a-z ]+)` \\|")
 
-// withdrawn reads the words that the glossary withdraws.
-func withdrawn(c *qt.C) map[string]bool {
+// readWithdrawnWords reads the withdrawn words from the glossary.
+func readWithdrawnWords(c *qt.C) map[string]bool {
 	_, table, found := strings.Cut(sources.Read(c, "docs/glossary.md"), "## Withdrawn")
 	c.Assert(found, qt.IsTrue)
 	words := make(map[string]bool)
@@ -31,8 +31,9 @@
 	return words
 }
 
-// wordsOf splits names and sentences into lower-case words: "peerWord" has two.
-func wordsOf(text string) []string {
+// splitWords splits names and sentences into lower-case words: "peerWord" gives "peer" and
+// "word".
+func splitWords(text string) []string {
 	var words []string
 	var word strings.Builder
 	flush := func() {
@@ -55,14 +56,14 @@
 	return words
 }
 
-// TestWithdrawnWords fails on a name or comment, in tests too, that uses a word which the glossary withdraws.
-// Texts in quotes may: they are encoded or printed, and stay as they are.
+// TestWithdrawnWords checks that no name or comment, in tests too, uses a word that the glossary withdraws. String
+// literals are not checked, because they may be encoded or printed and must stay as they are.
 func TestWithdrawnWords(t *testing.T) {
 	c := qt.New(t)
-	words := withdrawn(c)
+	words := readWithdrawnWords(c)
 	for _, folder := range []string{"cmd", "internal", "platform"} {
 		for path, source := range sources.ReadAll(t, folder, ".go") {
-			// This file has the words as examples.
+			// This file uses withdrawn words as examples.
 			if strings.HasSuffix(path, "names_test.go") {
 				continue
 			}
@@ -81,15 +82,15 @@
 		if kind != token.IDENT && kind != token.COMMENT {
 			continue
 		}
-		for _, word := range wordsOf(text) {
+		for _, word := range splitWords(text) {
 			if words[word] {
-				c.Errorf("%s: %q is withdrawn", files.Position(pos), word)
+				c.Errorf("%s: %q is withdrawn by the glossary", files.Position(pos), word)
 			}
 		}
 	}
 }
 
-func TestWordsOf(t *testing.T) {
+func TestSplitWords(t *testing.T) {
 	tests := map[string]struct {
 		text string
 		want []string
@@ -99,6 +100,6 @@
 		"initials":   {"maxIDLength", []string{"max", "idlength"}},
 	}
 	for name, test := range tests {
-		t.Run(name, func(t *testing.T) { qt.Check(t, wordsOf(test.text), qt.DeepEquals, test.want) })
+		t.Run(name, func(t *testing.T) { qt.Check(t, splitWords(test.text), qt.DeepEquals, test.want) })
 	}
 }
--- a/internal/proof/sources/sources.go
+++ b/internal/proof/sources/sources.go
@@ -1,5 +1,5 @@
-// Package sources reads the repository's own files, for tests that hold pages and code to each
-// other. Only tests import this package.
+// Package sources reads the repository's own files, for tests that check that documentation and code agree. Only
+// tests import this package.
 package sources
 
 import (
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Root returns the path of the repository from the folder of the calling test: the nearest folder
-// above it with a go.mod.
+// Root returns the relative path of the repository's root: the nearest folder at or above the calling test's folder
+// that contains a go.mod.
 func Root(t testing.TB) string {
 	t.Helper()
 	for root := "."; ; root = filepath.Join(root, "..") {
@@ -18,12 +18,12 @@
 			return root
 		}
 		if absolute, err := filepath.Abs(root); err != nil || absolute == filepath.Dir(absolute) {
-			t.Fatal("no go.mod above this folder")
+			t.Fatal("no go.mod in the test's folder or above it")
 		}
 	}
 }
 
-// Read returns the text of a file, by its path from the root.
+// Read returns the text of a file, given by its path from the root.
 func Read(t testing.TB, path string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(Root(t), path))
@@ -33,8 +33,8 @@
 	return string(text)
 }
 
-// ReadAll returns the texts of all files below a folder with an extension such as ".go", by path
-// from the root. The folder is a path from the root too.
+// ReadAll returns the texts of all files below a folder that have an extension such as ".go", by path. The paths
+// and the folder are relative to the root.
 func ReadAll(t testing.TB, folder, extension string) map[string]string {
 	t.Helper()
 	root := Root(t)
