--- a/cmd/oxbowslip-demo/main.go
+++ b/cmd/oxbowslip-demo/main.go
@@ -1,8 +1,8 @@
-// Command oxbowslip-demo runs the whole system in one process on loopback and
-// sends it a mixed load.
+// Command oxbowslip-demo runs the whole system in one process on loopback, sends it a mixed load and checks the
+// invariants.
 //
-// It exits with 0 if every invariant held, 1 if one was violated or the run
-// failed, and 2 if its arguments are wrong.
+// It exits with 0 if every invariant held, with 1 if one was violated or the run failed, and with 2 if its
+// arguments are invalid.
 package main
 
 import (
@@ -65,6 +65,7 @@
 	}
 }
 
+// run starts a cluster and sends it the load, or serves until ctx ends. It returns whether every invariant held.
 func run(ctx context.Context, args arguments, faults []demo.Fault) (bool, error) {
 	config := demo.DefaultConfig
 	config.Callers, config.Operators = args.Callers, args.Operators
--- a/cmd/oxbowslip-replay/main.go
+++ b/cmd/oxbowslip-replay/main.go
@@ -1,8 +1,8 @@
-// Command oxbowslip-replay runs traces through the scheduler in virtual time,
-// and generates traces from descriptions.
+// Command oxbowslip-replay replays traces through the scheduler and baseline policies in virtual time, generates
+// traces from descriptions, and makes traces of the requests recorded by a running host.
 //
-// It exits with 0 if every invariant held and every stated outcome was reached,
-// 1 if not, and 2 if its arguments or a file are wrong.
+// It exits with 0 on success, with 1 if an invariant was violated, a stated outcome was missed or a host could
+// not be read, and with 2 if its arguments or a file are invalid.
 package main
 
 import (
@@ -24,7 +24,7 @@
 )
 
 const (
-	exitMissed = 1
+	exitFailed = 1
 	exitUsage  = 2
 )
 
@@ -82,6 +82,8 @@
 	os.Exit(code)
 }
 
+// run replays the traces under the policies and prints the results. Only the results of the current policy decide
+// the exit code.
 func run(command *runCommand) (int, error) {
 	policies := command.Policies
 	if len(policies) == 0 {
@@ -104,7 +106,7 @@
 				return exitUsage, err
 			}
 			if policy == replay.Current && !result.OK() {
-				code = exitMissed
+				code = exitFailed
 			}
 			results = append(results, result)
 		}
@@ -122,7 +124,7 @@
 	return code, nil
 }
 
-// readTrace reads a trace, or generates it if the file is a description.
+// readTrace reads a trace, or generates one if the file is a description.
 func readTrace(path string) (*replay.Trace, error) {
 	if filepath.Ext(path) == ".json" {
 		return generateTrace(path)
@@ -175,23 +177,24 @@
 	return 0, file.Close()
 }
 
+// recordTrace writes a trace of the requests that a host recorded, with the settings in force there.
 func recordTrace(command *recordCommand) (int, error) {
 	ctx := context.Background()
 	client := operator.NewClient(command.From, command.Key)
 	answer, err := client.Settings(ctx)
 	if err != nil {
-		return exitMissed, err
+		return exitFailed, err
 	}
 	tree, err := settings.Decode("the host's settings", answer.Tree)
 	if err != nil {
-		return exitMissed, err
+		return exitFailed, err
 	}
 	entries, err := client.Recorded(ctx, time.Now().Add(-time.Duration(command.Seconds)*time.Second))
 	if err != nil {
-		return exitMissed, err
+		return exitFailed, err
 	}
 	if len(entries) == 0 {
-		return exitMissed, fmt.Errorf("%s has no request of the last %d s", command.From, command.Seconds)
+		return exitFailed, fmt.Errorf("%s has no request of the last %d s", command.From, command.Seconds)
 	}
 	return writeTrace(command.Out, replay.Recorded("recorded", tree, entries))
 }
--- a/cmd/oxbowslip-standin/main.go
+++ b/cmd/oxbowslip-standin/main.go
@@ -1,8 +1,8 @@
-// Command oxbowslip-standin serves a stand-in for one of the systems that the
-// router works with: a model engine, a plain service or the platform.
+// Command oxbowslip-standin serves a stand-in for a system with which the router works: a model engine, a plain
+// service or the platform.
 //
-// It exits with 0 when interrupted, 1 if it can't listen, and 2 if its arguments
-// are wrong.
+// It exits with 0 when interrupted, with 1 if the stand-in can't be started, and with 2 if its arguments are
+// invalid.
 package main
 
 import (
@@ -104,16 +104,18 @@
 	return p.Start(command.Listen)
 }
 
-const hostParts = 3
+// hostFields is the number of fields in a --host argument.
+const hostFields = 3
 
+// parseHosts parses --host arguments of the form NAME=PEERS-ADDR=ZONE.
 func parseHosts(list []string) ([]tableclient.Host, error) {
 	var hosts []tableclient.Host
 	for _, text := range list {
-		parts := strings.Split(text, "=")
-		if len(parts) != hostParts {
-			return nil, fmt.Errorf("--host %q: want NAME=PEERS-ADDR=ZONE", text)
+		fields := strings.Split(text, "=")
+		if len(fields) != hostFields {
+			return nil, fmt.Errorf("--host %q: expected NAME=PEERS-ADDR=ZONE", text)
 		}
-		hosts = append(hosts, tableclient.Host{Name: parts[0], Peers: parts[1], Zone: parts[2], State: tableclient.HostLive})
+		hosts = append(hosts, tableclient.Host{Name: fields[0], Peers: fields[1], Zone: fields[2], State: tableclient.HostLive})
 	}
 	return hosts, nil
 }
--- a/internal/proof/demo/cluster.go
+++ b/internal/proof/demo/cluster.go
@@ -250,7 +250,7 @@
 			select {
 			case <-time.After(readyPollInterval):
 			case <-ctx.Done():
-				return fmt.Errorf("host not ready within the time limit: %s", host.Daemon.Problem())
+				return fmt.Errorf("a host is not ready: %s", host.Daemon.Problem())
 			}
 		}
 	}
