--- a/internal/proof/replay/record.go
+++ b/internal/proof/replay/record.go
@@ -8,9 +8,9 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// Recorded makes a trace from the requests that a host recorded and the settings in force. A request
+// FromRecordedRequests makes a trace from the requests that a host recorded and the settings in force. A request
 // without an answer gets an answer of one token, the shortest that an engine generates. Keys are left out.
-func Recorded(name string, tree *settings.Tree, entries []record.Entry) *Trace {
+func FromRecordedRequests(name string, tree *settings.Tree, entries []record.Entry) *Trace {
 	t := &Trace{Header: Header{Format: Format, Name: name, Seed: 1, Settings: withoutKeys(tree), Engines: DefaultEngines}}
 	entries = slices.Clone(entries)
 	slices.SortStableFunc(entries, func(a, b record.Entry) int { return a.Arrived.Compare(b.Arrived) })
--- a/internal/proof/replay/report.go
+++ b/internal/proof/replay/report.go
@@ -270,11 +270,11 @@
 	}
 	// The writer is a terminal or a buffer, so a write error can't be reported anywhere.
 	_ = table.Flush()
-	Summary(w, results)
+	PrintSummary(w, results)
 }
 
-// Summary writes one line per result, then the missed outcomes and the first violation of each.
-func Summary(w io.Writer, results []*Result) {
+// PrintSummary writes one line per result, then the missed outcomes and the first violation of each.
+func PrintSummary(w io.Writer, results []*Result) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "trace\tpolicy\tattainment by tier weight\tgoodput of capacity\tgenerated of capacity\twasted\tviolations\tmissed")
 	for _, r := range results {
