--- a/internal/proof/demo/change.go
+++ b/internal/proof/demo/change.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	host, ok := c.Pick()
+	host, ok := c.NextReadyHost()
 	if !ok {
 		return merry.New("no host is ready")
 	}
--- a/internal/proof/demo/cluster.go
+++ b/internal/proof/demo/cluster.go
@@ -264,8 +264,8 @@
 	return append([]*Host(nil), c.hosts...)
 }
 
-// Pick returns the ready hosts in turn, as the platform's load balancer would.
-func (c *Cluster) Pick() (*Host, bool) {
+// NextReadyHost returns the ready hosts in turn, as the platform's load balancer would.
+func (c *Cluster) NextReadyHost() (*Host, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for range c.hosts {
