--- a/internal/proof/demo/load.go
+++ b/internal/proof/demo/load.go
@@ -67,9 +67,9 @@
 	Ran    request.Ran
 	// Broken is set if there was no answer, or if it visibly broke off.
 	Broken     bool
-	SentAt      time.Time
+	SentAt     time.Time
 	FirstToken time.Duration
-	TotalTime      time.Duration
+	TotalTime  time.Duration
 	Tokens     int
 	Host       *Host
 }
