--- a/internal/proof/replay/owner.go
+++ b/internal/proof/replay/owner.go
@@ -16,14 +16,14 @@
 
 // startRequest creates a request and submits it to its shard's policy, or to an engine if it bypasses the router.
 // callerRetries is the number of earlier requests of the same call.
-func (sim *simulation) startRequest(now time.Time, event *Event, id string, returns int) {
+func (sim *simulation) startRequest(now time.Time, event *Event, id string, callerRetries int) {
 	policy, ok := sim.trace.Header.Settings.Effective(event.Workspace, event.Class)
 	shard := sim.shards[event.Model]
 	if !ok || shard == nil {
 		sim.recordViolation("trace", "unknown class or model in "+id)
 		return
 	}
-	j := &job{id: id, event: event, policy: policy, shard: shard, arrivedAt: now, callerRetries: returns}
+	j := &job{id: id, event: event, policy: policy, shard: shard, arrivedAt: now, callerRetries: callerRetries}
 	j.lifecycle = request.NewLifecycle(request.Rules{Repeatable: policy.Repeatable, MaxTries: policy.MaxTries})
 	j.request = admission.Request{
 		ID: id, Owner: "replay", Workspace: event.Workspace, Class: event.Class, Tier: policy.Tier, Arrived: now,
