--- a/internal/proof/replay/owner.go
+++ b/internal/proof/replay/owner.go
@@ -287,7 +287,7 @@
 // scheduleRetry submits a request again after its owner's back-off.
 func (sim *simulation) scheduleRetry(j *job) {
 	j.request.Retry = true
-	sim.after(owner.RetryWait(j.lifecycle.Tries(), sim.random.Float64()), func(now time.Time) {
+	sim.after(owner.RetryDelay(j.lifecycle.Tries(), sim.random.Float64()), func(now time.Time) {
 		if j.state != stateWaiting {
 			return
 		}
