--- a/internal/proof/replay/owner.go
+++ b/internal/proof/replay/owner.go
@@ -95,7 +95,7 @@
 // applyDecisions applies a policy's pending decisions and schedules its next tick.
 func (sim *simulation) applyDecisions(now time.Time, s *simulatedShard) {
 	for {
-		decisions := slices.Clone(s.policy.Take())
+		decisions := slices.Clone(s.policy.TakeDecisions())
 		if len(decisions) == 0 {
 			break
 		}
@@ -103,7 +103,7 @@
 			sim.applyDecision(now, s, &decisions[i])
 		}
 	}
-	next := s.policy.Next(now)
+	next := s.policy.NextTick(now)
 	if s.tickDue.After(now) && !next.Before(s.tickDue) {
 		return
 	}
@@ -157,7 +157,7 @@
 		j.grantedAt = now
 	}
 	attempt := j.attempt
-	j.shard.policy.Started(now, j.id)
+	j.shard.policy.RecordStart(now, j.id)
 	sim.after(networkDelay, func(now time.Time) {
 		if j.attempt != attempt || j.state != stateSent {
 			return
@@ -215,7 +215,7 @@
 	if event.Kind == emulator.Last {
 		j.state, j.endedAt = stateAnswered, now
 		if !j.event.Outside {
-			policy.Finished(now, j.id, admission.Answered, j.tokens-j.continuedFrom)
+			policy.RecordEnd(now, j.id, admission.Answered, j.tokens-j.continuedFrom)
 			sim.applyDecisions(now, j.shard)
 		}
 		return
@@ -225,12 +225,12 @@
 	}
 	switch {
 	case j.reportedTokens == 0:
-		policy.FirstToken(now, j.id)
+		policy.RecordFirstToken(now, j.id)
 		j.reportedTokens = 1
 		sim.applyDecisions(now, j.shard)
 	case j.tokens-j.continuedFrom-j.reportedTokens >= tokensPerProgress:
 		j.reportedTokens = j.tokens - j.continuedFrom
-		policy.Progress(now, j.id, j.reportedTokens)
+		policy.RecordProgress(now, j.id, j.reportedTokens)
 		sim.applyDecisions(now, j.shard)
 	}
 }
@@ -280,7 +280,7 @@
 	j.state = stateWaiting
 	j.endpoint = nil
 	j.attempt++
-	j.shard.policy.Finished(now, j.id, result, j.tokens-j.continuedFrom)
+	j.shard.policy.RecordEnd(now, j.id, result, j.tokens-j.continuedFrom)
 	sim.applyDecisions(now, j.shard)
 }
 
--- a/internal/proof/replay/policy.go
+++ b/internal/proof/replay/policy.go
@@ -17,15 +17,15 @@
 	SetEndpoints(now time.Time, endpoints []schedule.Endpoint)
 	Submit(now time.Time, request admission.Request)
 	Withdraw(now time.Time, id string)
-	Started(now time.Time, id string)
-	FirstToken(now time.Time, id string)
-	Progress(now time.Time, id string, tokens int)
-	Finished(now time.Time, id string, result admission.Result, tokens int)
+	RecordStart(now time.Time, id string)
+	RecordFirstToken(now time.Time, id string)
+	RecordProgress(now time.Time, id string, tokens int)
+	RecordEnd(now time.Time, id string, result admission.Result, tokens int)
 	Tick(now time.Time)
-	Next(now time.Time) time.Time
-	Take() []admission.Decision
-	Waiting() int
-	Running() int
+	NextTick(now time.Time) time.Time
+	TakeDecisions() []admission.Decision
+	NumWaiting() int
+	NumRunning() int
 }
 
 // loadReportReceiver is implemented by policies that use the engines' load reports.
@@ -145,8 +145,8 @@
 	}
 }
 
-// Finished removes a request from the in-flight count of its endpoint.
-func (d *baseline) Finished(_ time.Time, id string, _ admission.Result, _ int) {
+// RecordEnd removes a request from the in-flight count of its endpoint.
+func (d *baseline) RecordEnd(_ time.Time, id string, _ admission.Result, _ int) {
 	if e, ok := d.open[id]; ok {
 		e.inFlight--
 		delete(d.open, id)
@@ -154,10 +154,10 @@
 }
 
 // Withdraw removes a request as Finished does.
-func (d *baseline) Withdraw(now time.Time, id string) { d.Finished(now, id, admission.Cancelled, 0) }
+func (d *baseline) Withdraw(now time.Time, id string) { d.RecordEnd(now, id, admission.Cancelled, 0) }
 
-// Take returns and clears the pending decisions.
-func (d *baseline) Take() []admission.Decision {
+// TakeDecisions returns and clears the pending decisions.
+func (d *baseline) TakeDecisions() []admission.Decision {
 	taken := d.decisions
 	d.decisions = nil
 	return taken
@@ -165,23 +165,23 @@
 
 // The remaining methods of Policy are trivial because a baseline has no queue.
 
-// Started does nothing.
-func (d *baseline) Started(time.Time, string) {}
+// RecordStart does nothing.
+func (d *baseline) RecordStart(time.Time, string) {}
 
-// FirstToken does nothing.
-func (d *baseline) FirstToken(time.Time, string) {}
+// RecordFirstToken does nothing.
+func (d *baseline) RecordFirstToken(time.Time, string) {}
 
-// Progress does nothing.
-func (d *baseline) Progress(time.Time, string, int) {}
+// RecordProgress does nothing.
+func (d *baseline) RecordProgress(time.Time, string, int) {}
 
 // Tick does nothing.
 func (d *baseline) Tick(time.Time) {}
 
-// Next returns a time an hour ahead, because a baseline needs no ticks.
-func (d *baseline) Next(now time.Time) time.Time { return now.Add(time.Hour) }
+// NextTick returns a time an hour ahead, because a baseline needs no ticks.
+func (d *baseline) NextTick(now time.Time) time.Time { return now.Add(time.Hour) }
 
-// Waiting is always 0.
-func (d *baseline) Waiting() int { return 0 }
+// NumWaiting is always 0.
+func (d *baseline) NumWaiting() int { return 0 }
 
-// Running returns the number of granted requests that have not finished.
-func (d *baseline) Running() int { return len(d.open) }
+// NumRunning returns the number of granted requests that have not finished.
+func (d *baseline) NumRunning() int { return len(d.open) }
