--- a/internal/proof/demo/cluster.go
+++ b/internal/proof/demo/cluster.go
@@ -290,7 +290,7 @@
 	err := host.app.Stop(ctx)
 	c.markDown(host)
 	c.schedulePublish()
-	aborted := host.Daemon.Cut()
+	aborted := host.Daemon.NumAborted()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.abortedRequests += aborted
