--- a/internal/proof/replay/trace.go
+++ b/internal/proof/replay/trace.go
@@ -167,7 +167,7 @@
 // addLine decodes a line: the header if it is the first, otherwise an event.
 func (t *Trace) addLine(number int, line []byte) error {
 	if number == 1 {
-		return json.Unmarshal(line, &t.Header, json.RejectUnknownMembers(true), strictjson.Durations)
+		return json.Unmarshal(line, &t.Header, json.RejectUnknownMembers(true), strictjson.DurationUnmarshaler)
 	}
 	var event Event
 	if err := json.Unmarshal(line, &event, json.RejectUnknownMembers(true)); err != nil {
@@ -200,7 +200,7 @@
 // Write writes a trace in the format that Read accepts.
 func Write(w io.Writer, t *Trace) error {
 	out := bufio.NewWriter(w)
-	header, err := json.Marshal(&t.Header, json.Deterministic(true), strictjson.DurationTexts)
+	header, err := json.Marshal(&t.Header, json.Deterministic(true), strictjson.DurationMarshaler)
 	if err != nil {
 		return merry.Wrap(err)
 	}
