--- a/internal/front/gossip/gossip.go
+++ b/internal/front/gossip/gossip.go
@@ -182,9 +182,9 @@
 	return g.members.Count() + 1
 }
 
-// Settled reports whether this host can rely on its member list: no peer has joined for joinQuietTime, or the host
+// IsSettled reports whether this host can rely on its member list: no peer has joined for joinQuietTime, or the host
 // has run for maxSettleTime.
-func (g *Gossip) Settled() bool {
+func (g *Gossip) IsSettled() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.parts.Clock()
@@ -195,7 +195,7 @@
 // order makes it a reader. A host that would take over from other readers first waits for maxSettleTime, by when it has
 // received their heartbeats.
 func (g *Gossip) MustReadStore() bool {
-	if !g.Settled() {
+	if !g.IsSettled() {
 		return false
 	}
 	order := g.Order()
--- a/internal/front/gossip/share_test.go
+++ b/internal/front/gossip/share_test.go
@@ -131,16 +131,16 @@
 	}
 	join(1)
 	now = now.Add(joinQuietTime - time.Millisecond)
-	c.Check(g.Settled(), qt.IsFalse)
+	c.Check(g.IsSettled(), qt.IsFalse)
 	join(2)
 	now = now.Add(joinQuietTime - time.Millisecond)
-	c.Check(g.Settled(), qt.IsFalse, qt.Commentf("a peer has joined since"))
+	c.Check(g.IsSettled(), qt.IsFalse, qt.Commentf("a peer has joined since"))
 	now = now.Add(time.Millisecond)
-	c.Check(g.Settled(), qt.IsTrue)
+	c.Check(g.IsSettled(), qt.IsTrue)
 	join(3)
-	c.Check(g.Settled(), qt.IsFalse)
+	c.Check(g.IsSettled(), qt.IsFalse)
 	now = start.Add(maxSettleTime)
-	c.Check(g.Settled(), qt.IsTrue, qt.Commentf("peers keep joining"))
+	c.Check(g.IsSettled(), qt.IsTrue, qt.Commentf("peers keep joining"))
 }
 
 // TestShareBytes bounds the size of fleet sums: with 320 endpoints and all holders, a sum must fit a datagram.
--- a/internal/front/leader/leader.go
+++ b/internal/front/leader/leader.go
@@ -49,10 +49,10 @@
 type Peers interface {
 	// Announce sends an announcement to all hosts.
 	Announce(Announcement)
-	// Settled reports whether this host knows its peers. Before returns the number of live hosts that come before it
-	// in an order that all hosts share.
-	Settled() bool
-	Before() int
+	// IsSettled reports whether this host knows its peers. HostsBefore returns the number of live hosts that come before
+	// it in an order that all hosts share.
+	IsSettled() bool
+	HostsBefore() int
 }
 
 // Task is a task of the leader. Lead runs until ctx ends, which happens when the mandate does. Tasks run
--- a/internal/front/leader/stand.go
+++ b/internal/front/leader/stand.go
@@ -38,10 +38,10 @@
 
 // mayTryToTakeLease reports whether the lease appears to be free and it is the turn of this host.
 func (l *Leader) mayTryToTakeLease() bool {
-	if !l.parts.Peers.Settled() {
+	if !l.parts.Peers.IsSettled() {
 		return false
 	}
-	before := l.parts.Peers.Before()
+	before := l.parts.Peers.HostsBefore()
 	now := l.parts.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/front/placement/placement_test.go
+++ b/internal/front/placement/placement_test.go
@@ -365,7 +365,7 @@
 type singleHost struct{}
 
 func (singleHost) Senders() []envelope.Sender        { return []envelope.Sender{{Host: "self"}} }
-func (singleHost) Settled() bool                     { return true }
+func (singleHost) IsSettled() bool                   { return true }
 func (singleHost) SendTo(string, envelope.Kind, any) {}
 
 // unlimitedLimiter returns a limiter without any known limits.
@@ -376,7 +376,7 @@
 // limiterFor returns a limiter that enforces limits in a fleet of one host.
 func limiterFor(limits *pushback.Limits, clock func() time.Time) *ratelimit.Limiter {
 	return ratelimit.New(ratelimit.Parts{
-		Limits: limits, Lender: ratelimit.NewLender(limits, clock), Peers: singleHost{}, Counted: func(counters.Permit) {},
+		Limits: limits, Lender: ratelimit.NewLender(limits, clock), Peers: singleHost{}, CountPermit: func(counters.Permit) {},
 		Log: logrus.NewEntry(logrus.New()), Clock: clock, Random: func() float64 { return 0 },
 	})
 }
--- a/internal/front/poison/detector.go
+++ b/internal/front/poison/detector.go
@@ -24,8 +24,8 @@
 	Hosts() int
 	// Order returns the place of this host in the order of hosts.
 	Order() gossip.Order
-	// Settled reports whether this host knows its peers.
-	Settled() bool
+	// IsSettled reports whether this host knows its peers.
+	IsSettled() bool
 }
 
 // Prober finds out whether endpoints are still running.
@@ -39,8 +39,8 @@
 type Store interface {
 	// Verdicts returns all stored verdicts, including expired ones.
 	Verdicts(ctx context.Context) ([]Verdict, error)
-	// Keep adds some verdicts and removes others.
-	Keep(ctx context.Context, verdicts []Verdict, remove []keys.Request) error
+	// WriteVerdicts adds some verdicts and removes others.
+	WriteVerdicts(ctx context.Context, verdicts []Verdict, remove []keys.Request) error
 }
 
 // Parts are the dependencies of a Detector.
--- a/internal/front/poison/detector_test.go
+++ b/internal/front/poison/detector_test.go
@@ -141,9 +141,9 @@
 	}
 }
 
-// Hosts, Order and Settled describe a fleet in which every host knows all others.
-func (h *host) Hosts() int    { return h.Order().Hosts }
-func (h *host) Settled() bool { return true }
+// Hosts, Order and IsSettled describe a fleet in which every host knows all others.
+func (h *host) Hosts() int      { return h.Order().Hosts }
+func (h *host) IsSettled() bool { return true }
 func (h *host) Order() gossip.Order {
 	f := h.fleet
 	f.mu.Lock()
@@ -169,7 +169,7 @@
 
 var errStoreDown = errors.New("the store is down")
 
-// Verdicts and Keep implement Store for all hosts.
+// Verdicts and WriteVerdicts implement Store for all hosts.
 func (f *fleet) Verdicts(context.Context) ([]Verdict, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -183,7 +183,7 @@
 	return verdicts, nil
 }
 
-func (f *fleet) Keep(_ context.Context, verdicts []Verdict, remove []keys.Request) error {
+func (f *fleet) WriteVerdicts(_ context.Context, verdicts []Verdict, remove []keys.Request) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.storeDown {
--- a/internal/front/poison/report.go
+++ b/internal/front/poison/report.go
@@ -72,7 +72,7 @@
 
 // isAnnouncer reports whether this host announces verdicts.
 func (d *Detector) isAnnouncer() bool {
-	return d.parts.Peers.Settled() && d.parts.Peers.Order().Before < announcerCount
+	return d.parts.Peers.IsSettled() && d.parts.Peers.Order().Before < announcerCount
 }
 
 // announceVerdicts sends all verdicts to all peers if this host is an announcer.
@@ -177,7 +177,7 @@
 	outdated := slices.DeleteFunc(slices.Clone(d.outdated), d.table.IsPoison)
 	d.mu.Unlock()
 	if len(verdicts) > 0 || (len(outdated) > 0 && d.isAnnouncer()) {
-		if err := d.parts.Store.Keep(ctx, verdicts, outdated); err != nil {
+		if err := d.parts.Store.WriteVerdicts(ctx, verdicts, outdated); err != nil {
 			d.parts.Log.WithError(err).Warn("verdicts can't be written; retrying")
 			return
 		}
--- a/internal/front/pushback/tracker.go
+++ b/internal/front/pushback/tracker.go
@@ -190,8 +190,8 @@
 	}
 }
 
-// Joined handles a host that has joined: a few hosts send it what endpoints reported before.
-func (t *Tracker) Joined(host envelope.Sender) {
+// HandleJoin handles a host that has joined: a few hosts send it what endpoints reported before.
+func (t *Tracker) HandleJoin(host envelope.Sender) {
 	if t.isStateSender(host) {
 		t.announce(func(o *outbox) { o.joined.Add(host) })
 	}
--- a/internal/front/pushback/tracker_test.go
+++ b/internal/front/pushback/tracker_test.go
@@ -203,7 +203,7 @@
 	firstDirectory.SetLeaving("b", "v1")
 	first.parts.Limits.Record(instance, perSecond(2), time.Now())
 	run(c, first)
-	first.Joined(envelope.Sender{Host: "newcomer"})
+	first.HandleJoin(envelope.Sender{Host: "newcomer"})
 	for range 1 + announceRepeats {
 		c.Check((<-p.sentTo).(*Leaving).Endpoints, qt.DeepEquals, []Instance{{ID: "b", Version: "v1"}})
 		c.Check((<-p.sentTo).(*Limited).Notices[0].Limit, qt.Equals, perSecond(2))
--- a/internal/front/ratelimit/limiter.go
+++ b/internal/front/ratelimit/limiter.go
@@ -39,8 +39,8 @@
 type Peers interface {
 	// Senders returns the live hosts, this one first.
 	Senders() []envelope.Sender
-	// Settled reports whether this host knows its peers.
-	Settled() bool
+	// IsSettled reports whether this host knows its peers.
+	IsSettled() bool
 	// SendTo sends a message to a host.
 	SendTo(host string, kind envelope.Kind, message any)
 }
@@ -50,10 +50,10 @@
 	Limits *pushback.Limits
 	Lender *Lender
 	Peers  Peers
-	// Counted is called with the outcome of each Ask.
-	Counted func(counters.Permit)
-	Log     *logrus.Entry
-	Clock   func() time.Time
+	// CountPermit is called with the outcome of each Ask.
+	CountPermit func(counters.Permit)
+	Log         *logrus.Entry
+	Clock       func() time.Time
 	// Random returns a number in [0, 1).
 	Random func() float64
 }
@@ -165,7 +165,7 @@
 		return l.permitFrom(endpoint, asked, &reply)
 	case <-timeout.C:
 		l.recordNoReply(lender)
-		l.parts.Counted(counters.PermitUnanswered)
+		l.parts.CountPermit(counters.PermitUnanswered)
 		l.recordDenial(endpoint, noReplyPause, noReplyPause)
 	case <-ctx.Done():
 	}
@@ -175,11 +175,11 @@
 // permitFrom returns the permit that a reply grants, or records its denial.
 func (l *Limiter) permitFrom(endpoint pushback.Instance, asked time.Time, reply *Reply) (Permit, bool) {
 	if reply.IsGranted {
-		l.parts.Counted(counters.PermitGranted)
+		l.parts.CountPermit(counters.PermitGranted)
 		// Validity counts from before the Ask was sent, so that a late reply does not extend it.
 		return Permit{endpoint: endpoint, until: asked.Add(reply.Waited + permitValidity)}, true
 	}
-	l.parts.Counted(counters.PermitDenied)
+	l.parts.CountPermit(counters.PermitDenied)
 	next := max(reply.Next, minDenialPause)
 	l.recordDenial(endpoint, next, next+time.Duration(l.parts.Random()*float64(reply.Spread)))
 	return Permit{}, false
@@ -217,7 +217,7 @@
 			lender, highest = host, w
 		}
 	}
-	return lender, highestSilent > highest, lender != hosts[0] || l.parts.Peers.Settled()
+	return lender, highestSilent > highest, lender != hosts[0] || l.parts.Peers.IsSettled()
 }
 
 // isLender reports whether this host lends the permits of an endpoint.
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -44,8 +44,8 @@
 
 // Meter counts the requests that endpoints began to run.
 type Meter interface {
-	// Began is called once for each request, when its first event or its answer arrives.
-	Began(workspace string, at time.Time)
+	// RecordStart is called once for each request, when its first event or its answer arrives.
+	RecordStart(workspace string, at time.Time)
 }
 
 // Poison detects the requests that crash the endpoints that run them. Its methods must not block.
--- a/internal/front/reporter/reporter_test.go
+++ b/internal/front/reporter/reporter_test.go
@@ -335,7 +335,7 @@
 // countRequests counts a number of requests at a host.
 func (h *host) countRequests(workspace string, number int) {
 	for range number {
-		h.meter.Began(workspace, time.Now().Add(h.skew))
+		h.meter.RecordStart(workspace, time.Now().Add(h.skew))
 	}
 }
 
--- a/internal/front/usage/usage.go
+++ b/internal/front/usage/usage.go
@@ -62,9 +62,9 @@
 // NewMeter returns a meter without counts.
 func NewMeter(clock *Clock) *Meter { return &Meter{clock: clock, windows: make(Windows)} }
 
-// Began counts a request of a workspace that an endpoint began to run at a time. It ignores calls that belong to no
-// workspace.
-func (m *Meter) Began(workspace string, at time.Time) {
+// RecordStart counts a request of a workspace that an endpoint began to run at a time. It ignores calls that belong to
+// no workspace.
+func (m *Meter) RecordStart(workspace string, at time.Time) {
 	if m == nil || workspace == "" {
 		return
 	}
