--- a/internal/front/fakenet_test.go
+++ b/internal/front/fakenet_test.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// linkDelay is how long a datagram is on its way.
+// linkDelay is the latency of a datagram.
 const linkDelay = time.Millisecond
 
-// errRefused is the error of a connection to an address where nobody listens.
+// errRefused is returned by Dial if no host listens on the address.
 var errRefused = errors.New("connection refused")
 
-// fakeNetwork joins the hosts of a test in memory.
+// fakeNetwork connects the hosts of a test in memory.
 type fakeNetwork struct {
-	mu        sync.Mutex
-	packets   map[string]*fakePackets
-	listeners map[string]*fakeListener
-	// loses reports whether a datagram gets lost.
-	loses func(from, to string) bool
-	// mute are the hosts that accept connections and answer nothing on them.
-	mute map[string]bool
-	// dials are when connections to each host were made.
+	mu          sync.Mutex
+	packetConns map[string]*fakePacketConn
+	listeners   map[string]*fakeListener
+	// drops reports whether a datagram is lost.
+	drops func(from, to string) bool
+	// unresponsive contains the hosts that accept connections but never answer on them.
+	unresponsive map[string]bool
+	// dials holds the times of the connections to each host.
 	dials map[string][]time.Time
 }
 
 func newFakeNetwork() *fakeNetwork {
 	return &fakeNetwork{
-		packets: make(map[string]*fakePackets), listeners: make(map[string]*fakeListener),
-		loses: func(string, string) bool { return false }, mute: make(map[string]bool), dials: make(map[string][]time.Time),
+		packetConns: make(map[string]*fakePacketConn), listeners: make(map[string]*fakeListener),
+		drops: func(string, string) bool { return false }, unresponsive: make(map[string]bool), dials: make(map[string][]time.Time),
 	}
 }
 
@@ -38,7 +38,7 @@
 func (n *fakeNetwork) Listen(address string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := &fakeListener{at: fakeAddress(address), made: make(chan net.Conn, 1024), closed: make(chan struct{})}
+	l := &fakeListener{address: fakeAddress(address), pending: make(chan net.Conn, 1024), closed: make(chan struct{})}
 	n.listeners[address] = l
 	return l, nil
 }
@@ -47,8 +47,8 @@
 func (n *fakeNetwork) ListenPacket(address string) (net.PacketConn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	p := &fakePackets{network: n, at: fakeAddress(address), received: make(chan datagram, 1<<16), closed: make(chan struct{})}
-	n.packets[address] = p
+	p := &fakePacketConn{network: n, address: fakeAddress(address), received: make(chan datagram, 1<<16), closed: make(chan struct{})}
+	n.packetConns[address] = p
 	return p, nil
 }
 
@@ -62,17 +62,17 @@
 	}
 	n.dials[address] = append(n.dials[address], time.Now())
 	ours, theirs := net.Pipe()
-	if !n.mute[address] {
-		l.made <- theirs
+	if !n.unresponsive[address] {
+		l.pending <- theirs
 	}
 	return ours, nil
 }
 
-// mostDials returns the largest number of connections to one host in a span of time, after a time.
-func (n *fakeNetwork) mostDials(after time.Time, span time.Duration) int {
+// maxDials returns the largest number of connections to one host within any span that starts after a time.
+func (n *fakeNetwork) maxDials(after time.Time, span time.Duration) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	most := 0
+	result := 0
 	for _, dials := range n.dials {
 		for i, first := range dials {
 			count := 0
@@ -82,18 +82,18 @@
 				}
 			}
 			if first.After(after) {
-				most = max(most, count)
+				result = max(result, count)
 			}
 		}
 	}
-	return most
+	return result
 }
 
-// deliver carries a datagram to its address, unless it gets lost.
+// deliver delivers a datagram after linkDelay, unless it is lost.
 func (n *fakeNetwork) deliver(data []byte, from, to string) {
 	n.mu.Lock()
-	target, ok := n.packets[to]
-	lost := n.loses(from, to)
+	target, ok := n.packetConns[to]
+	lost := n.drops(from, to)
 	n.mu.Unlock()
 	if !ok || lost {
 		return
@@ -101,8 +101,8 @@
 	time.AfterFunc(linkDelay, func() { target.received <- datagram{data: data, from: fakeAddress(from)} })
 }
 
-// set changes what the network does.
-func (n *fakeNetwork) set(change func(n *fakeNetwork)) {
+// update changes the network's state under its lock.
+func (n *fakeNetwork) update(change func(n *fakeNetwork)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change(n)
@@ -118,15 +118,15 @@
 	from fakeAddress
 }
 
-// fakePackets is a host's socket for datagrams.
-type fakePackets struct {
+// fakePacketConn is the datagram socket of a host.
+type fakePacketConn struct {
 	network  *fakeNetwork
-	at       fakeAddress
+	address  fakeAddress
 	received chan datagram
 	closed   chan struct{}
 }
 
-func (p *fakePackets) ReadFrom(buffer []byte) (int, net.Addr, error) {
+func (p *fakePacketConn) ReadFrom(buffer []byte) (int, net.Addr, error) {
 	select {
 	case d := <-p.received:
 		return copy(buffer, d.data), d.from, nil
@@ -135,32 +135,32 @@
 	}
 }
 
-func (p *fakePackets) WriteTo(data []byte, to net.Addr) (int, error) {
-	p.network.deliver(append([]byte(nil), data...), string(p.at), to.String())
+func (p *fakePacketConn) WriteTo(data []byte, to net.Addr) (int, error) {
+	p.network.deliver(append([]byte(nil), data...), string(p.address), to.String())
 	return len(data), nil
 }
 
-func (p *fakePackets) Close() error {
+func (p *fakePacketConn) Close() error {
 	close(p.closed)
 	return nil
 }
 
-func (p *fakePackets) LocalAddr() net.Addr                { return p.at }
-func (p *fakePackets) SetDeadline(_ time.Time) error      { return nil }
-func (p *fakePackets) SetReadDeadline(_ time.Time) error  { return nil }
-func (p *fakePackets) SetWriteDeadline(_ time.Time) error { return nil }
+func (p *fakePacketConn) LocalAddr() net.Addr                { return p.address }
+func (p *fakePacketConn) SetDeadline(_ time.Time) error      { return nil }
+func (p *fakePacketConn) SetReadDeadline(_ time.Time) error  { return nil }
+func (p *fakePacketConn) SetWriteDeadline(_ time.Time) error { return nil }
 
-// fakeListener is where a host takes connections.
+// fakeListener accepts the connections to a host.
 type fakeListener struct {
-	at     fakeAddress
-	made   chan net.Conn
-	closed chan struct{}
-	once   sync.Once
+	address fakeAddress
+	pending chan net.Conn
+	closed  chan struct{}
+	once    sync.Once
 }
 
 func (l *fakeListener) Accept() (net.Conn, error) {
 	select {
-	case conn := <-l.made:
+	case conn := <-l.pending:
 		return conn, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
@@ -168,9 +168,9 @@
 }
 
 func (l *fakeListener) Close() error {
-	// Both drpc and gossip close it.
+	// Both drpc and gossip close the listener.
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
-func (l *fakeListener) Addr() net.Addr { return l.at }
+func (l *fakeListener) Addr() net.Addr { return l.address }
--- a/internal/front/fakestore_test.go
+++ b/internal/front/fakestore_test.go
@@ -17,43 +17,42 @@
 )
 
 const (
-	// storeDelay is how long the store takes to answer.
+	// storeDelay is the latency of the store's answers.
 	storeDelay = 4 * time.Millisecond
-	// storeUptime is what the store's clock shows when a test begins.
+	// storeUptime is the time of the store's clock when a test begins.
 	storeUptime = 70 * time.Second
 )
 
-// storeFault is what a store does instead of answering a host.
+// storeFault is the fault with which the store treats the calls of a host.
 type storeFault int
 
 const (
-	// storeBusy answers at once that nothing was done.
+	// storeBusy rejects each call with errBusy.
 	storeBusy storeFault = iota + 1
-	// storeSilent never answers, neither new calls nor those that it holds.
-	storeSilent
-	// storeSilentHeld never answers the calls that it holds now, and does new ones.
-	storeSilentHeld
+	// storeUnresponsive never answers a call, neither new calls nor held calls.
+	storeUnresponsive
+	// storeDropsHeld never answers the calls that are held when the fault is set, but answers new calls.
+	storeDropsHeld
 )
 
 var errBusy = errors.New("the store is busy")
 
-// fakeStore is the store of a test's hosts, in memory. It holds one configuration and the entries
-// of endpoints.
+// fakeStore is an in-memory store for the hosts of a test. It stores one configuration and the entries of endpoints.
 type fakeStore struct {
-	began time.Time
+	started time.Time
 
 	mu sync.Mutex
-	// era counts the restores, revision is the number of the newest change in it.
+	// era counts the restores from backup, revision is the number of the newest change in the era.
 	era      uint64
 	revision uint64
-	// configs and endpoints are all changes, in order.
+	// configs and endpoints are all changes of the two topics, in order.
 	configs   []stored[settings.Raw]
 	endpoints []stored[directory.Change]
 	changed   chan struct{}
 	faults    map[string]storeFault
-	// epoch counts how often calls that were held have been made silent, by host.
-	epoch map[string]int
-	calls int
+	// heldDrops counts, by host, how often storeDropsHeld was set.
+	heldDrops map[string]int
+	calls     int
 }
 
 // stored is a change with its revision.
@@ -64,28 +63,29 @@
 
 func newFakeStore() *fakeStore {
 	return &fakeStore{
-		began: time.Now(), changed: make(chan struct{}), faults: make(map[string]storeFault), epoch: make(map[string]int),
+		started: time.Now(), changed: make(chan struct{}), faults: make(map[string]storeFault), heldDrops: make(map[string]int),
 	}
 }
 
-// configure stores a configuration with a number.
-func (s *fakeStore) configure(number uint64) {
+// putSettings stores a configuration with the given number.
+func (s *fakeStore) putSettings(number uint64) {
 	s.change(func() {
 		document := settings.Raw(fmt.Sprintf(`{"Number":%d}`, number))
 		s.configs = append(s.configs, stored[settings.Raw]{s.revision, document})
 	})
 }
 
-// put stores the entry of an endpoint.
-func (s *fakeStore) put(id string, state settings.EndpointState) {
+// putEndpoint stores the entry of an endpoint.
+func (s *fakeStore) putEndpoint(id string, state settings.EndpointState) {
 	s.change(func() {
 		entry := directory.Entry{ID: id, Endpoint: settings.Endpoint{Service: "llm", Address: "10.9.0.1:1", MaxInFlight: 4, State: state}}
 		s.endpoints = append(s.endpoints, stored[directory.Change]{s.revision, directory.Change{Entry: entry}})
 	})
 }
 
-// putAll stores the entries of a number of endpoints, all at once. What sets them apart is as random as it is in use.
-func (s *fakeStore) putAll(number int, state settings.EndpointState) {
+// putEndpoints stores the entries of many endpoints in one change. IDs, addresses and versions are as random as in use,
+// so that they compress no better.
+func (s *fakeStore) putEndpoints(number int, state settings.EndpointState) {
 	random := rand.New(rand.NewPCG(1, 2))
 	s.change(func() {
 		for n := range number {
@@ -107,7 +107,7 @@
 	s.changed = make(chan struct{})
 }
 
-// restore has the store come back without its newest changes.
+// restore restores the store from a backup that lacks the given number of newest changes.
 func (s *fakeStore) restore(lost uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,70 +119,70 @@
 	s.changed = make(chan struct{})
 }
 
-// inEra returns the revision of a number now. The lock is held.
-func (s *fakeStore) inEra(number uint64) uint64 {
+// revisionOf returns the revision of a change's number in the current era. The lock must be held.
+func (s *fakeStore) revisionOf(number uint64) uint64 {
 	revision, err := era.Revision(s.era, number)
 	if err != nil {
-		panic(err) // The tests' numbers are small.
+		panic(err) // Tests use small numbers only.
 	}
 	return revision
 }
 
-// harm lets the store treat some hosts in a certain way.
-func (s *fakeStore) harm(fault storeFault, hosts ...string) {
+// setFault sets the fault with which the store treats the calls of some hosts.
+func (s *fakeStore) setFault(fault storeFault, hosts ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, host := range hosts {
 		s.faults[host] = fault
-		if fault == storeSilentHeld {
-			s.epoch[host]++
+		if fault == storeDropsHeld {
+			s.heldDrops[host]++
 		}
 	}
 }
 
-func (s *fakeStore) called() {
+func (s *fakeStore) countCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 }
 
-// count returns the number of calls so far.
-func (s *fakeStore) count() int {
+// callCount returns the number of calls so far.
+func (s *fakeStore) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// view is one host's source of a topic.
-type view[T any] struct {
+// storeSource is the source that one host follows for a topic.
+type storeSource[T any] struct {
 	store   *fakeStore
 	host    string
 	history func() []stored[T]
 }
 
-func configsOf(s *fakeStore, host string) view[settings.Raw] {
-	return view[settings.Raw]{s, host, func() []stored[settings.Raw] { return s.configs }}
+func settingsSource(s *fakeStore, host string) storeSource[settings.Raw] {
+	return storeSource[settings.Raw]{s, host, func() []stored[settings.Raw] { return s.configs }}
 }
 
-func endpointsOf(s *fakeStore, host string) view[directory.Change] {
-	return view[directory.Change]{s, host, func() []stored[directory.Change] { return s.endpoints }}
+func endpointsSource(s *fakeStore, host string) storeSource[directory.Change] {
+	return storeSource[directory.Change]{s, host, func() []stored[directory.Change] { return s.endpoints }}
 }
 
 // Load implements follow.Source.
-func (v view[T]) Load(ctx context.Context) (follow.Batch[T], error) {
+func (v storeSource[T]) Load(ctx context.Context) (follow.Batch[T], error) {
 	ctx, cancel := context.WithTimeout(ctx, follow.CallTimeout)
 	defer cancel()
 	return v.call(ctx, 0, 0)
 }
 
 // Wait implements follow.Source.
-func (v view[T]) Wait(ctx context.Context, after uint64, held time.Duration) (follow.Batch[T], error) {
+func (v storeSource[T]) Wait(ctx context.Context, after uint64, held time.Duration) (follow.Batch[T], error) {
 	return v.call(ctx, after, held)
 }
 
-func (v view[T]) call(ctx context.Context, after uint64, held time.Duration) (follow.Batch[T], error) {
-	v.store.called()
-	_, epoch := v.fault()
+func (v storeSource[T]) call(ctx context.Context, after uint64, held time.Duration) (follow.Batch[T], error) {
+	v.store.countCall()
+	_, dropsBefore := v.fault()
 	time.Sleep(storeDelay)
 	until := time.After(held)
 	for {
@@ -190,8 +190,8 @@
 		if gone {
 			return batch, follow.ErrHistoryGone
 		}
-		over := held == 0 || len(batch.Items) > 0
-		if !over {
+		isDone := held == 0 || len(batch.Items) > 0
+		if !isDone {
 			select {
 			case <-changed:
 				continue
@@ -201,11 +201,11 @@
 				return batch, ctx.Err()
 			}
 		}
-		fault, now := v.fault()
+		fault, drops := v.fault()
 		switch {
 		case fault == storeBusy:
 			return batch, errBusy
-		case fault == storeSilent, now != epoch:
+		case fault == storeUnresponsive, drops != dropsBefore:
 			<-ctx.Done()
 			return batch, ctx.Err()
 		}
@@ -213,23 +213,23 @@
 	}
 }
 
-// fault returns what the store does with the host's calls, and how often it has silenced those that
-// it held.
-func (v view[T]) fault() (storeFault, int) {
+// fault returns the host's fault and how often its held calls were dropped.
+func (v storeSource[T]) fault() (storeFault, int) {
 	v.store.mu.Lock()
 	defer v.store.mu.Unlock()
-	return v.store.faults[v.host], v.store.epoch[v.host]
+	return v.store.faults[v.host], v.store.heldDrops[v.host]
 }
 
-// read returns the changes after a number, or reports that the store does not have it.
-func (v view[T]) read(after uint64) (batch follow.Batch[T], changed chan struct{}, gone bool) {
+// read returns the changes after a number and a channel that is closed on the next change. It reports gone if the store
+// does not have the number.
+func (v storeSource[T]) read(after uint64) (batch follow.Batch[T], changed chan struct{}, gone bool) {
 	v.store.mu.Lock()
 	defer v.store.mu.Unlock()
-	batch = follow.Batch[T]{Revision: v.store.inEra(v.store.revision), At: freshness.StoreTime(time.Since(v.store.began) + storeUptime)}
+	batch = follow.Batch[T]{Revision: v.store.revisionOf(v.store.revision), At: freshness.StoreTime(time.Since(v.store.started) + storeUptime)}
 	for _, change := range v.history() {
 		if change.revision > after {
 			batch.Items = append(batch.Items, change.item)
-			batch.Changed = v.store.inEra(change.revision)
+			batch.Changed = v.store.revisionOf(change.revision)
 		}
 	}
 	return batch, v.store.changed, after > v.store.revision
--- a/internal/front/fleet_test.go
+++ b/internal/front/fleet_test.go
@@ -28,8 +28,8 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// fleet is some hosts without callers: those parts of each that learn of changes, joined by a network
-// and a store in memory. It runs in a bubble of testing/synctest, so that its times are exact.
+// fleet is a number of hosts without callers: the components that propagate changes, connected by a network and a store
+// in memory. It runs in a bubble of testing/synctest, so that times are exact.
 type fleet struct {
 	store   *fakeStore
 	network *fakeNetwork
@@ -50,20 +50,20 @@
 	counters  *counters.Counters
 }
 
-var manyHosts = flag.Int("front.hosts", 40, "how many hosts a large fleet has")
+var largeFleetSize = flag.Int("front.hosts", 40, "how many hosts a large fleet has")
 
-// settleTime is how long a fleet is left to itself before something happens to it.
+// settleTime is the time in which a started fleet settles.
 const settleTime = 6 * time.Second
 
-// fetchTime is longer than a fetch from a peer takes.
-const fetchTime = 10 * time.Second
+// maxFetchTime exceeds the duration of a fetch from a peer.
+const maxFetchTime = 10 * time.Second
 
 // startFleet starts hosts with a configuration and two endpoints, and waits until they have settled.
 func startFleet(c *qt.C, hosts int, seed uint64) *fleet {
 	f := &fleet{store: newFakeStore(), network: newFakeNetwork(), done: make(chan struct{}), seed: seed}
-	f.store.configure(1)
-	f.store.put("e1", settings.StateIn)
-	f.store.put("e2", settings.StateIn)
+	f.store.putSettings(1)
+	f.store.putEndpoint("e1", settings.StateIn)
+	f.store.putEndpoint("e2", settings.StateIn)
 	for n := range hosts {
 		f.addHost(c, n)
 	}
@@ -83,8 +83,8 @@
 	for _, h := range f.hosts {
 		h.gossip.Close()
 	}
-	// Fetches that were under way end by themselves.
-	time.Sleep(fetchTime)
+	// Fetches in progress can't be aborted.
+	time.Sleep(maxFetchTime)
 }
 
 func (f *fleet) addHost(c *qt.C, n int) {
@@ -94,14 +94,14 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	l, count, holder, endpoints := new(late), counters.New(), settings.NewHolder(), directory.New()
+	l, count, holder, endpoints := new(lateParts), counters.New(), settings.NewHolder(), directory.New()
 	random := f.random(uint64(n))
 	placer := newPlacer(placerParts{
 		Directory: endpoints, Rests: pushback.NewRests(time.Now, random), Rejections: pushback.NewRejections(time.Now), Failures: pushback.NewFailures(time.Now), Log: log, Clock: time.Now, Random: random, Late: l,
 	})
-	deployment := Deployment{Settings: configsOf(f.store, config.Name), Endpoints: endpointsOf(f.store, config.Name), Decode: decode}
+	deployment := Deployment{Settings: settingsSource(f.store, config.Name), Endpoints: endpointsSource(f.store, config.Name), Decode: decode}
 	state := newFreshness(holder, endpoints, time.Now)
-	settingsSink := newSettingsSink(settingsParts{Deployment: deployment, Holder: holder, Freshness: state, Placer: placer, Counters: count, Log: log, Late: l})
+	settingsSink := newSettingsSink(settingsSinkParts{Deployment: deployment, Holder: holder, Freshness: state, Placer: placer, Counters: count, Log: log, Late: l})
 	endpointsSink := newEndpointsSink(endpoints, log, l)
 	g := newGossip(gossipParts{
 		Config: config, Placer: placer, Holder: holder, Directory: endpoints, Settings: settingsSink, Endpoints: endpointsSink,
@@ -118,7 +118,7 @@
 	f.hosts = append(f.hosts, &fleetHost{name: config.Name, address: config.Peers, settings: holder, directory: endpoints, freshness: state, gossip: g, counters: count})
 }
 
-// random returns a host's source of random numbers.
+// random returns a seeded source of random numbers for a host.
 func (f *fleet) random(host uint64) func() float64 {
 	var mu sync.Mutex
 	source := rand.New(rand.NewPCG(f.seed, host))
@@ -129,7 +129,7 @@
 	}
 }
 
-// decode reads a configuration of a fakeStore.
+// decode decodes a configuration of a fakeStore.
 func decode(document settings.Raw) (*settings.Revision, error) {
 	var config struct{ Number uint64 }
 	if err := json.Unmarshal(document, &config); err != nil {
@@ -138,8 +138,8 @@
 	return &settings.Revision{Number: config.Number, Tree: &settings.Tree{}}, nil
 }
 
-// names returns the names of those hosts for which chosen is true.
-func (f *fleet) names(chosen func(n int, h *fleetHost) bool) []string {
+// hostNames returns the names of the hosts for which chosen returns true.
+func (f *fleet) hostNames(chosen func(n int, h *fleetHost) bool) []string {
 	var names []string
 	for n, h := range f.hosts {
 		if chosen(n, h) {
@@ -151,40 +151,40 @@
 
 // readers returns the names of the hosts that read the store.
 func (f *fleet) readers() []string {
-	return f.names(func(_ int, h *fleetHost) bool {
+	return f.hostNames(func(_ int, h *fleetHost) bool {
 		return h.gossip.Order().IsReader()
 	})
 }
 
-// propagation is a fleet to which something happens, and a burst of changes some time later.
+// propagation is a test of a fleet that suffers a fault and some time later a burst of changes.
 type propagation struct {
 	hosts int
-	// bound is the promise: how long after the last change all hosts must have it.
-	bound time.Duration
-	harm  func(f *fleet)
+	// bound is the time after the last change within which all hosts must have applied it.
+	bound   time.Duration
+	disrupt func(f *fleet)
 }
 
-// The bounds on a change: those of the users' deployments.
+// The bounds on the propagation of a change in the users' deployments.
 const (
-	boundOfSmall = 2 * time.Second
-	boundOfLarge = 3 * time.Second
+	smallFleetBound = 2 * time.Second
+	largeFleetBound = 3 * time.Second
 )
 
-// run plays the fleet. A first change of settings and endpoints lets the readers' calls begin anew, and the
-// harm comes half a second later. Some time after that the changes come that must be in force in time, 60 ms
-// apart: configurations 3, 4 and 5, and then e1 leaves.
+// run runs the fleet. A first change of settings and endpoints restarts the readers' held calls, and disrupt is called
+// half a second later. After a further delay come the changes that must be applied within the bound, 60 ms apart:
+// configurations 3, 4 and 5, and then e1 leaves.
 func (p propagation) run(c *qt.C, after time.Duration, seed uint64) {
 	f := startFleet(c, p.hosts, seed)
-	f.store.configure(2)
-	f.store.put("e2", settings.StateIn)
+	f.store.putSettings(2)
+	f.store.putEndpoint("e2", settings.StateIn)
 	time.Sleep(500 * time.Millisecond)
-	p.harm(f)
+	p.disrupt(f)
 	time.Sleep(after)
 	for number := range uint64(3) {
-		f.store.configure(number + 3)
+		f.store.putSettings(number + 3)
 		time.Sleep(60 * time.Millisecond)
 	}
-	f.store.put("e1", settings.StateOut)
+	f.store.putEndpoint("e1", settings.StateOut)
 	time.Sleep(p.bound)
 	for _, h := range f.hosts {
 		c.Check(era.Number(h.settings.Number()), qt.Equals, uint64(5), qt.Commentf("settings of %s", h.name))
@@ -192,9 +192,9 @@
 	}
 }
 
-// runAll plays fleets with the changes at different times: a call that the store holds is in a
+// runAtDifferentTimes runs each test with several delays between disruption and changes, so that a held call is in a
 // different state each time.
-func runAll(t *testing.T, tests map[string]propagation) {
+func runAtDifferentTimes(t *testing.T, tests map[string]propagation) {
 	for name, test := range tests {
 		for _, after := range []time.Duration{0, 700 * time.Millisecond, 2900 * time.Millisecond} {
 			t.Run(fmt.Sprintf("%s/%s", name, after), func(t *testing.T) {
@@ -205,39 +205,40 @@
 	}
 }
 
-func TestChangesAreInForceInTime(t *testing.T) {
-	runAll(t, map[string]propagation{
-		"nothing happens, 8 hosts":  {8, boundOfSmall, func(*fleet) {}},
-		"nothing happens, 71 hosts": {71, boundOfLarge, func(*fleet) {}},
-		"one reader is answered no more": {9, boundOfSmall, func(f *fleet) {
-			f.store.harm(storeSilent, f.readers()[0])
+func TestChangesPropagateInTime(t *testing.T) {
+	runAtDifferentTimes(t, map[string]propagation{
+		"no fault, 8 hosts":  {8, smallFleetBound, func(*fleet) {}},
+		"no fault, 71 hosts": {71, largeFleetBound, func(*fleet) {}},
+		"the store does not respond to one reader": {9, smallFleetBound, func(f *fleet) {
+			f.store.setFault(storeUnresponsive, f.readers()[0])
 		}},
-		"all readers are told that the store is busy": {9, boundOfSmall, func(f *fleet) {
-			f.store.harm(storeBusy, f.readers()...)
+		"the store is busy for all readers": {9, smallFleetBound, func(f *fleet) {
+			f.store.setFault(storeBusy, f.readers()...)
 		}},
-		"a third of the datagrams get lost": {9, boundOfSmall, func(f *fleet) {
+		"a third of the datagrams are lost": {9, smallFleetBound, func(f *fleet) {
 			random := f.random(0)
-			f.network.set(func(n *fakeNetwork) { n.loses = func(string, string) bool { return random() < 0.33 } })
+			f.network.update(func(n *fakeNetwork) { n.drops = func(string, string) bool { return random() < 0.33 } })
 		}},
 	})
 }
 
-// lostChanges is how many changes a restore loses.
+// lostChanges is the number of changes that a restore loses.
 const lostChanges = 100
 
-// restoreStore has the store lose versions that all hosts know.
+// restoreStore restores the store from a backup that lacks revisions which all hosts have received.
 func restoreStore(f *fleet) {
 	for range lostChanges {
 		f.store.change(func() {})
 	}
-	f.store.put("e2", settings.StateIn)
+	f.store.putEndpoint("e2", settings.StateIn)
 	time.Sleep(500 * time.Millisecond)
 	f.store.restore(lostChanges)
 }
 
-// restoreSettings has the store lose a configuration whose number is above those that come after it.
+// restoreSettings restores the store from a backup that lacks a configuration with a higher number than those written
+// after the restore.
 func restoreSettings(f *fleet) {
-	f.store.configure(9)
+	f.store.putSettings(9)
 	for range lostChanges - 1 {
 		f.store.change(func() {})
 	}
@@ -245,12 +246,13 @@
 	f.store.restore(lostChanges)
 }
 
-// TestACopysConfigurationIsNotTaken has the store come back without the newest configuration, which nobody writes again.
-func TestACopysConfigurationIsNotTaken(t *testing.T) {
+// TestOldConfigurationFromBackupIsIgnored guards against a host that replaces the configuration in force by an older one
+// from a backup. The newest configuration is lost by the restore and not written again.
+func TestOldConfigurationFromBackupIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f := startFleet(c, 8, 28)
-		f.store.configure(2)
+		f.store.putSettings(2)
 		time.Sleep(time.Second)
 		restoreSettings(f)
 		time.Sleep(5 * time.Second)
@@ -260,120 +262,119 @@
 	})
 }
 
-// TestChangesAfterARestoreOfTheStore has changes come in a new era, at every size.
-func TestChangesAfterARestoreOfTheStore(t *testing.T) {
-	runAll(t, map[string]propagation{
-		"one host":   {1, boundOfSmall, restoreStore},
-		"8 hosts":    {8, boundOfSmall, restoreStore},
-		"many hosts": {*manyHosts, boundOfLarge, restoreStore},
-		"configurations' numbers are lower, one host":   {1, boundOfSmall, restoreSettings},
-		"configurations' numbers are lower, 8 hosts":    {8, boundOfSmall, restoreSettings},
-		"configurations' numbers are lower, many hosts": {*manyHosts, boundOfLarge, restoreSettings},
-		"configurations' numbers are lower, all readers are silent": {9, boundOfSmall, func(f *fleet) {
+// TestChangesPropagateAfterStoreRestore writes changes in a new era of the store, in fleets of all sizes.
+func TestChangesPropagateAfterStoreRestore(t *testing.T) {
+	runAtDifferentTimes(t, map[string]propagation{
+		"one host":                                {1, smallFleetBound, restoreStore},
+		"8 hosts":                                 {8, smallFleetBound, restoreStore},
+		"many hosts":                              {*largeFleetSize, largeFleetBound, restoreStore},
+		"lower configuration numbers, one host":   {1, smallFleetBound, restoreSettings},
+		"lower configuration numbers, 8 hosts":    {8, smallFleetBound, restoreSettings},
+		"lower configuration numbers, many hosts": {*largeFleetSize, largeFleetBound, restoreSettings},
+		"lower configuration numbers, the store does not respond to readers": {9, smallFleetBound, func(f *fleet) {
 			restoreSettings(f)
-			silenceReaders(f)
+			blockReaders(f)
 		}},
-		"restored again and again": {8, boundOfSmall, func(f *fleet) {
+		"restored repeatedly": {8, smallFleetBound, func(f *fleet) {
 			for range 3 {
 				restoreStore(f)
 				time.Sleep(700 * time.Millisecond)
 			}
 		}},
-		"all readers are silent": {9, boundOfSmall, func(f *fleet) {
+		"the store does not respond to readers": {9, smallFleetBound, func(f *fleet) {
 			restoreStore(f)
-			silenceReaders(f)
+			blockReaders(f)
 		}},
-		"nobody hears half of the hosts for a while": {9, boundOfSmall, func(f *fleet) {
-			muteHalf(f)
+		"half of the peers do not respond for 2 s": {9, smallFleetBound, func(f *fleet) {
+			blockHalfOfPeers(f)
 			restoreStore(f)
 			time.Sleep(2 * time.Second)
-			f.network.set(func(n *fakeNetwork) { clear(n.mute) })
+			f.network.update(func(n *fakeNetwork) { clear(n.unresponsive) })
 		}},
 	})
 }
 
-// TestARestoreOfTheStoreCostsLittle guards against peers that fetch thousands of endpoints which are the same in a new era.
-func TestARestoreOfTheStoreCostsLittle(t *testing.T) {
+// TestStoreRestoreCausesLittleTraffic guards against peers that fetch thousands of unchanged endpoints in a new era.
+func TestStoreRestoreCausesLittleTraffic(t *testing.T) {
 	const (
 		hosts     = 30
 		endpoints = 3000
-		// mostBytes is what the fleet may cost, mostCalls how often the store may be called in the time.
-		mostBytes = 1000
-		span      = 3 * time.Second
-		mostCalls = 60
+		// maxBytes bounds the bytes that all hosts send to fetching peers in span, maxCalls the calls to the store.
+		maxBytes = 1000
+		span     = 3 * time.Second
+		maxCalls = 60
 	)
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f := startFleet(c, hosts, 28)
-		f.store.putAll(endpoints, settings.StateIn)
-		time.Sleep(2 * fetchTime)
+		f.store.putEndpoints(endpoints, settings.StateIn)
+		time.Sleep(2 * maxFetchTime)
 		restoreStore(f)
-		bytes, calls := f.syncBytes(), f.store.count()
+		bytes, calls := f.syncBytes(), f.store.callCount()
 		time.Sleep(span)
 		for _, h := range f.hosts {
 			c.Check(era.Of(h.directory.Revision()), qt.Equals, uint64(1), qt.Commentf("%s", h.name))
 		}
-		c.Check(f.syncBytes()-bytes <= mostBytes, qt.IsTrue, qt.Commentf("%d B", f.syncBytes()-bytes))
-		c.Check(f.store.count()-calls <= mostCalls, qt.IsTrue, qt.Commentf("%d calls", f.store.count()-calls))
+		c.Check(f.syncBytes()-bytes <= maxBytes, qt.IsTrue, qt.Commentf("%d B", f.syncBytes()-bytes))
+		c.Check(f.store.callCount()-calls <= maxCalls, qt.IsTrue, qt.Commentf("%d calls", f.store.callCount()-calls))
 	})
 }
 
-// TestManyEndpointsLeaveAtOnce has some hundred of many endpoints leave together. A change that is too large to go with a
-// heartbeat had every host fetch the whole directory, from few that had it: with 300 hosts and 3,000 endpoints the busiest
-// sent and got 2.6 MB a second, most of a day's worth went for bytes between zones, hosts learned of endpoints that leave up to
-// 5.0 s later, and requests reached some 4.0 s after they had said so, where 3.7 s are allowed.
-func TestManyEndpointsLeaveAtOnce(t *testing.T) {
+// TestMassDrainCausesLittleTraffic guards against hosts that all fetch the whole directory from the few hosts that have
+// it, when a change is too large for a heartbeat: with 300 hosts and 3,000 endpoints the busiest host transferred 2.6 MB
+// a second, hosts learned of a leaving endpoint up to 5.0 s late, and endpoints got requests up to 4.0 s after they had
+// reported that they leave, where 3.7 s are allowed.
+func TestMassDrainCausesLittleTraffic(t *testing.T) {
 	const (
 		hosts     = 30
 		endpoints = 3000
 		leaving   = 900
-		// mostBytes is what one host may cost: 16 B for each endpoint that leaves.
-		mostBytes = 16 * leaving
+		// maxBytesPerHost bounds the bytes sent per host: 16 B for each endpoint that leaves.
+		maxBytesPerHost = 16 * leaving
 	)
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f := startFleet(c, hosts, 28)
-		f.store.putAll(endpoints, settings.StateIn)
-		time.Sleep(2 * fetchTime)
+		f.store.putEndpoints(endpoints, settings.StateIn)
+		time.Sleep(2 * maxFetchTime)
 		for _, h := range f.hosts {
 			c.Assert(h.directory.Serving("llm"), qt.HasLen, endpoints+2, qt.Commentf("%s", h.name))
 		}
 		before := f.syncBytes()
-		f.store.putAll(leaving, settings.StateOut)
-		time.Sleep(boundOfLarge)
+		f.store.putEndpoints(leaving, settings.StateOut)
+		time.Sleep(largeFleetBound)
 		for _, h := range f.hosts {
 			c.Check(h.directory.Serving("llm"), qt.HasLen, endpoints-leaving+2, qt.Commentf("%s", h.name))
 		}
 		bytes := f.syncBytes() - before
-		c.Check(bytes <= hosts*mostBytes, qt.IsTrue, qt.Commentf("%d B for each host", bytes/hosts))
+		c.Check(bytes <= hosts*maxBytesPerHost, qt.IsTrue, qt.Commentf("%d B for each host", bytes/hosts))
 	})
 }
 
-// TestFetchesAreSpread has a change that all hosts fetch reach them at the same moment. They all connected to the one host that
-// they had first received it from, at once: a host that can't take them drops some, and those are tried again after a second
-// or three.
-func TestFetchesAreSpread(t *testing.T) {
+// TestFetchesAreSpreadOverPeers guards against hosts that all fetch a change from the host that announced it first, at
+// the same moment: an overloaded host drops connections, and these are retried only after 1 to 3 s.
+func TestFetchesAreSpreadOverPeers(t *testing.T) {
 	const (
 		hosts = 100
 		span  = 20 * time.Millisecond
-		// mostAtOnce is how many hosts may connect to one host in that span.
-		mostAtOnce = hosts / 10
+		// maxConcurrent bounds the connections to one host within span.
+		maxConcurrent = hosts / 10
 	)
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f := startFleet(c, hosts, 28)
 		before := time.Now()
-		f.store.putAll(300, settings.StateIn)
-		time.Sleep(boundOfLarge)
+		f.store.putEndpoints(300, settings.StateIn)
+		time.Sleep(largeFleetBound)
 		for _, h := range f.hosts {
 			c.Check(h.directory.Serving("llm"), qt.HasLen, 302, qt.Commentf("%s", h.name))
 		}
-		most := f.network.mostDials(before, span)
-		c.Check(most <= mostAtOnce, qt.IsTrue, qt.Commentf("%d of %d hosts connect to one in %s", most, hosts, span))
+		maxDials := f.network.maxDials(before, span)
+		c.Check(maxDials <= maxConcurrent, qt.IsTrue, qt.Commentf("%d of %d hosts connect to one in %s", maxDials, hosts, span))
 	})
 }
 
-// syncBytes returns how many bytes the hosts have sent to those that fetched something.
+// syncBytes returns the number of bytes that all hosts have sent to fetching peers.
 func (f *fleet) syncBytes() int {
 	sum := 0
 	for _, h := range f.hosts {
@@ -383,7 +384,7 @@
 			if value, ok := strings.CutPrefix(line, `oxbowslip_peer_sent_bytes_total{kind="news"} `); ok {
 				bytes, err := strconv.Atoi(strings.TrimSpace(value))
 				if err != nil {
-					panic(err) // The line is one of this program's own.
+					panic(err) // The line was written by this program.
 				}
 				sum += bytes
 			}
@@ -392,8 +393,8 @@
 	return sum
 }
 
-// TestConfirmationsWhileNothingHappens checks what hosts know while all is well, and what it costs.
-func TestConfirmationsWhileNothingHappens(t *testing.T) {
+// TestConfirmationsInSteadyState bounds the age of hosts' state and the number of calls to the store without faults.
+func TestConfirmationsInSteadyState(t *testing.T) {
 	for _, hosts := range []int{1, 3, 7, 9, 40} {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -401,46 +402,46 @@
 				f := startFleet(c, hosts, 28)
 				readers := min(hosts, freshness.Readers)
 				c.Check(f.readers(), qt.HasLen, readers)
-				before := f.store.count()
+				before := f.store.callCount()
 				const span = 20 * time.Second
-				oldest := f.oldest(span)
-				c.Check(f.store.count()-before <= 2*int(span/freshness.Phase), qt.IsTrue, qt.Commentf("%d calls", f.store.count()-before))
+				oldest := f.maxAge(span)
+				c.Check(f.store.callCount()-before <= 2*int(span/freshness.Phase), qt.IsTrue, qt.Commentf("%d calls", f.store.callCount()-before))
 				c.Check(oldest < freshness.Phase+50*time.Millisecond, qt.IsTrue, qt.Commentf("%s", oldest))
 			})
 		})
 	}
 }
 
-// TestAFleetThatStartsTogether is the first start of a fleet, or one after all its hosts were killed: each reads the
-// store once, and then a few read for all.
-func TestAFleetThatStartsTogether(t *testing.T) {
+// TestFleetStartCausesFewStoreCalls guards against hosts that all keep reading the store after the fleet has started:
+// each host reads it once, and then a few readers read it for their peers.
+func TestFleetStartCausesFewStoreCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		const hosts = 40
 		f := startFleet(c, hosts, 28)
-		const afterThat = 2 * int(settleTime/freshness.Phase)
-		calls := f.store.count() - afterThat
-		// Each host reads both tables, and those that may be readers begin to, until they know of each other.
-		const mayRead = 12
-		c.Check(calls <= 2*hosts+5*mayRead, qt.IsTrue, qt.Commentf("%d calls of %d hosts at their start", calls, hosts))
+		const settledCalls = 2 * int(settleTime/freshness.Phase)
+		calls := f.store.callCount() - settledCalls
+		// Each host reads both tables. The hosts that may be readers read on until they know each other.
+		const maxInitialReaders = 12
+		c.Check(calls <= 2*hosts+5*maxInitialReaders, qt.IsTrue, qt.Commentf("%d calls of %d hosts at their start", calls, hosts))
 	})
 }
 
-// TestOneReaderConfirmsAsOftenAsFour is a store that answers a single host: the others must not be left to ask it in
-// vain while that one reads.
-func TestOneReaderConfirmsAsOftenAsFour(t *testing.T) {
+// TestSingleReaderConfirmsInTime has the store answer only one host. That host must confirm the state of its peers in
+// time, so that they do not call the store in vain.
+func TestSingleReaderConfirmsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f := startFleet(c, 10, 28)
-		f.store.harm(storeSilent, f.names(func(n int, _ *fleetHost) bool { return n != 4 })...)
+		f.store.setFault(storeUnresponsive, f.hostNames(func(n int, _ *fleetHost) bool { return n != 4 })...)
 		time.Sleep(10 * time.Second)
-		oldest := f.oldest(10 * time.Second)
+		oldest := f.maxAge(10 * time.Second)
 		c.Check(oldest < freshness.AskAfter, qt.IsTrue, qt.Commentf("%s", oldest))
 	})
 }
 
-// oldest returns the greatest age of what any host knows in a span of time.
-func (f *fleet) oldest(span time.Duration) time.Duration {
+// maxAge returns the maximum age of any host's state during a span of time.
+func (f *fleet) maxAge(span time.Duration) time.Duration {
 	var oldest time.Duration
 	for range span / (10 * time.Millisecond) {
 		time.Sleep(10 * time.Millisecond)
@@ -451,67 +452,67 @@
 	return oldest
 }
 
-// TestSilentStoreConnections is incident 28: calls that the store holds fall silent.
-func TestSilentStoreConnections(t *testing.T) {
-	runAll(t, map[string]propagation{
-		"all readers are answered no more, 9 hosts":  {9, boundOfSmall, silenceReaders},
-		"all readers are answered no more, 71 hosts": {71, boundOfLarge, silenceReaders},
-		"only one host of 40 is still answered": {40, boundOfLarge, func(f *fleet) {
-			f.store.harm(storeSilent, f.names(func(n int, _ *fleetHost) bool { return n != 17 })...)
+// TestUnresponsiveStoreConnections guards against hosts that wait for calls which the store holds and never answers.
+func TestUnresponsiveStoreConnections(t *testing.T) {
+	runAtDifferentTimes(t, map[string]propagation{
+		"the store does not respond to readers, 9 hosts":  {9, smallFleetBound, blockReaders},
+		"the store does not respond to readers, 71 hosts": {71, largeFleetBound, blockReaders},
+		"the store responds to one host of 40": {40, largeFleetBound, func(f *fleet) {
+			f.store.setFault(storeUnresponsive, f.hostNames(func(n int, _ *fleetHost) bool { return n != 17 })...)
 		}},
-		"all calls that are held fall silent, new ones work": {9, boundOfSmall, func(f *fleet) {
-			f.store.harm(storeSilentHeld, f.names(func(int, *fleetHost) bool { return true })...)
+		"the store drops held calls and answers new calls": {9, smallFleetBound, func(f *fleet) {
+			f.store.setFault(storeDropsHeld, f.hostNames(func(int, *fleetHost) bool { return true })...)
 		}},
 	})
 }
 
-func silenceReaders(f *fleet) { f.store.harm(storeSilent, f.readers()...) }
+func blockReaders(f *fleet) { f.store.setFault(storeUnresponsive, f.readers()...) }
 
-// TestSilentPeers is the same cause among hosts: peers that accept a fetch and don't answer it.
-func TestSilentPeers(t *testing.T) {
-	runAll(t, map[string]propagation{
-		"half of the peers don't answer": {20, boundOfLarge, muteHalf},
-		"half of the peers don't answer, and no reader reaches one host": {20, boundOfLarge, func(f *fleet) {
-			muteHalf(f)
-			f.losesFrom(f.readers(), f.hosts[19].address)
+// TestUnresponsivePeers guards against hosts that wait for peers which accept a fetch and never answer it.
+func TestUnresponsivePeers(t *testing.T) {
+	runAtDifferentTimes(t, map[string]propagation{
+		"half of the peers do not respond": {20, largeFleetBound, blockHalfOfPeers},
+		"half of the peers do not respond, no reader reaches one host": {20, largeFleetBound, func(f *fleet) {
+			blockHalfOfPeers(f)
+			f.dropDatagrams(f.readers(), f.hosts[19].address)
 		}},
-		"the store answers readers only, half of the peers don't answer, and no reader reaches one host": {20, boundOfLarge, func(f *fleet) {
-			muteHalf(f)
+		"the store responds to readers only, half of the peers do not respond, no reader reaches one host": {20, largeFleetBound, func(f *fleet) {
+			blockHalfOfPeers(f)
 			readers := f.readers()
-			f.losesFrom(readers, f.hosts[19].address)
-			f.store.harm(storeSilent, f.names(func(_ int, h *fleetHost) bool { return !slices.Contains(readers, h.name) })...)
+			f.dropDatagrams(readers, f.hosts[19].address)
+			f.store.setFault(storeUnresponsive, f.hostNames(func(_ int, h *fleetHost) bool { return !slices.Contains(readers, h.name) })...)
 		}},
 	})
 }
 
-// TestTwoFaultsAtOnce is a host that the store turns away and that no datagram of those reaches who read the
-// change: it polls its peers.
-func TestTwoFaultsAtOnce(t *testing.T) {
-	runAll(t, map[string]propagation{
-		"9 hosts":  {9, boundOfSmall, isolateFromReaders},
-		"71 hosts": {71, boundOfLarge, isolateFromReaders},
+// TestIsolatedHostPollsPeers has a host that gets no answers from the store and no datagrams from readers. It must
+// receive changes by polling its other peers.
+func TestIsolatedHostPollsPeers(t *testing.T) {
+	runAtDifferentTimes(t, map[string]propagation{
+		"9 hosts":  {9, smallFleetBound, isolateFromReaders},
+		"71 hosts": {71, largeFleetBound, isolateFromReaders},
 	})
 }
 
-// isolateFromReaders lets the last host that does not read get nothing from those that read, nor from the store.
+// isolateFromReaders isolates the last host that is not a reader from the readers and from the store.
 func isolateFromReaders(f *fleet) {
 	readers := f.readers()
-	others := f.names(func(_ int, h *fleetHost) bool { return !slices.Contains(readers, h.name) })
-	alone := others[len(others)-1]
-	f.store.harm(storeSilent, alone)
-	f.losesFrom(readers, f.addressOf(alone))
+	others := f.hostNames(func(_ int, h *fleetHost) bool { return !slices.Contains(readers, h.name) })
+	isolated := others[len(others)-1]
+	f.store.setFault(storeUnresponsive, isolated)
+	f.dropDatagrams(readers, f.addressOf(isolated))
 }
 
-// muteHalf lets every second host accept connections and answer nothing on them.
-func muteHalf(f *fleet) {
-	f.network.set(func(n *fakeNetwork) {
+// blockHalfOfPeers lets every second host accept connections and never answer on them.
+func blockHalfOfPeers(f *fleet) {
+	f.network.update(func(n *fakeNetwork) {
 		for i, h := range f.hosts {
-			n.mute[h.address] = i%2 == 0
+			n.unresponsive[h.address] = i%2 == 0
 		}
 	})
 }
 
-// addressOf returns where a host is.
+// addressOf returns the address of a host.
 func (f *fleet) addressOf(name string) string {
 	for _, h := range f.hosts {
 		if h.name == name {
@@ -521,13 +522,13 @@
 	return ""
 }
 
-// losesFrom lets the datagrams of some hosts to an address get lost.
-func (f *fleet) losesFrom(hosts []string, address string) {
+// dropDatagrams drops the datagrams from some hosts to an address.
+func (f *fleet) dropDatagrams(hosts []string, address string) {
 	lost := make(map[string]bool)
 	for _, h := range f.hosts {
 		lost[h.address] = slices.Contains(hosts, h.name)
 	}
-	f.network.set(func(n *fakeNetwork) {
-		n.loses = func(from, to string) bool { return to == address && lost[from] }
+	f.network.update(func(n *fakeNetwork) {
+		n.drops = func(from, to string) bool { return to == address && lost[from] }
 	})
 }
--- a/internal/front/followers.go
+++ b/internal/front/followers.go
@@ -16,13 +16,13 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// followers keep the settings and the directory up to date with the store.
+// followers keep the settings and the directory in sync with the store.
 type followers struct {
 	settings  *follow.Follower[settings.Raw]
 	endpoints *follow.Follower[directory.Change]
 }
 
-// followerParts are what the followers are made of.
+// followerParts are the dependencies of the followers.
 type followerParts struct {
 	fx.In
 
@@ -35,27 +35,27 @@
 	Log        *logrus.Logger
 	Clock      func() time.Time
 	Random     func() float64
-	Late       *late
+	Late       *lateParts
 }
 
-// answered returns what notes an answer for a topic and confirms it to peers.
-func (p *followerParts) answered(topic freshness.Topic) func(freshness.Answer) {
+// onAnswer returns a callback that records the store's answer for a topic and sends a confirmation to peers.
+func (p *followerParts) onAnswer(topic freshness.Topic) func(freshness.Answer) {
 	return func(answer freshness.Answer) {
 		p.Freshness.RecordAnswer(topic, answer)
-		p.Late.confirm()
+		p.Late.requestConfirmation()
 	}
 }
 
-// duty returns what decides about this host's calls for a topic.
-func (p *followerParts) duty(topic freshness.Topic) func() follow.Duty {
-	return func() follow.Duty { return dutyOf(topic, p.Late.gossip.Load(), p.Freshness) }
+// dutyFunc returns the function that decides when this host calls the store for a topic.
+func (p *followerParts) dutyFunc(topic freshness.Topic) func() follow.Duty {
+	return func() follow.Duty { return currentDuty(topic, p.Late.gossip.Load(), p.Freshness) }
 }
 
-// dutyOf returns what a host is to do about a topic now. One that has just started reads once, and then learns
-// of its peers first: all hosts of a fleet may have started together. One that reads for all calls the store over and
-// over; any other one calls it when nobody has confirmed for too long what it knows. A host that does not know its
-// place among its peers yet waits for that as long as the last of them.
-func dutyOf(topic freshness.Topic, g *gossip.Gossip, state *freshness.State) follow.Duty {
+// currentDuty returns the current duty of a host for a topic. A reader calls the store continuously. Any other host
+// calls it only if its state has not been confirmed for too long. A host that has just started reads the store once and
+// then waits until its member list is settled, since all hosts of a fleet may have started together. Until then it does
+// not know its place in the order of hosts and waits as long as the last of them.
+func currentDuty(topic freshness.Topic, g *gossip.Gossip, state *freshness.State) follow.Duty {
 	order := g.Order()
 	if g.MustReadStore() {
 		return follow.Duty{Call: true, Reads: true, Hold: state.Hold(order.ReadersBefore, order.Readers)}
@@ -74,14 +74,14 @@
 	f := &followers{
 		settings: follow.New(follow.Parts[settings.Raw]{
 			Source: p.Deployment.Settings, Sink: p.Settings, Log: logging.Part(p.Log, "settings"), Clock: p.Clock, Random: p.Random,
-			Duty: p.duty(freshness.Settings), OnAnswer: p.answered(freshness.Settings),
+			Duty: p.dutyFunc(freshness.Settings), OnAnswer: p.onAnswer(freshness.Settings),
 			Position: func() uint64 { return p.Freshness.Revision(freshness.Settings) }, CountCall: p.Counters.CalledStore,
 		}),
 		endpoints: follow.New(follow.Parts[directory.Change]{
 			Source: p.Deployment.Endpoints, Sink: p.Endpoints, Log: logging.Part(p.Log, "endpoints"), Clock: p.Clock, Random: p.Random,
-			Duty: p.duty(freshness.Endpoints), OnAnswer: p.answered(freshness.Endpoints),
+			Duty: p.dutyFunc(freshness.Endpoints), OnAnswer: p.onAnswer(freshness.Endpoints),
 			CountCall: p.Counters.CalledStore,
-			// A change that came from a peer may be ahead of what is confirmed.
+			// A change received from a peer may be newer than the confirmed revision.
 			Position: func() uint64 { return max(p.Freshness.Revision(freshness.Endpoints), p.Directory.Revision()) },
 		}),
 	}
@@ -89,11 +89,11 @@
 	return f
 }
 
-// read reports whether the host reads the store for others and gets answers.
-func (f *followers) read() bool { return f.settings.IsReading() && f.endpoints.IsReading() }
+// isReading reports whether the host reads the store for its peers and gets answers.
+func (f *followers) isReading() bool { return f.settings.IsReading() && f.endpoints.IsReading() }
 
-// run starts both followers; they end when done is closed.
-func (f *followers) run(done <-chan struct{}) {
+// start starts both followers. They stop when done is closed.
+func (f *followers) start(done <-chan struct{}) {
 	go f.settings.Run(done)
 	go f.endpoints.Run(done)
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,12 +1,10 @@
-// Package front is one host of oxbowslip-front: the daemon for a deployment whose settings
-// and endpoints come from a store that it does not own, and whose calls are routed by host
-// name and path. It wires the parts together (fx.go), starts them, reloads the host's file and
-// stops as planned.
+// Package front runs one host of oxbowslip-front, the daemon for a deployment whose settings and endpoints come from a
+// store that the daemon does not own, and whose requests are routed by host name and path. The package wires the
+// components together (fx.go), starts them, reloads the host's settings file and stops the host gracefully.
 //
-// The packages below it serve this program only: relay (callers), placement (which endpoint),
-// upstream (connections to endpoints), directory (endpoints), follow (the store), gossip and
-// peersync (other hosts). What is particular to one deployment
-// comes in as a Deployment; package platform has the one of the users.
+// The packages below it serve this program only: relay (callers), placement (choice of endpoints), upstream (connections
+// to endpoints), directory (registry of endpoints), follow (reading the store), gossip and peersync (other hosts). A
+// Deployment provides all that is specific to a deployment; package platform implements it for the users' platform.
 package front
 
 import (
@@ -48,63 +46,62 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// Provider takes what the leader reports and orders.
+// Provider is the provider of cloud machines, to which the leader reports usage and sends orders.
 type Provider interface {
 	reporter.Provider
 	scaler.Provider
 }
 
-// Deployment is what a host needs to know of where it runs.
+// Deployment connects a host to the platform that it runs on.
 type Deployment struct {
 	Dialect relay.Dialect
-	// Settings is followed for configurations, Endpoints for the endpoints.
+	// Settings and Endpoints are the sources that the host follows for settings and for endpoints.
 	Settings  follow.Source[settings.Raw]
 	Endpoints follow.Source[directory.Change]
-	// Poison is where verdicts on requests are kept.
+	// Poison stores the verdicts on poison requests.
 	Poison poison.Store
-	// Registry is where hosts find each other's addresses.
+	// Registry stores the addresses at which hosts reach each other.
 	Registry gossip.Registry
-	// Lease is where the lease of the leader is kept, Inventory what it follows to order endpoints, and Provider
-	// whom it calls. They are not used where the host's file has no provider.
+	// Lease stores the leader's lease, Inventory is the source that the leader follows to order endpoints, and Provider
+	// handles its calls. They are unused if the host's settings file names no provider.
 	Lease     leader.Store
 	Inventory follow.Source[capacity.Change]
 	Provider  Provider
-	// Decode turns a configuration into a revision of the settings.
+	// Decode decodes a configuration into a revision of the settings.
 	Decode func(settings.Raw) (*settings.Revision, error)
-	// ReadyPath is where the balancer asks whether the host takes requests.
+	// ReadyPath is the path of the load balancer's readiness check.
 	ReadyPath string
-	// MetricsPath is where the metrics are.
+	// MetricsPath is the path at which metrics are served.
 	MetricsPath string
 }
 
-// The limits of the listeners. Callers on the users' platform stay far within them.
+// Limits of the HTTP listeners. Callers on the users' platform stay far below them.
 const (
-	// idleTimeout is how long a caller's connection may rest.
+	// idleTimeout closes idle connections of callers.
 	idleTimeout = time.Minute
-	// headerTimeout is how long a caller may take to send a request's head.
+	// headerTimeout bounds the time in which a caller sends the header of a request.
 	headerTimeout = 5 * time.Second
-	// maxHeaderBytes bounds the head of a request in memory.
+	// maxHeaderBytes bounds the header of a request in memory.
 	maxHeaderBytes = 64 << 10
 )
 
 const (
-	// expireInterval is the mean time between two rounds in which old state is dropped: idle connections, old loads of
-	// peers, holders of prefixes.
+	// expireInterval is the mean time between two removals of expired state: idle connections, outdated loads of peers,
+	// holders of prefixes.
 	expireInterval = time.Second
-	// heapPart is the part of the host's memory that the Go heap may take; the rest is for
-	// stacks, buffers of the kernel and the program itself. Hosts peaked at 8 to 22 MB of 134
-	// and 284 on the users' sites, so the limit has not been reached.
-	heapPart = 0.6
-	// stopMargin is the time after the drain's limit for honest answers to what was cut.
+	// heapFraction is the fraction of the host's memory that the Go heap may use. The rest is for stacks, kernel buffers
+	// and the program itself. Hosts use 8 to 22 MB of 134 and 284 MB, far below the limit.
+	heapFraction = 0.6
+	// stopMargin is the time left after the drain's limit to answer the callers of aborted requests.
 	stopMargin = 300 * time.Millisecond
-	// unregisterTimeout bounds one try to remove the host's address.
+	// unregisterTimeout bounds one attempt to remove the host's address from the registry.
 	unregisterTimeout = time.Second
-	// maxIsolation is how long a host that reaches neither the store nor a peer trusts its settings. A cut host gets no
-	// callers anyway, and one that only lost the store goes on with what peers send.
+	// maxIsolation is how long a host that reaches neither the store nor a peer trusts its settings. An isolated host
+	// gets no requests anyway, and a host that lost only the store receives updates from its peers.
 	maxIsolation = 30 * time.Second
 )
 
-// unregisterBackoff is the time between two tries to remove the host's address.
+// unregisterBackoff is the back-off between two attempts to remove the host's address.
 var unregisterBackoff = backoff.Doubling{First: 100 * time.Millisecond, Longest: time.Second}
 
 // Host is one running host.
@@ -119,13 +116,13 @@
 	listeners *listen.Group
 	bound     Addresses
 	leaving   atomic.Bool
-	// lastContact is when the host last read the store or knew a peer. The times are monotonic: the
-	// time of day may jump.
+	// lastContact is when the host was last in contact with the store or a peer. It is a monotonic time, since the time
+	// of day may jump.
 	lastContact atomic.Pointer[time.Time]
 	done        chan struct{}
 }
 
-// Parts are what a host is made of.
+// Parts are the dependencies of a Host.
 type Parts struct {
 	fx.In
 
@@ -151,16 +148,16 @@
 	Failures   *pushback.Failures
 	Limits     *pushback.Limits
 	Limiter    *ratelimit.Limiter
-	Leadership *leading
+	Leadership *leadership
 	Clock      func() time.Time
 	Steady     *clock.Clock
 }
 
-// New returns a host that has not started.
+// New returns a host that is not started.
 func New(p Parts) *Host {
 	h := &Host{parts: p, log: logging.Part(p.Log, "host"), done: make(chan struct{})}
 	h.listeners = listen.New(h.log)
-	h.inContact()
+	h.recordContact()
 	h.callers = &http.Server{
 		Handler: lifetime.CloseWhen(&h.leaving, p.Relay), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
@@ -168,7 +165,7 @@
 	h.metrics = &http.Server{Handler: h.metricsHandler(), ReadHeaderTimeout: headerTimeout}
 	h.operators = operator.New(operator.Parts{
 		Keys: p.Config.OperatorKeys, Counters: p.Counters, Explained: p.Explained, Recorded: p.Recorded, Settings: p.Settings,
-		Changes: storeChanges{}, Tree: h.tree, Status: h.Status, Lift: h.lift,
+		Changes: storeChanges{}, Tree: h.tree, Status: h.Status, Lift: h.liftVerdict,
 	}).HTTP()
 	h.registerGauges()
 	return h
@@ -192,7 +189,7 @@
 	return router
 }
 
-// Problem returns why the host does not take requests, or an empty text.
+// Problem returns the reason why the host does not accept requests, or an empty string.
 func (h *Host) Problem() string {
 	switch {
 	case h.leaving.Load():
@@ -207,7 +204,7 @@
 	return ""
 }
 
-// expire drops old state, and notes whether the host is in contact with anyone.
+// expire removes expired state and records whether the host is in contact with the store or a peer.
 func (h *Host) expire(context.Context) {
 	h.parts.Steady.Look()
 	h.parts.Client.CloseExpired()
@@ -217,18 +214,18 @@
 	h.parts.Failures.Expire()
 	h.parts.Limits.Expire()
 	h.parts.Limiter.Expire()
-	if h.parts.Followers.read() || h.parts.Gossip.Hosts() > 1 {
-		h.inContact()
+	if h.parts.Followers.isReading() || h.parts.Gossip.Hosts() > 1 {
+		h.recordContact()
 	}
 }
 
-// inContact notes that the host is in contact with the store or a peer.
-func (h *Host) inContact() {
+// recordContact records that the host is in contact with the store or a peer.
+func (h *Host) recordContact() {
 	now := h.parts.Clock()
 	h.lastContact.Store(&now)
 }
 
-// Addresses are where a host listens. One that it does not listen on is empty.
+// Addresses are the addresses of a host's listeners. The address of a listener that is not open is empty.
 type Addresses struct {
 	Callers   string
 	Readiness string
@@ -237,19 +234,19 @@
 	Peers     string
 }
 
-// Addresses returns where the host listens, after Start, with the ports that were picked for
-// those that are 0 in its file.
+// Addresses returns the addresses of the host's listeners after Start. A port that is 0 in the settings file is replaced
+// by the chosen port.
 func (h *Host) Addresses() Addresses {
 	bound := h.bound
 	bound.Peers = h.parts.Gossip.Address()
 	return bound
 }
 
-// Start listens and begins to follow the store. It does not wait for the store: until there
-// are settings and endpoints, the host is not ready.
+// Start opens the listeners and starts to follow the store. It does not wait for the store: the host is not ready until
+// it has settings and endpoints.
 func (h *Host) Start(context.Context) error {
 	if h.parts.Config.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(heapPart * float64(h.parts.Config.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(heapFraction * float64(h.parts.Config.MemoryMB) * (1 << 20)))
 	}
 	if err := h.listen(); err != nil {
 		return err
@@ -259,11 +256,11 @@
 	}
 	go h.parts.Gossip.Run(h.done)
 	go h.parts.Gossip.KeepRegistered(h.done, h.parts.Deployment.Registry)
-	h.parts.Followers.run(h.done)
+	h.parts.Followers.start(h.done)
 	go h.parts.Poison.Run(h.done)
 	go h.parts.Signals.Run(h.done)
 	go h.parts.Limiter.Run(h.done)
-	h.parts.Leadership.run(h.done)
+	h.parts.Leadership.start(h.done)
 	go lifetime.Every(h.done, expireInterval, randomNumber, h.expire)
 	h.log.WithFields(logrus.Fields{
 		"host": h.parts.Config.Name, "zone": h.parts.Config.Zone, "callers": h.bound.Callers, "readiness": h.bound.Readiness,
@@ -273,7 +270,7 @@
 	return nil
 }
 
-// listen opens the listeners that the host's file names.
+// listen opens the listeners that the host's settings file names.
 func (h *Host) listen() error {
 	for _, l := range []struct {
 		server  *http.Server
@@ -294,28 +291,28 @@
 	return nil
 }
 
-// Reload applies the host's file as it was read again. Only the addresses of first peers can
-// change while the host runs.
+// Reload applies a new version of the host's settings file. Only the addresses of the first peers can change while the
+// host runs.
 func (h *Host) Reload(config hostconfig.Host) {
 	h.parts.Gossip.AddContacts(config.FirstPeers)
 	h.log.WithFields(logrus.Fields{"first_peers": config.FirstPeers, "store": config.Platform.Address}).Info("settings file read again")
 }
 
-// Stop ends the host as planned: readiness fails first; after the notice no connection is
-// accepted, and what is in flight ends. Once the drain's limit has passed, the rest get an
-// honest error. It blocks until then.
+// Stop stops the host gracefully and blocks until that is done. Readiness fails first. After the notice the host accepts
+// no connections and finishes the requests in flight. Requests that are still in flight at the drain's limit are aborted
+// and answered with an error.
 func (h *Host) Stop(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, h.parts.Config.Drain.Limit)
 	defer cancel()
 	h.leaving.Store(true)
-	h.log.WithField("open", h.parts.Owner.OpenJobs()).Info("leaving")
+	h.log.WithField("open", h.parts.Owner.OpenJobs()).Info("the host drains before it stops")
 	unregistered := make(chan struct{})
 	go func() {
 		defer close(unregistered)
 		h.unregister(ctx)
 	}()
 	h.parts.Leadership.resign()
-	// When ctx ends first, Finish cuts the rest at once.
+	// If ctx ends during the notice, Finish aborts the requests in flight immediately.
 	lifetime.Sleep(ctx, h.parts.Config.Drain.Notice)
 	cut := lifetime.Finish(ctx, h.callers, h.parts.Owner.Drain, stopMargin)
 	h.parts.Gossip.Leave()
@@ -324,12 +321,12 @@
 	case <-time.After(stopMargin):
 	}
 	h.close()
-	h.log.WithField("cut", cut).Info("stopped")
+	h.log.WithField("cut", cut).Info("the host has stopped")
 	return nil
 }
 
-// unregister removes this host's address from the registry, and tries again until ctx ends: the store may be away for a
-// while, and a row that stays has every host that starts send to it for ten minutes.
+// unregister removes this host's address from the registry and retries until ctx ends, since the store may be
+// unavailable for a while. If the row stays, every host that starts sends to the address for ten minutes.
 func (h *Host) unregister(ctx context.Context) {
 	for tries := 0; ; tries++ {
 		err := h.unregisterOnce(ctx)
@@ -337,7 +334,7 @@
 			return
 		}
 		if !lifetime.Sleep(ctx, backoff.Jitter(unregisterBackoff.Span(tries), 0.5, randomNumber())) {
-			h.log.WithError(err).Warn("the host's address may stay registered")
+			h.log.WithError(err).Warn("not removed from the registry before the drain's limit, the host's address may stay registered")
 			return
 		}
 	}
@@ -356,5 +353,5 @@
 	h.parts.Client.Close()
 }
 
-// EndpointCount returns the number of endpoints that take new work, as far as this host knows.
+// EndpointCount returns the number of endpoints in the directory that take new requests.
 func (h *Host) EndpointCount() int { return h.parts.Directory.CountServing() }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -20,19 +20,19 @@
 		prepare func(h *Host)
 		want    string
 	}{
-		"all well":           {func(*Host) {}, ""},
-		"leaving":            {func(h *Host) { h.leaving.Store(true) }, "the host is leaving"},
-		"no settings":        {func(h *Host) { h.parts.Settings = settings.NewHolder() }, "no settings yet"},
-		"no endpoints":       {func(h *Host) { h.parts.Directory = directory.New() }, "no endpoints yet"},
-		"cut off for a bit":  {func(h *Host) { h.lastContact.Store(ago(maxIsolation)) }, ""},
-		"cut off for longer": {func(h *Host) { h.lastContact.Store(ago(maxIsolation + 1)) }, "cut off from the store and from all peers: the settings may be old"},
+		"no problem":                {func(*Host) {}, ""},
+		"leaving":                   {func(h *Host) { h.leaving.Store(true) }, "the host is leaving"},
+		"no settings":               {func(h *Host) { h.parts.Settings = settings.NewHolder() }, "no settings yet"},
+		"no endpoints":              {func(h *Host) { h.parts.Directory = directory.New() }, "no endpoints yet"},
+		"isolated for maxIsolation": {func(h *Host) { h.lastContact.Store(ago(maxIsolation)) }, ""},
+		"isolated for longer":       {func(h *Host) { h.lastContact.Store(ago(maxIsolation + 1)) }, "cut off from the store and from all peers: the settings may be old"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			h := &Host{parts: Parts{Settings: settings.NewHolder(), Directory: directory.New(), Clock: func() time.Time { return now }}}
 			h.parts.Settings.Offer(&settings.Revision{Number: 1, Tree: &settings.Tree{}})
 			h.parts.Directory.Apply(1, nil)
-			h.inContact()
+			h.recordContact()
 			test.prepare(h)
 			qt.Check(t, h.Problem(), qt.Equals, test.want)
 		})
--- a/internal/front/fuzz_test.go
+++ b/internal/front/fuzz_test.go
@@ -21,15 +21,15 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// newDeafHost returns the part of a host that handles datagrams. Incarnation 1 is a peer of its.
-func newDeafHost(t testing.TB) *gossip.Gossip {
+// newDatagramHandler returns the gossip of a host for which incarnation 1 is a peer.
+func newDatagramHandler(t testing.TB) *gossip.Gossip {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	random := func() float64 { return 0.5 }
-	l, count, holder, endpoints := new(late), counters.New(), settings.NewHolder(), directory.New()
+	l, count, holder, endpoints := new(lateParts), counters.New(), settings.NewHolder(), directory.New()
 	placer := newPlacer(placerParts{Directory: endpoints, Rests: pushback.NewRests(time.Now, random), Rejections: pushback.NewRejections(time.Now), Failures: pushback.NewFailures(time.Now), Log: log, Clock: time.Now, Random: random, Late: l})
 	state := newFreshness(holder, endpoints, time.Now)
-	sink := newSettingsSink(settingsParts{Deployment: Deployment{Decode: decode}, Holder: holder, Freshness: state, Placer: placer, Counters: count, Log: log, Late: l})
+	sink := newSettingsSink(settingsSinkParts{Deployment: Deployment{Decode: decode}, Holder: holder, Freshness: state, Placer: placer, Counters: count, Log: log, Late: l})
 	g := newGossip(gossipParts{
 		Config: hostconfig.Host{Name: "self", Zone: "zone-a", Peers: "10.0.0.1:7000"}, Placer: placer, Holder: holder, Directory: endpoints,
 		Settings: sink, Endpoints: newEndpointsSink(endpoints, log, l), Freshness: state, Network: newFakeNetwork(), Counters: count, Log: log,
@@ -44,7 +44,8 @@
 	return g
 }
 
-// FuzzArrived has any bytes arrive from the network, from a peer's address. The seeds are one message of each kind.
+// FuzzArrived passes arbitrary datagrams to a host, from the address of a peer and from another address. The seeds are
+// one message of each kind.
 func FuzzArrived(f *testing.F) {
 	paths, err := filepath.Glob(filepath.Join("gossip", "testdata", "golden", "*.cbor.hex"))
 	qt.Assert(f, err, qt.IsNil)
@@ -57,7 +58,7 @@
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		g := newDeafHost(t)
+		g := newDatagramHandler(t)
 		defer g.Close()
 		g.HandleDatagram(data, "10.0.0.2:7000")
 		g.HandleDatagram(data, "10.0.0.3:7000")
--- a/internal/front/fx.go
+++ b/internal/front/fx.go
@@ -35,29 +35,29 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// Options returns the constructors of a host's parts for fx.
+// Options returns the fx options that construct a host and its components.
 func Options(config hostconfig.Host, deployment Deployment, steady *clock.Clock, c *counters.Counters, log *logrus.Logger) fx.Option {
 	return fx.Options(
 		fx.Supply(config, deployment, steady, c, log),
 		fx.Provide(
 			func(c *clock.Clock) func() time.Time { return c.Now },
 			func() func() float64 { return randomNumber },
-			func() *late { return new(late) },
+			func() *lateParts { return new(lateParts) },
 			func() gossip.Network { return gossip.IPNetwork{} },
 			explain.New,
 			record.New,
 			settings.NewHolder,
 			directory.New,
 			newFreshness,
-			newClient,
+			newUpstreamClient,
 			newPlacer,
 			newSettingsSink,
 			newEndpointsSink,
 			newGossip,
-			newBudget,
+			newRetryBudget,
 			newOwner,
-			newPoison,
-			newPushback,
+			newPoisonDetector,
+			newPushbackTracker,
 			pushback.NewRests,
 			pushback.NewRejections,
 			pushback.NewFailures,
@@ -68,7 +68,7 @@
 			newFollowers,
 			newUsageClock,
 			newMeter,
-			newLeading,
+			newLeadership,
 			New,
 		),
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
@@ -79,62 +79,62 @@
 	)
 }
 
-// randomNumber returns a number from 0 up to 1.
+// randomNumber returns a random number in [0, 1).
 func randomNumber() float64 { return rand.Float64() }
 
-// late holds the parts that others need before they can be made: gossip reports the state of
-// placement, settings and endpoints, which notify it when that has changed; and whether this
-// host reads the store depends on gossip, which reports it to peers. They are set while the host
-// is wired, before anything runs.
-type late struct {
+// lateParts holds components that others refer to before they are constructed, which breaks two cycles: gossip reports
+// the state of placement, settings and endpoints, which notify gossip of changes; and gossip determines whether this
+// host reads the store, and reports to peers whether it does. The fields are set while the host is wired, before any
+// component runs.
+type lateParts struct {
 	gossip    atomic.Pointer[gossip.Gossip]
 	sync      atomic.Pointer[peersync.Sync]
 	followers atomic.Pointer[followers]
 }
 
-// revisionChanged lets gossip know that peers should have a newer revision at once.
-func (l *late) revisionChanged() {
+// onRevisionChange requests an urgent heartbeat, so that peers receive a new revision without delay.
+func (l *lateParts) onRevisionChange() {
 	if g := l.gossip.Load(); g != nil {
 		g.RequestUrgentHeartbeat()
 	}
 }
 
-// confirm lets gossip know that the store has answered.
-func (l *late) confirm() {
+// requestConfirmation requests a confirmation to peers after the store has answered.
+func (l *lateParts) requestConfirmation() {
 	if g := l.gossip.Load(); g != nil {
 		g.RequestConfirmation()
 	}
 }
 
-// loadChanged lets gossip know of loads that differ much from what peers know.
-func (l *late) loadChanged() {
+// onLoadChange requests a heartbeat if this host's load differs enough from the load that peers last received.
+func (l *lateParts) onLoadChange() {
 	g, s := l.gossip.Load(), l.sync.Load()
 	if g != nil && s != nil && s.WorthReporting() {
 		g.RequestHeartbeat()
 	}
 }
 
-// readsStore reports whether this host reads the store for others and gets answers.
-func (l *late) readsStore() bool {
+// isReadingStore reports whether this host reads the store for its peers and gets answers.
+func (l *lateParts) isReadingStore() bool {
 	f := l.followers.Load()
-	return f != nil && f.read()
+	return f != nil && f.isReading()
 }
 
 const (
-	// keepIdle is how long a connection to an endpoint rests if the endpoint does not say. The users' servers close
-	// idle connections after some seconds.
-	keepIdle = 3 * time.Second
-	// deadPeer is how long an endpoint's machine may leave sent bytes unacknowledged: a machine without power or behind
-	// a cut resets nothing. The shortest target of a call on the users' sites is 150 ms, the shortest deadline a
-	// second.
-	deadPeer = time.Second
+	// endpointIdleTimeout is how long an idle connection to an endpoint is kept if the endpoint states no keep-alive
+	// timeout. The users' servers close idle connections after some seconds.
+	endpointIdleTimeout = 3 * time.Second
+	// deadPeerTimeout is how long an endpoint's machine may leave sent bytes unacknowledged: a machine that has lost
+	// power or is isolated by a network fault resets no connections. On the users' sites, the shortest target of a call
+	// is 150 ms and the shortest deadline 1 s.
+	deadPeerTimeout = time.Second
 )
 
-func newClient(deployment Deployment, clock func() time.Time) *upstream.Client {
-	return upstream.New(upstream.Config{AnswerID: deployment.Dialect.AnswerID, KeepIdle: keepIdle, DeadPeer: deadPeer}, clock)
+func newUpstreamClient(deployment Deployment, clock func() time.Time) *upstream.Client {
+	return upstream.New(upstream.Config{AnswerID: deployment.Dialect.AnswerID, KeepIdle: endpointIdleTimeout, DeadPeer: deadPeerTimeout}, clock)
 }
 
-// placerParts are what places requests is made of.
+// placerParts are the dependencies of the placer.
 type placerParts struct {
 	fx.In
 
@@ -146,11 +146,11 @@
 	Log        *logrus.Logger
 	Clock      func() time.Time
 	Random     func() float64
-	Late       *late
+	Late       *lateParts
 }
 
 func newPlacer(p placerParts) *placement.Placer {
-	placer := placement.New(p.Directory, p.Rests, p.Rejections, p.Failures, p.Limiter, logging.Part(p.Log, "endpoints"), p.Clock, p.Random, p.Late.loadChanged)
+	placer := placement.New(p.Directory, p.Rests, p.Rejections, p.Failures, p.Limiter, logging.Part(p.Log, "endpoints"), p.Clock, p.Random, p.Late.onLoadChange)
 	p.Directory.OnRestart(placer.ResetEndpoint)
 	return placer
 }
@@ -173,8 +173,8 @@
 	})
 }
 
-// settingsParts are what the sink of the settings is made of.
-type settingsParts struct {
+// settingsSinkParts are the dependencies of the sink of settings.
+type settingsSinkParts struct {
 	fx.In
 
 	Deployment Deployment
@@ -183,29 +183,28 @@
 	Placer     *placement.Placer
 	Counters   *counters.Counters
 	Log        *logrus.Logger
-	Late       *late
+	Late       *lateParts
 }
 
-func newSettingsSink(p settingsParts) *peersync.Settings {
+func newSettingsSink(p settingsSinkParts) *peersync.Settings {
 	return peersync.NewSettings(peersync.SettingsParts{
 		Decode: p.Deployment.Decode, Holder: p.Holder, Counters: p.Counters, Log: logging.Part(p.Log, "settings"),
 		InForce:     p.Placer.SetSettings,
-		NotifyPeers: p.Late.revisionChanged, ReadsStore: p.Late.readsStore,
+		NotifyPeers: p.Late.onRevisionChange, ReadsStore: p.Late.isReadingStore,
 		Age: func() time.Duration { return p.Freshness.Age(freshness.Settings) }, After: afterFunc,
 	})
 }
 
-func newEndpointsSink(d *directory.Directory, log *logrus.Logger, l *late) *peersync.Endpoints {
+func newEndpointsSink(d *directory.Directory, log *logrus.Logger, l *lateParts) *peersync.Endpoints {
 	return peersync.NewEndpoints(peersync.EndpointsParts{
-		Directory: d, Log: logging.Part(log, "endpoints"), NotifyPeers: l.revisionChanged, After: afterFunc,
+		Directory: d, Log: logging.Part(log, "endpoints"), NotifyPeers: l.onRevisionChange, After: afterFunc,
 	})
 }
 
-// afterFunc runs a function after a time. It can't be stopped: what runs is harmless once the
-// host has ended.
+// afterFunc calls run after a delay. The timer can't be stopped; calls after the host has stopped do no harm.
 func afterFunc(wait time.Duration, run func()) { time.AfterFunc(wait, run) }
 
-// gossipParts are what gossip and its host are made of.
+// gossipParts are the dependencies of gossip and of the peersync.Sync that it notifies.
 type gossipParts struct {
 	fx.In
 
@@ -222,19 +221,19 @@
 	Log       *logrus.Logger
 	Clock     func() time.Time
 	Random    func() float64
-	Late      *late
+	Late      *lateParts
 }
 
 func newGossip(p gossipParts) *gossip.Gossip {
 	sync := peersync.New(peersync.Parts{
 		Host: p.Config.Name, Zone: p.Config.Zone,
 		Placer: p.Placer, Holder: p.Holder, Directory: p.Directory, Settings: p.Settings, Endpoints: p.Endpoints,
-		Freshness: p.Freshness, ReadsStore: p.Late.readsStore, Log: logging.Part(p.Log, "endpoints"), Clock: p.Clock,
+		Freshness: p.Freshness, ReadsStore: p.Late.isReadingStore, Log: logging.Part(p.Log, "endpoints"), Clock: p.Clock,
 	})
 	g := gossip.New(gossip.Parts{
 		Config: gossip.Config{
 			Name: p.Config.Name, Zone: p.Config.Zone, Address: p.Config.Peers, FirstPeers: p.Config.FirstPeers,
-			Fleet: fleetOf(p.Config),
+			Fleet: fleetID(p.Config),
 		},
 		Host: sync, Network: p.Network, Log: logging.Part(p.Log, "peers"), Clock: p.Clock, Random: p.Random, CountSent: p.Counters.SentToPeers,
 	})
@@ -245,17 +244,17 @@
 	return g
 }
 
-// fleetOf returns what distinguishes a fleet from others: its name, or where its settings come from.
-func fleetOf(config hostconfig.Host) uint64 {
+// fleetID returns the ID of a fleet, a hash of its name, or of its store's address if it has no name.
+func fleetID(config hostconfig.Host) uint64 {
 	return xxhash.Sum64String(cmp.Or(config.Fleet, config.Platform.Address))
 }
 
-func newBudget(config hostconfig.Host, g *gossip.Gossip, clock func() time.Time) *retrybudget.Fleet {
+func newRetryBudget(config hostconfig.Host, g *gossip.Gossip, clock func() time.Time) *retrybudget.Fleet {
 	limits := retrybudget.Limits{Ratio: config.Retries.Ratio, Slack: config.Retries.Slack, Window: config.Retries.Window}
 	return retrybudget.NewFleet(limits, g.Hosts, clock)
 }
 
-// ownerParts are what the owner is made of.
+// ownerParts are the dependencies of the owner.
 type ownerParts struct {
 	fx.In
 
@@ -271,7 +270,7 @@
 }
 
 func newOwner(p ownerParts) *owner.Owner {
-	// An endpoint that leaves or rests must not be sent what was granted before it said so.
+	// A request that was granted before its endpoint reported that it leaves or rests must not be sent to it.
 	takesWork := func(id string) (settings.Endpoint, bool) {
 		endpoint, ok := p.Directory.Endpoint(id)
 		return endpoint, ok && !p.Rests.IsResting(pushback.Instance{ID: id, Version: endpoint.Version})
@@ -282,8 +281,8 @@
 	})
 }
 
-// poisonParts are what finds poison requests is made of.
-type poisonParts struct {
+// poisonDetectorParts are the dependencies of the detector of poison requests.
+type poisonDetectorParts struct {
 	fx.In
 
 	Deployment Deployment
@@ -295,7 +294,7 @@
 	Random     func() float64
 }
 
-func newPoison(p poisonParts) *poison.Detector {
+func newPoisonDetector(p poisonDetectorParts) *poison.Detector {
 	storeTime := func() freshness.StoreTime {
 		now, known := p.Freshness.StoreTime(p.Clock())
 		if !known {
@@ -310,8 +309,8 @@
 	return detector
 }
 
-// pushbackParts are what takes what endpoints say of themselves is made of.
-type pushbackParts struct {
+// pushbackTrackerParts are the dependencies of the tracker of pushback.
+type pushbackTrackerParts struct {
 	fx.In
 
 	Directory  *directory.Directory
@@ -325,7 +324,7 @@
 	Random     func() float64
 }
 
-func newPushback(p pushbackParts) *pushback.Tracker {
+func newPushbackTracker(p pushbackTrackerParts) *pushback.Tracker {
 	tracker := pushback.New(pushback.Parts{
 		Directory: p.Directory, Rests: p.Rests, Rejections: p.Rejections, Failures: p.Failures, Limits: p.Limits, Peers: p.Gossip,
 		Log: logging.Part(p.Log, "endpoints"), Clock: p.Clock, Random: p.Random,
@@ -338,27 +337,27 @@
 	return tracker
 }
 
-// latePeers are the hosts that lend permits. They are known once the host is wired.
-type latePeers struct{ *late }
+// permitPeers are the hosts that lend permits. It implements ratelimit.Peers, and is usable once the host is wired.
+type permitPeers struct{ *lateParts }
 
-// Senders returns the live hosts, this one first.
-func (l latePeers) Senders() []envelope.Sender { return l.gossip.Load().Senders() }
+// Senders returns the live hosts, this host first.
+func (l permitPeers) Senders() []envelope.Sender { return l.gossip.Load().Senders() }
 
 // IsSettled reports whether this host knows its peers.
-func (l latePeers) IsSettled() bool { return l.gossip.Load().IsSettled() }
+func (l permitPeers) IsSettled() bool { return l.gossip.Load().IsSettled() }
 
 // SendTo sends a message to a host.
-func (l latePeers) SendTo(host string, kind envelope.Kind, message any) {
+func (l permitPeers) SendTo(host string, kind envelope.Kind, message any) {
 	l.gossip.Load().SendTo(host, kind, message)
 }
 
-// limiterParts are what keeps to the limits of endpoints is made of.
+// limiterParts are the dependencies of the limiter, which enforces the limits of endpoints.
 type limiterParts struct {
 	fx.In
 
 	Limits   *pushback.Limits
 	Lender   *ratelimit.Lender
-	Late     *late
+	Late     *lateParts
 	Counters *counters.Counters
 	Log      *logrus.Logger
 	Clock    func() time.Time
@@ -367,12 +366,12 @@
 
 func newLimiter(p limiterParts) *ratelimit.Limiter {
 	return ratelimit.New(ratelimit.Parts{
-		Limits: p.Limits, Lender: p.Lender, Peers: latePeers{p.Late}, CountPermit: p.Counters.AskedPermit,
+		Limits: p.Limits, Lender: p.Lender, Peers: permitPeers{p.Late}, CountPermit: p.Counters.AskedPermit,
 		Log: logging.Part(p.Log, "limits"), Clock: p.Clock, Random: p.Random,
 	})
 }
 
-// relayParts are what the callers' server is made of.
+// relayParts are the dependencies of the relay, which serves callers.
 type relayParts struct {
 	fx.In
 
--- a/internal/front/gauges.go
+++ b/internal/front/gauges.go
@@ -14,13 +14,13 @@
 		"oxbowslip_store_era":                 func() float64 { return float64(h.parts.Freshness.Era()) },
 		"oxbowslip_endpoints":                 func() float64 { return float64(h.parts.Directory.CountServing()) },
 		"oxbowslip_hosts":                     func() float64 { return float64(h.parts.Gossip.Hosts()) },
-		"oxbowslip_reads_store":               func() float64 { return zeroOrOne(h.parts.Followers.read()) },
+		"oxbowslip_reads_store":               func() float64 { return zeroOrOne(h.parts.Followers.isReading()) },
 		"oxbowslip_open_requests":             func() float64 { return float64(h.parts.Owner.OpenJobs()) },
-		"oxbowslip_leads":                     func() float64 { return zeroOrOne(h.parts.Leadership.leads()) },
+		"oxbowslip_leads":                     func() float64 { return zeroOrOne(h.parts.Leadership.isLeader()) },
 		"oxbowslip_poison_requests":           func() float64 { return float64(len(h.parts.Poison.Verdicts())) },
 		"oxbowslip_endpoints_resting":         func() float64 { return float64(len(h.parts.Rests.Resting())) },
 		"oxbowslip_endpoints_rejecting":       func() float64 { return float64(len(h.parts.Rejections.Shares())) },
-		"oxbowslip_endpoints_failing":         h.countFailing,
+		"oxbowslip_endpoints_failing":         h.countFailingEndpoints,
 		"oxbowslip_endpoints_limited":         func() float64 { return float64(len(h.parts.Limits.All())) },
 		"oxbowslip_upstream_connections_made": func() float64 { return float64(h.parts.Client.Dials()) },
 	} {
@@ -32,18 +32,18 @@
 	}
 }
 
-// countFailing counts the endpoints that fail more than their peers.
-func (h *Host) countFailing() float64 {
+// countFailingEndpoints counts the endpoints whose failure share exceeds that of their peers by minShownShare.
+func (h *Host) countFailingEndpoints() float64 {
 	count := 0
-	for _, share := range h.failing() {
-		if share >= leastShown {
+	for _, share := range h.excessFailures() {
+		if share >= minShownShare {
 			count++
 		}
 	}
 	return float64(count)
 }
 
-// zeroOrOne returns 1 for true.
+// zeroOrOne returns 1 for true and 0 for false.
 func zeroOrOne(is bool) float64 {
 	if is {
 		return 1
--- a/internal/front/leading.go
+++ b/internal/front/leading.go
@@ -26,17 +26,17 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// leading is what one host at a time does for all, and this host's part in it. It is nil where there is no
-// provider.
-type leading struct {
+// leadership is this host's part in the election of a leader, and the tasks that it runs for the fleet while it leads.
+// It is nil if no provider is configured.
+type leadership struct {
 	leader   *leader.Leader
 	reporter *reporter.Reporter
-	// inventory keeps that of the scaler up to date while this host leads.
+	// inventory keeps the scaler's inventory in sync with the store while this host leads.
 	inventory *follow.Follower[capacity.Change]
 }
 
-// leadingParts are what it is made of.
-type leadingParts struct {
+// leadershipParts are the dependencies of leadership.
+type leadershipParts struct {
 	fx.In
 
 	Config     hostconfig.Host
@@ -58,7 +58,7 @@
 	return usage.NewClock(config.Provider.UsageWindow, state.StoreTime, steady.TimeOfDay)
 }
 
-// newMeter returns what counts the requests of this host: nothing where nobody asks for it.
+// newMeter returns the meter that counts this host's requests, or nil if usage is not reported.
 func newMeter(config hostconfig.Host, clock *usage.Clock) *usage.Meter {
 	if !config.Provider.Has(hostconfig.TaskUsage) {
 		return nil
@@ -66,12 +66,12 @@
 	return usage.NewMeter(clock)
 }
 
-func newLeading(p leadingParts) *leading {
+func newLeadership(p leadershipParts) *leadership {
 	provider := &p.Config.Provider
 	if provider.Address == "" {
 		return nil
 	}
-	l := new(leading)
+	l := new(leadership)
 	parts := leader.Parts{
 		Host: p.Config.Name, Start: p.Clock().UnixNano(), Duration: provider.Lease, Store: p.Deployment.Lease, Peers: leaderPeers{p.Gossip},
 		Log: logging.Part(p.Log, "leader"), Clock: p.Clock, Random: p.Random, StoreTime: p.Freshness.StoreTime,
@@ -90,46 +90,46 @@
 	}
 	if provider.Has(hostconfig.TaskAutoscale) {
 		inventory := capacity.NewInventory(p.Directory.IsLeaving)
-		l.inventory = p.follow(inventory, l)
+		l.inventory = p.followInventory(inventory, l)
 		parts.Tasks = append(parts.Tasks, scaler.New(scaler.Parts{
 			Inventory: inventory, Settings: p.Settings, Provider: p.Deployment.Provider, Load: p.Placer.Load,
 			FirstPart: provider.FirstPart, Log: logging.Part(p.Log, "capacity"), Clock: p.Clock,
 		}))
 	}
 	l.leader = leader.New(parts)
-	p.Gossip.Handle(envelope.KindLeader, l.announced(logging.Part(p.Log, "leader")))
+	p.Gossip.Handle(envelope.KindLeader, l.handleAnnouncement(logging.Part(p.Log, "leader")))
 	return l
 }
 
-// inventoryHold is how long the store may hold a call for changes of the inventory.
-const inventoryHold = 2 * time.Second
+// maxInventoryHold bounds the time for which the store holds a call that waits for changes of the inventory.
+const maxInventoryHold = 2 * time.Second
 
-// follow returns what keeps an inventory up to date with the store while this host leads.
-func (p *leadingParts) follow(inventory *capacity.Inventory, l *leading) *follow.Follower[capacity.Change] {
+// followInventory returns a follower that keeps an inventory in sync with the store while this host leads.
+func (p *leadershipParts) followInventory(inventory *capacity.Inventory, l *leadership) *follow.Follower[capacity.Change] {
 	return follow.New(follow.Parts[capacity.Change]{
 		Source: p.Deployment.Inventory, Sink: inventory, Log: logging.Part(p.Log, "capacity"), Clock: p.Clock, Random: p.Random,
 		Duty: func() follow.Duty {
 			leads := l.leader.Leads()
-			return follow.Duty{Call: leads, Reads: leads, Hold: inventoryHold}
+			return follow.Duty{Call: leads, Reads: leads, Hold: maxInventoryHold}
 		},
 		Position: inventory.Revision, CountCall: p.Counters.CalledStore, OnAnswer: func(freshness.Answer) {},
 	})
 }
 
-// announced handles a peer's announcement.
-func (l *leading) announced(log *logrus.Entry) envelope.Handler {
+// handleAnnouncement returns the handler of peers' announcements.
+func (l *leadership) handleAnnouncement(log *logrus.Entry) envelope.Handler {
 	return func(from envelope.Sender, body []byte) {
 		var a leader.Announcement
 		if err := cbor.Unmarshal(body, &a); err != nil {
-			log.WithError(err).WithField("peer", from.Host).Warn("an announcement can't be read")
+			log.WithError(err).WithField("peer", from.Host).Warn("a peer's announcement can't be decoded and is ignored")
 			return
 		}
 		l.leader.HandleAnnouncement(from.Host, a)
 	}
 }
 
-// run starts this host's part, which ends when done is closed.
-func (l *leading) run(done <-chan struct{}) {
+// start starts the election and the leader's tasks, which stop when done is closed.
+func (l *leadership) start(done <-chan struct{}) {
 	if l == nil {
 		return
 	}
@@ -142,8 +142,8 @@
 	}
 }
 
-// state returns what this host knows of the leader.
-func (l *leading) state() *operator.Leader {
+// state returns the leader's state as this host knows it.
+func (l *leadership) state() *operator.Leader {
 	if l == nil {
 		return nil
 	}
@@ -151,17 +151,17 @@
 	return &operator.Leader{Host: s.Holder, Token: s.Token, Left: s.Left, Reported: s.Reported, Leads: s.Leads}
 }
 
-// leads reports whether this host leads.
-func (l *leading) leads() bool { return l != nil && l.leader.Leads() }
+// isLeader reports whether this host is the leader.
+func (l *leadership) isLeader() bool { return l != nil && l.leader.Leads() }
 
-// resign lets another host lead.
-func (l *leading) resign() {
+// resign gives up the lease if this host is the leader, so that another host can lead.
+func (l *leadership) resign() {
 	if l != nil {
 		l.leader.Resign()
 	}
 }
 
-// leaderPeers are the other hosts for package leader.
+// leaderPeers adapts gossip to leader.Peers.
 type leaderPeers struct{ gossip *gossip.Gossip }
 
 // Announce sends an announcement to all hosts.
@@ -170,5 +170,5 @@
 // IsSettled reports whether this host knows its peers.
 func (p leaderPeers) IsSettled() bool { return p.gossip.IsSettled() }
 
-// HostsBefore returns how many live hosts come before this one.
+// HostsBefore returns the number of live hosts that come before this one in the order of hosts.
 func (p leaderPeers) HostsBefore() int { return p.gossip.Order().Before }
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -16,24 +16,24 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// errElsewhere: operators change the configuration in the deployment's store.
-var errElsewhere = merry.Sentinel("settings are changed in the deployment's own store, not here")
+// errSettingsElsewhere is returned for changes of settings, which operators make in the deployment's store.
+var errSettingsElsewhere = merry.Sentinel("settings are changed in the deployment's own store, not here")
 
-// storeChanges refuses all changes: they are made in the deployment's store. It implements
+// storeChanges rejects all changes, since settings are changed in the deployment's store. It implements
 // operator.Changes.
 type storeChanges struct{}
 
-// Accept refuses a change.
+// Accept rejects a change.
 func (storeChanges) Accept(context.Context, settings.Change) (uint64, error) {
-	return 0, &operator.ChangeError{Cause: operator.CauseAway, Detail: errElsewhere.Error()}
+	return 0, &operator.ChangeError{Cause: operator.CauseAway, Detail: errSettingsElsewhere.Error()}
 }
 
-// Find fails: this host has no list of changes.
+// Find returns an error, since this host keeps no list of changes.
 func (storeChanges) Find(context.Context, uint64) (settings.Change, error) {
-	return settings.Change{}, merry.Wrap(errElsewhere)
+	return settings.Change{}, merry.Wrap(errSettingsElsewhere)
 }
 
-// tree returns the tree in force as operators see it.
+// tree returns the settings tree in force for operators.
 func (h *Host) tree() operator.SettingsAnswer {
 	current := h.parts.Settings.Current()
 	if current == nil {
@@ -41,13 +41,13 @@
 	}
 	data, err := settings.Encode(current.Tree)
 	if err != nil {
-		h.log.WithError(err).Error("the settings can't be shown")
+		h.log.WithError(err).Error("the settings can't be encoded, operators are shown none")
 		return operator.SettingsAnswer{}
 	}
 	return operator.SettingsAnswer{Revision: current.Number, Tree: data}
 }
 
-// Status returns the state of the host for operators.
+// Status returns the host's state for operators.
 func (h *Host) Status() operator.Status {
 	problem := h.Problem()
 	status := operator.Status{
@@ -56,7 +56,7 @@
 		Hosts: h.parts.Gossip.Hosts(), Directory: era.Number(h.parts.Directory.Revision()), Era: h.parts.Freshness.Era(), Endpoints: h.parts.Directory.CountServing(),
 		Freshness: &operator.Freshness{
 			Settings: h.parts.Freshness.Age(freshness.Settings), Endpoints: h.parts.Freshness.Age(freshness.Endpoints),
-			ReadsStore: h.parts.Followers.read(),
+			ReadsStore: h.parts.Followers.isReading(),
 		},
 	}
 	_, ejected := h.parts.Placer.Snapshot()
@@ -69,7 +69,7 @@
 	return status
 }
 
-// poison returns the requests that the host does not send.
+// poison returns the poison requests that the host does not send.
 func (h *Host) poison() []operator.PoisonRequest {
 	now, _ := h.parts.Freshness.StoreTime(h.parts.Clock())
 	var requests []operator.PoisonRequest
@@ -83,17 +83,17 @@
 	return requests
 }
 
-// leastShown is the share of rejected or failed requests from which operators are shown an endpoint.
-const leastShown = 0.05
+// minShownShare is the smallest share of rejected or failed requests that is shown to operators.
+const minShownShare = 0.05
 
-// pushback returns the endpoints that do not take all requests, or fail them.
+// pushback returns the endpoints that leave, rest, have a limit, or reject or fail requests.
 func (h *Host) pushback() []operator.EndpointPushback {
-	resting, rejecting, failing, limits := h.parts.Rests.Resting(), h.parts.Rejections.Shares(), h.failing(), h.limits()
+	resting, rejecting, failing, limits := h.parts.Rests.Resting(), h.parts.Rejections.Shares(), h.excessFailures(), h.endpointLimits()
 	now := h.parts.Clock()
 	var list []operator.EndpointPushback
 	for _, id := range h.parts.Directory.IDs() {
 		p := operator.EndpointPushback{
-			Endpoint: id, Leaving: h.parts.Directory.IsLeaving(id), Rejects: shown(rejecting[keys.OfEndpoint(id)]), Fails: shown(failing[id]),
+			Endpoint: id, Leaving: h.parts.Directory.IsLeaving(id), Rejects: shownShare(rejecting[keys.OfEndpoint(id)]), Fails: shownShare(failing[id]),
 		}
 		if until, rests := resting[id]; rests {
 			p.Rest = until.Sub(now)
@@ -108,16 +108,16 @@
 	return list
 }
 
-// shown returns a share as operators are shown it: 0 for a small one.
-func shown(share float64) float64 {
-	if share < leastShown {
+// shownShare rounds a share to percent for operators. It returns 0 below minShownShare.
+func shownShare(share float64) float64 {
+	if share < minShownShare {
 		return 0
 	}
 	return math.Round(100*share) / 100
 }
 
-// failing returns the shares of requests that endpoints fail beyond what their peers fail, by ID.
-func (h *Host) failing() map[string]float64 {
+// excessFailures returns, by endpoint ID, the share of requests that an endpoint fails in excess of its peers.
+func (h *Host) excessFailures() map[string]float64 {
 	failing := make(map[string]float64)
 	for _, service := range h.parts.Directory.Services() {
 		endpoints := h.parts.Directory.Serving(service)
@@ -128,8 +128,8 @@
 	return failing
 }
 
-// limits returns the limits that endpoints have named, in requests a second by ID.
-func (h *Host) limits() map[string]float64 {
+// endpointLimits returns the limits that endpoints have named, in requests per second by endpoint ID.
+func (h *Host) endpointLimits() map[string]float64 {
 	limits := make(map[string]float64)
 	for endpoint, limit := range h.parts.Limits.All() {
 		limits[endpoint.ID] = limit.PerSecond
@@ -137,8 +137,8 @@
 	return limits
 }
 
-// lift has a poison request sent again.
-func (h *Host) lift(key string) bool {
+// liftVerdict removes the verdict on a poison request, so that the request is sent again.
+func (h *Host) liftVerdict(key string) bool {
 	number, err := strconv.ParseUint(key, 16, 64)
 	return err == nil && h.parts.Poison.Lift(keys.Request(number))
 }
