--- a/internal/front/fleet_test.go
+++ b/internal/front/fleet_test.go
@@ -246,8 +246,8 @@
 	f.store.restore(lostChanges)
 }
 
-// TestOldConfigurationFromBackupIsIgnored guards against a host that replaces the configuration in force by an older one
-// from a backup. The newest configuration is lost by the restore and not written again.
+// TestOldConfigurationFromBackupIsIgnored guards against a host that replaces the configuration in force by an older
+// one from a backup. The newest configuration is lost by the restore and not written again.
 func TestOldConfigurationFromBackupIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -321,9 +321,9 @@
 }
 
 // TestMassDrainCausesLittleTraffic guards against hosts that all fetch the whole directory from the few hosts that have
-// it, when a change is too large for a heartbeat: with 300 hosts and 3,000 endpoints the busiest host transferred 2.6 MB
-// a second, hosts learned of a leaving endpoint up to 5.0 s late, and endpoints got requests up to 4.0 s after they had
-// reported that they leave, where 3.7 s are allowed.
+// it, when a change is too large for a heartbeat: with 300 hosts and 3,000 endpoints the busiest host transferred 2.6
+// MB a second, hosts learned of a leaving endpoint up to 5.0 s late, and endpoints got requests up to 4.0 s after they
+// had reported that they leave, where 3.7 s are allowed.
 func TestMassDrainCausesLittleTraffic(t *testing.T) {
 	const (
 		hosts     = 30
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -89,8 +89,8 @@
 	// expireInterval is the mean time between two removals of expired state: idle connections, outdated loads of peers,
 	// holders of prefixes.
 	expireInterval = time.Second
-	// heapFraction is the fraction of the host's memory that the Go heap may use. The rest is for stacks, kernel buffers
-	// and the program itself. Hosts use 8 to 22 MB of 134 and 284 MB, far below the limit.
+	// heapFraction is the fraction of the host's memory that the Go heap may use. The rest is for stacks, kernel
+	// buffers and the program itself. Hosts with 134 and 284 MB peak at 8 to 22 MB, far below the limit.
 	heapFraction = 0.6
 	// stopMargin is the time left after the drain's limit to answer the callers of aborted requests.
 	stopMargin = 300 * time.Millisecond
@@ -234,8 +234,8 @@
 	Peers     string
 }
 
-// Addresses returns the addresses of the host's listeners after Start. A port that is 0 in the settings file is replaced
-// by the chosen port.
+// Addresses returns the addresses of the host's listeners after Start. A port that is 0 in the settings file is
+// replaced by the chosen port.
 func (h *Host) Addresses() Addresses {
 	bound := h.bound
 	bound.Peers = h.parts.Gossip.Address()
@@ -298,9 +298,9 @@
 	h.log.WithFields(logrus.Fields{"first_peers": config.FirstPeers, "store": config.Platform.Address}).Info("settings file read again")
 }
 
-// Stop stops the host gracefully and blocks until that is done. Readiness fails first. After the notice the host accepts
-// no connections and finishes the requests in flight. Requests that are still in flight at the drain's limit are aborted
-// and answered with an error.
+// Stop stops the host gracefully and blocks until that is done. Readiness fails first. After the notice the host
+// accepts no connections and finishes the requests in flight. Requests that are still in flight at the drain's limit
+// are aborted and answered with an error.
 func (h *Host) Stop(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, h.parts.Config.Drain.Limit)
 	defer cancel()
--- a/internal/front/leading.go
+++ b/internal/front/leading.go
@@ -154,7 +154,7 @@
 // isLeader reports whether this host is the leader.
 func (l *leadership) isLeader() bool { return l != nil && l.leader.Leads() }
 
-// resign gives up the lease if this host is the leader, so that another host can lead.
+// resign ends the leadership of this host for good, so that another host can lead.
 func (l *leadership) resign() {
 	if l != nil {
 		l.leader.Resign()
