--- a/internal/front/follow/follow.go
+++ b/internal/front/follow/follow.go
@@ -94,11 +94,11 @@
 }
 
 // callReason returns why a host waits for changes, for the counters.
-func callReason(duty Duty) counters.StoreCall {
+func callReason(duty Duty) counters.StoreCallReason {
 	if duty.Reads {
-		return counters.StoreReads
+		return counters.StoreCallRead
 	}
-	return counters.StoreAsks
+	return counters.StoreCallAsk
 }
 
 // callTimeout returns the timeout of a call that the store may hold for the given time.
@@ -136,7 +136,7 @@
 	// or 0 if the table must be loaded.
 	Position func() uint64
 	// CountCall counts a call by its reason.
-	CountCall func(counters.StoreCall)
+	CountCall func(counters.StoreCallReason)
 	// OnAnswer is called for each answer of the store, after the sink has received its contents.
 	OnAnswer func(freshness.Answer)
 }
@@ -289,7 +289,7 @@
 
 // load reads the whole table. The position is the revision known before.
 func (f *Follower[T]) load(ctx context.Context, position uint64) error {
-	f.parts.CountCall(counters.StoreLoads)
+	f.parts.CountCall(counters.StoreCallLoad)
 	sent := f.beginCall(0)
 	batch, err := f.parts.Source.Load(ctx)
 	if err == nil {
--- a/internal/front/followers.go
+++ b/internal/front/followers.go
@@ -75,12 +75,12 @@
 		settings: follow.New(follow.Parts[settings.Raw]{
 			Source: p.Deployment.Settings, Sink: p.Settings, Log: logging.Part(p.Log, "settings"), Clock: p.Clock, Random: p.Random,
 			Duty: p.dutyFunc(freshness.Settings), OnAnswer: p.onAnswer(freshness.Settings),
-			Position: func() uint64 { return p.Freshness.Revision(freshness.Settings) }, CountCall: p.Counters.CalledStore,
+			Position: func() uint64 { return p.Freshness.Revision(freshness.Settings) }, CountCall: p.Counters.CountStoreCall,
 		}),
 		endpoints: follow.New(follow.Parts[directory.Change]{
 			Source: p.Deployment.Endpoints, Sink: p.Endpoints, Log: logging.Part(p.Log, "endpoints"), Clock: p.Clock, Random: p.Random,
 			Duty: p.dutyFunc(freshness.Endpoints), OnAnswer: p.onAnswer(freshness.Endpoints),
-			CountCall: p.Counters.CalledStore,
+			CountCall: p.Counters.CountStoreCall,
 			// A change received from a peer may be newer than the confirmed revision.
 			Position: func() uint64 { return max(p.Freshness.Revision(freshness.Endpoints), p.Directory.Revision()) },
 		}),
--- a/internal/front/ratelimit/limiter.go
+++ b/internal/front/ratelimit/limiter.go
@@ -51,7 +51,7 @@
 	Lender *Lender
 	Peers  Peers
 	// CountPermit is called with the outcome of each Ask.
-	CountPermit func(counters.Permit)
+	CountPermit func(counters.PermitResult)
 	Log         *logrus.Entry
 	Clock       func() time.Time
 	// Random returns a number in [0, 1).
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -25,7 +25,7 @@
 
 // Accept rejects a change.
 func (storeChanges) Accept(context.Context, settings.Change) (uint64, error) {
-	return 0, &operator.ChangeError{Cause: operator.CauseAway, Detail: errSettingsElsewhere.Error()}
+	return 0, &operator.ChangeError{Cause: operator.CauseUnavailable, Detail: errSettingsElsewhere.Error()}
 }
 
 // Find returns an error, since this host keeps no list of changes.
--- a/internal/httprelay/json.go
+++ b/internal/httprelay/json.go
@@ -11,7 +11,7 @@
 // WriteJSON writes a value as JSON with a newline as the response. Durations are encoded as text such as "1.5s". The
 // encoding is deterministic.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
-	data, err := json.Marshal(value, strictjson.DurationTexts, json.Deterministic(true))
+	data, err := json.Marshal(value, strictjson.DurationMarshaler, json.Deterministic(true))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
