--- a/internal/front/leader/leader.go
+++ b/internal/front/leader/leader.go
@@ -49,8 +49,8 @@
 type Peers interface {
 	// Announce sends an announcement to all hosts.
 	Announce(Announcement)
-	// IsSettled reports whether this host knows its peers. Before returns the number of live hosts that come before it
-	// in an order that all hosts share.
+	// IsSettled reports whether this host knows its peers. HostsBefore returns the number of live hosts that come before
+	// it in an order that all hosts share.
 	IsSettled() bool
 	HostsBefore() int
 }
