--- a/internal/proof/demo/invariants.go
+++ b/internal/proof/demo/invariants.go
@@ -114,7 +114,7 @@
 func findWorkAfterRemoval(c *Cluster, _ *Report) []string {
 	var found []string
 	for endpoint, since := range c.outSince {
-		if late := c.Engines[endpoint].LastBegun().Sub(since); late > maxRemovalDelay {
+		if late := c.Engines[endpoint].LastStart().Sub(since); late > maxRemovalDelay {
 			found = append(found, fmt.Sprintf("%s began a request %s after it was taken out of use", endpoint, late))
 		}
 	}
--- a/internal/proof/replay/owner.go
+++ b/internal/proof/replay/owner.go
@@ -178,7 +178,7 @@
 	j.lastTokenAt = now
 	e.model.Submit(now, emulator.Request{
 		ID: j.id, Priority: j.policy.Tier, PromptTokens: j.event.Prompt, AnswerTokens: j.event.Answer,
-		Prefix: j.request.Prefix, Done: j.continuedFrom,
+		Prefix: j.request.Prefix, PartialTokens: j.continuedFrom,
 	})
 	sim.scheduleStep(e)
 }
--- a/internal/proof/standin/chat.go
+++ b/internal/proof/standin/chat.go
@@ -98,7 +98,7 @@
 	id := r.Header.Get("X-Request-Id")
 	e.mu.Lock()
 	faults := e.faults
-	refused := faults.Refuse || (done > 0 && !e.config.Continues)
+	refused := faults.Refuse || (done > 0 && !e.config.CanContinue)
 	if !refused {
 		e.submit(id, &body, prompt, done)
 	}
@@ -129,12 +129,12 @@
 		bound += done
 	}
 	e.model.Submit(time.Now(), emulator.Request{
-		ID:           id,
-		Priority:     body.Priority,
-		PromptTokens: prefix.Tokens(prompt),
-		AnswerTokens: answerLength(prompt, bound),
-		Prefix:       prefix.Hashes(body.CacheSalt, prompt),
-		Done:         done,
+		ID:            id,
+		Priority:      body.Priority,
+		PromptTokens:  prefix.Tokens(prompt),
+		AnswerTokens:  answerLength(prompt, bound),
+		Prefix:        prefix.Hashes(body.CacheSalt, prompt),
+		PartialTokens: done,
 	})
 	e.nudge()
 }
