--- a/internal/proof/emulator/engine.go
+++ b/internal/proof/emulator/engine.go
@@ -53,9 +53,9 @@
 	// Prefix is the hash of each leading part of the prompt of
 	// prefix.TokensPerPart tokens.
 	Prefix []uint64
-	// Done is the number of answer tokens that the prompt ends with, when the
+	// PartialTokens is the number of answer tokens that the prompt ends with, when the
 	// engine goes on from a part of an answer.
-	Done int
+	PartialTokens int
 }
 
 // Kind is what happened to a request.
@@ -112,12 +112,12 @@
 	stalled  bool
 	cache    *prefixCache
 	events   []Event
-	// Generated counts the tokens of answers, Read the prompt tokens read,
+	// AnswerTokensGenerated counts the tokens of answers, Read the prompt tokens read,
 	// Reused those that came from the cache.
-	Generated int
-	Read      int
-	Reused    int
-	busy      time.Duration
+	AnswerTokensGenerated int
+	PromptTokensRead      int
+	PromptTokensReused    int
+	busy                  time.Duration
 }
 
 // New returns an idle engine.
@@ -143,7 +143,7 @@
 func (e *Engine) Submit(now time.Time, request Request) {
 	e.Cancel(request.ID)
 	e.arrivals++
-	e.waiting = append(e.waiting, &sequence{request: request, arrival: e.arrivals, tokens: request.Done})
+	e.waiting = append(e.waiting, &sequence{request: request, arrival: e.arrivals, tokens: request.PartialTokens})
 	e.start(now)
 }
 
@@ -203,7 +203,7 @@
 			n := min(q.toRead, chunk)
 			chunk -= n
 			q.toRead -= n
-			e.Read += n
+			e.PromptTokensRead += n
 			if q.toRead > 0 || n == 0 {
 				kept = append(kept, q)
 				continue
@@ -211,7 +211,7 @@
 			e.cache.put(q.request.Prefix)
 		}
 		q.tokens++
-		e.Generated++
+		e.AnswerTokensGenerated++
 		if q.tokens >= q.request.AnswerTokens {
 			e.events = append(e.events, Event{Kind: Last, ID: q.request.ID, Tokens: q.tokens})
 			continue
@@ -293,7 +293,7 @@
 		memory += q.memory()
 		e.waiting = slices.Delete(e.waiting, best, best+1)
 		q.cached = min(e.cache.match(q.request.Prefix)*prefix.TokensPerPart, q.request.PromptTokens)
-		e.Reused += q.cached
+		e.PromptTokensReused += q.cached
 		// At least one token is read, so that the answer's first can follow.
 		q.toRead = max(1, q.memory()-q.cached)
 		e.running = append(e.running, q)
--- a/internal/proof/replay/owner.go
+++ b/internal/proof/replay/owner.go
@@ -171,7 +171,7 @@
 	j.lastToken = now
 	e.model.Submit(now, emulator.Request{
 		ID: j.id, Priority: j.policy.Tier, PromptTokens: j.event.Prompt, AnswerTokens: j.event.Answer,
-		Prefix: j.request.Prefix, Done: j.base,
+		Prefix: j.request.Prefix, PartialTokens: j.base,
 	})
 	sim.schedule(e)
 }
--- a/internal/proof/replay/report.go
+++ b/internal/proof/replay/report.go
@@ -92,7 +92,7 @@
 	r := &Result{Trace: sim.trace.Header.Name, Policy: sim.policyName, Violations: sim.violations}
 	wasted := sim.addClasses(r)
 	for _, e := range sim.engineList {
-		r.Generated += e.model.Generated
+		r.Generated += e.model.AnswerTokensGenerated
 	}
 	r.Wasted = float64(wasted) / math.Max(float64(r.Generated), 1)
 	r.Capacity = sim.capacity()
--- a/internal/proof/standin/chat.go
+++ b/internal/proof/standin/chat.go
@@ -129,12 +129,12 @@
 		bound += done
 	}
 	e.model.Submit(time.Now(), emulator.Request{
-		ID:           id,
-		Priority:     body.Priority,
-		PromptTokens: prefix.Tokens(prompt),
-		AnswerTokens: answerLength(prompt, bound),
-		Prefix:       prefix.Hashes(body.CacheSalt, prompt),
-		Done:         done,
+		ID:            id,
+		Priority:      body.Priority,
+		PromptTokens:  prefix.Tokens(prompt),
+		AnswerTokens:  answerLength(prompt, bound),
+		Prefix:        prefix.Hashes(body.CacheSalt, prompt),
+		PartialTokens: done,
 	})
 	e.nudge()
 }
--- a/internal/proof/standin/engine.go
+++ b/internal/proof/standin/engine.go
@@ -168,7 +168,7 @@
 func (e *Engine) Generated() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.model.Generated
+	return e.model.AnswerTokensGenerated
 }
 
 func (e *Engine) nudge() {
