--- a/cmd/oxbowslip-standin/main.go
+++ b/cmd/oxbowslip-standin/main.go
@@ -77,7 +77,7 @@
 
 func startEngine(command *engineCommand) error {
 	return standin.NewEngine(standin.EngineConfig{
-		Name: command.Listen, Model: command.Model, Continues: true,
+		Name: command.Listen, Model: command.Model, CanContinue: true,
 	}).Start(command.Listen)
 }
 
--- a/internal/proof/demo/cluster.go
+++ b/internal/proof/demo/cluster.go
@@ -160,7 +160,7 @@
 	for model, count := range c.Config.Engines {
 		for i := range count {
 			name := fmt.Sprintf("%s-%d", model, i+1)
-			engine := standin.NewEngine(standin.EngineConfig{Name: name, Model: model, Speed: c.Config.Speed, Continues: true})
+			engine := standin.NewEngine(standin.EngineConfig{Name: name, Model: model, Speed: c.Config.Speed, CanContinue: true})
 			if err := engine.Start("127.0.0.1:0"); err != nil {
 				return err
 			}
--- a/internal/proof/demo/invariants.go
+++ b/internal/proof/demo/invariants.go
@@ -115,7 +115,7 @@
 func findLateWork(c *Cluster, _ *Report) []string {
 	var found []string
 	for endpoint, since := range c.outSince {
-		if late := c.Engines[endpoint].LastBegun().Sub(since); late > outTime {
+		if late := c.Engines[endpoint].LastStart().Sub(since); late > outTime {
 			found = append(found, fmt.Sprintf("%s began a request %s after it was taken out of use", endpoint, late))
 		}
 	}
--- a/internal/proof/standin/chat.go
+++ b/internal/proof/standin/chat.go
@@ -98,7 +98,7 @@
 	id := r.Header.Get("X-Request-Id")
 	e.mu.Lock()
 	faults := e.faults
-	refused := faults.Refuse || (done > 0 && !e.config.Continues)
+	refused := faults.Refuse || (done > 0 && !e.config.CanContinue)
 	if !refused {
 		e.submit(id, &body, prompt, done)
 	}
--- a/internal/proof/standin/engine.go
+++ b/internal/proof/standin/engine.go
@@ -39,10 +39,10 @@
 	Name  string
 	Model string
 	Speed emulator.Config
-	// KeepStreams is how long an ended stream can be resumed.
-	KeepStreams time.Duration
-	// Continues is set if the engine goes on from a part of an answer.
-	Continues bool
+	// StreamRetention is how long an ended stream can be resumed.
+	StreamRetention time.Duration
+	// CanContinue is set if the engine goes on from a part of an answer.
+	CanContinue bool
 }
 
 const (
@@ -72,8 +72,8 @@
 	if config.Speed.MaxRunning == 0 {
 		config.Speed = emulator.DefaultConfig
 	}
-	if config.KeepStreams == 0 {
-		config.KeepStreams = defaultKeepStreams
+	if config.StreamRetention == 0 {
+		config.StreamRetention = defaultKeepStreams
 	}
 	return &Engine{
 		config:     config,
@@ -157,8 +157,8 @@
 	return maps.Clone(e.executions)
 }
 
-// LastBegun returns when the engine last began a request.
-func (e *Engine) LastBegun() time.Time {
+// LastStart returns when the engine last began a request.
+func (e *Engine) LastStart() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.lastBegun
@@ -228,7 +228,7 @@
 
 func (e *Engine) forgetStreams(now time.Time) {
 	for id, s := range e.streams {
-		if !s.endedAt.IsZero() && now.Sub(s.endedAt) > e.config.KeepStreams {
+		if !s.endedAt.IsZero() && now.Sub(s.endedAt) > e.config.StreamRetention {
 			delete(e.streams, id)
 		}
 	}
