--- a/internal/proof/emulator/cache.go
+++ b/internal/proof/emulator/cache.go
@@ -6,9 +6,7 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/prefix"
 )
 
-// prefixCache holds the prefixes of prompts that were read, the least recently
-// used first to go. One entry stands for prefix.TokensPerPart
-// tokens.
+// prefixCache is an LRU cache of prompt prefixes. An entry stands for prefix.TokensPerPart tokens.
 type prefixCache struct {
 	entries map[uint64]*list.Element
 	recent  *list.List
@@ -18,7 +16,7 @@
 	return &prefixCache{entries: make(map[uint64]*list.Element), recent: list.New()}
 }
 
-// match counts the leading entries that are in the cache.
+// match returns the number of leading hashes that are in the cache.
 func (c *prefixCache) match(hashes []uint64) int {
 	for i, hash := range hashes {
 		element, ok := c.entries[hash]
@@ -31,7 +29,7 @@
 }
 
 func (c *prefixCache) put(hashes []uint64) {
-	// The longest part is the first to go, so it is put in first.
+	// Longer prefixes are evicted first, so they are added first.
 	for i := len(hashes) - 1; i >= 0; i-- {
 		hash := hashes[i]
 		if element, ok := c.entries[hash]; ok {
@@ -42,7 +40,7 @@
 	}
 }
 
-// shrink drops the least recently used entries until the rest fits.
+// shrink evicts the least recently used entries until the others fit into the given number of tokens.
 func (c *prefixCache) shrink(tokens int) {
 	for c.recent.Len()*prefix.TokensPerPart > max(tokens, 0) && c.recent.Len() > 0 {
 		hash := c.recent.Remove(c.recent.Back()).(uint64)
--- a/internal/proof/emulator/engine.go
+++ b/internal/proof/emulator/engine.go
@@ -1,10 +1,9 @@
-// Package emulator models a model engine that batches continuously: it reads
-// prompts in chunks, generates one token a step for each running request, keeps
-// prompt prefixes in limited cache memory and serves higher priorities first.
+// Package emulator models a language-model engine with continuous batching. The engine processes prompts in chunks,
+// generates one token per step for each running request, caches prompt prefixes in limited memory and schedules
+// requests by priority.
 //
-// It does no input or output and keeps no clock: the owner asks Next for the
-// end of the step under way and calls Step at that time. Replays drive it in
-// virtual time, the stand-in server in real time.
+// It performs no I/O and has no clock. Its user calls Next for the end of the current step and calls Step at that time.
+// Replays run it in virtual time, the stand-in engine in real time.
 package emulator
 
 import (
@@ -14,24 +13,24 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/prefix"
 )
 
-// Config is an engine's speed and size.
+// Config is the speed and size of an engine.
 type Config struct {
-	// StepTime is the time of a step with no request.
+	// StepTime is the fixed part of a step's duration.
 	StepTime time.Duration
-	// PerRequest is what each running request adds to a step.
+	// PerRequest is added to a step's duration for each running request.
 	PerRequest time.Duration
-	// PerPromptToken is what each prompt token that is read adds to a step.
+	// PerPromptToken is added to a step's duration for each prompt token that it processes.
 	PerPromptToken time.Duration
-	// ChunkTokens bounds the prompt tokens read in one step.
+	// ChunkTokens is the maximum number of prompt tokens processed in a step.
 	ChunkTokens int
-	// MaxRunning bounds the batch.
+	// MaxRunning is the maximum batch size in requests.
 	MaxRunning int
-	// CacheTokens is the cache memory for prompts, answers and prefixes.
+	// CacheTokens is the cache memory for prompts, answers and prefixes, in tokens.
 	CacheTokens int
 }
 
-// DefaultConfig is an engine on one accelerator that generates about 370 tokens a
-// second at 48 ms between tokens with prompts of ordinary length.
+// DefaultConfig models an engine on one accelerator. With prompts of ordinary length, it generates about 370 tokens per
+// second at 48 ms between tokens.
 var DefaultConfig = Config{
 	StepTime:       18 * time.Millisecond,
 	PerRequest:     800 * time.Microsecond,
@@ -41,38 +40,35 @@
 	CacheTokens:    120_000,
 }
 
-// Request is one request as the engine sees it.
+// Request is a request to the engine.
 type Request struct {
 	ID string
-	// Priority orders waiting requests; lower runs first.
+	// Priority orders waiting requests. Lower values run first.
 	Priority int
-	// PromptTokens is the length of the prompt, AnswerTokens that of the answer
-	// that the model will generate.
+	// PromptTokens is the length of the prompt, AnswerTokens that of the answer to generate.
 	PromptTokens int
 	AnswerTokens int
-	// Prefix is the hash of each leading part of the prompt of
-	// prefix.TokensPerPart tokens.
+	// Prefix has a hash for each leading part of the prompt, in steps of prefix.TokensPerPart tokens.
 	Prefix []uint64
-	// PartialTokens is the number of answer tokens that the prompt ends with, when the
-	// engine goes on from a part of an answer.
+	// PartialTokens is the length of the partial answer that the engine continues, or 0.
 	PartialTokens int
 }
 
-// Kind is what happened to a request.
+// Kind is the kind of an event.
 type Kind uint8
 
 // The kinds of event.
 const (
-	// Token: one more token of the answer.
+	// Token reports another token of the answer.
 	Token Kind = iota
-	// Last: the last token; the request has ended.
+	// Last reports the last token and the end of the request.
 	Last
-	// Recompute: the request lost its cache memory and must start its prompt
-	// anew. Its tokens so far are kept.
+	// Recompute reports that the request lost its cache memory and its prompt must be processed again. It keeps the
+	// tokens generated so far.
 	Recompute
 )
 
-// Event is one thing that happened in a step.
+// Event is an event of a request during a step.
 type Event struct {
 	Kind Kind
 	ID   string
@@ -80,27 +76,27 @@
 	Tokens int
 }
 
-// Load is what an engine reports of itself.
+// Load is the load that an engine reports.
 type Load struct {
 	Running     int
 	Waiting     int
 	CacheTokens int
 }
 
-// sequence is a request inside the engine.
+// sequence is a running or waiting request.
 type sequence struct {
 	request Request
 	arrival int
-	// toRead is the part of the prompt that is not in the cache yet.
-	toRead int
-	// cached is the part that came from the prefix cache.
+	// unread is the number of tokens that must still be processed before the next answer token.
+	unread int
+	// cached is the number of prompt tokens that were found in the prefix cache.
 	cached int
 	tokens int
 }
 
 func (q *sequence) memory() int { return q.request.PromptTokens + q.tokens }
 
-// Engine is one engine.
+// Engine is an emulated engine. It is not safe for concurrent use.
 type Engine struct {
 	config   Config
 	running  []*sequence
@@ -112,8 +108,8 @@
 	stalled  bool
 	cache    *prefixCache
 	events   []Event
-	// AnswerTokensGenerated counts the tokens of answers, Read the prompt tokens read,
-	// Reused those that came from the cache.
+	// AnswerTokensGenerated counts the generated tokens, PromptTokensRead the processed prompt tokens and
+	// PromptTokensReused the prompt tokens found in the cache.
 	AnswerTokensGenerated int
 	PromptTokensRead      int
 	PromptTokensReused    int
@@ -125,13 +121,13 @@
 	return &Engine{config: config, slow: 1, cache: newPrefixCache()}
 }
 
-// Busy is the time spent in steps so far.
+// Busy returns the total duration of all steps started so far.
 func (e *Engine) Busy() time.Duration { return e.busy }
 
-// SetSlow makes every step take factor times as long; 1 is normal.
+// SetSlow multiplies the duration of every further step by factor.
 func (e *Engine) SetSlow(factor float64) { e.slow = factor }
 
-// SetStalled stops the engine from ending steps while on.
+// SetStalled stalls the engine, or resumes it by restarting the current step. A stalled engine completes no steps.
 func (e *Engine) SetStalled(now time.Time, stalled bool) {
 	e.stalled = stalled
 	if !stalled && e.stepping {
@@ -139,7 +135,7 @@
 	}
 }
 
-// Submit adds a request. A request with the ID of one inside replaces it.
+// Submit adds a request. It replaces a request with the same ID.
 func (e *Engine) Submit(now time.Time, request Request) {
 	e.Cancel(request.ID)
 	e.arrivals++
@@ -147,7 +143,7 @@
 	e.start(now)
 }
 
-// Cancel drops a request and reports whether it was inside.
+// Cancel removes a request and reports whether the engine had it.
 func (e *Engine) Cancel(id string) bool {
 	match := func(q *sequence) bool { return q.request.ID == id }
 	before := len(e.running) + len(e.waiting)
@@ -156,8 +152,7 @@
 	return len(e.running)+len(e.waiting) < before
 }
 
-// Crash drops everything and returns the IDs of the requests that were lost, in
-// order of their start.
+// Crash drops all requests and the prefix cache. It returns the IDs of the lost requests, running ones first.
 func (e *Engine) Crash() []string {
 	var lost []string
 	for _, q := range append(e.running, e.waiting...) {
@@ -169,19 +164,18 @@
 	return lost
 }
 
-// Load reports the engine's load now.
+// Load returns the engine's current load.
 func (e *Engine) Load() Load {
 	return Load{Running: len(e.running), Waiting: len(e.waiting), CacheTokens: e.memory()}
 }
 
-// Next returns when the step under way ends. It reports false if the engine is
-// idle or stalled.
+// Next returns the end of the current step. It reports false if the engine is idle or stalled.
 func (e *Engine) Next() (time.Time, bool) {
 	return e.stepEnd, e.stepping && !e.stalled
 }
 
-// Step ends the step under way, starts the next, and returns what happened. The
-// slice is valid until the next call.
+// Step completes the current step if its end has been reached, starts the next one and returns the events. The slice is
+// valid until the next call.
 func (e *Engine) Step(now time.Time) []Event {
 	e.events = e.events[:0]
 	if !e.stepping || e.stalled || now.Before(e.stepEnd) {
@@ -193,18 +187,18 @@
 	return e.events
 }
 
-// advance does the work of one step: one chunk of prompts, one token for each
-// request whose prompt is read.
+// advance executes one step. It processes one chunk of prompts and generates one token for each request whose prompt is
+// completely processed.
 func (e *Engine) advance() {
 	chunk := e.config.ChunkTokens
 	kept := e.running[:0]
 	for _, q := range e.running {
-		if q.toRead > 0 {
-			n := min(q.toRead, chunk)
+		if q.unread > 0 {
+			n := min(q.unread, chunk)
 			chunk -= n
-			q.toRead -= n
+			q.unread -= n
 			e.PromptTokensRead += n
-			if q.toRead > 0 || n == 0 {
+			if q.unread > 0 || n == 0 {
 				kept = append(kept, q)
 				continue
 			}
@@ -221,19 +215,20 @@
 	}
 	clear(e.running[len(kept):])
 	e.running = kept
-	e.makeSpace()
+	e.evict()
 }
 
-// makeSpace frees cache memory: prefixes first, then the running request with
-// the lowest priority that came last, which starts its prompt anew later.
-func (e *Engine) makeSpace() {
+// evict frees cache memory. It preempts running requests until the others fit: those of the lowest priority first, and
+// the most recent first among equals. A preempted request waits and processes its prompt again. Cached prefixes keep
+// only the memory that running requests leave.
+func (e *Engine) evict() {
 	for e.memory() > e.config.CacheTokens {
 		if len(e.running) <= 1 {
 			return
 		}
 		victim := 0
 		for i, q := range e.running {
-			if e.running[victim].first(q) {
+			if e.running[victim].precedes(q) {
 				victim = i
 			}
 		}
@@ -245,15 +240,15 @@
 	e.cache.shrink(e.config.CacheTokens - e.memory())
 }
 
-// first reports whether q goes before other.
-func (q *sequence) first(other *sequence) bool {
+// precedes reports whether q is scheduled before other.
+func (q *sequence) precedes(other *sequence) bool {
 	if q.request.Priority != other.request.Priority {
 		return q.request.Priority < other.request.Priority
 	}
 	return q.arrival < other.arrival
 }
 
-// memory is the cache memory that running requests hold.
+// memory returns the cache memory that running requests hold, in tokens.
 func (e *Engine) memory() int {
 	total := 0
 	for _, q := range e.running {
@@ -262,12 +257,12 @@
 	return total
 }
 
-// start fills the batch and begins a step if there is anything to do.
+// start fills the batch and starts a step unless the engine is idle.
 func (e *Engine) start(now time.Time) {
 	if e.stepping {
 		return
 	}
-	e.fill()
+	e.fillBatch()
 	if len(e.running) == 0 {
 		return
 	}
@@ -277,12 +272,12 @@
 	e.stepEnd = now.Add(length)
 }
 
-func (e *Engine) fill() {
+func (e *Engine) fillBatch() {
 	memory := e.memory()
 	for len(e.waiting) > 0 && len(e.running) < e.config.MaxRunning {
 		best := 0
 		for i, q := range e.waiting {
-			if q.first(e.waiting[best]) {
+			if q.precedes(e.waiting[best]) {
 				best = i
 			}
 		}
@@ -294,20 +289,20 @@
 		e.waiting = slices.Delete(e.waiting, best, best+1)
 		q.cached = min(e.cache.match(q.request.Prefix)*prefix.TokensPerPart, q.request.PromptTokens)
 		e.PromptTokensReused += q.cached
-		// At least one token is read, so that the answer's first can follow.
-		q.toRead = max(1, q.memory()-q.cached)
+		// At least one token must be processed before the first token of the answer.
+		q.unread = max(1, q.memory()-q.cached)
 		e.running = append(e.running, q)
 	}
 }
 
 func (e *Engine) stepTime() time.Duration {
-	reading := 0
+	promptTokens := 0
 	for _, q := range e.running {
-		reading += q.toRead
+		promptTokens += q.unread
 	}
-	reading = min(reading, e.config.ChunkTokens)
+	promptTokens = min(promptTokens, e.config.ChunkTokens)
 	length := e.config.StepTime +
 		time.Duration(len(e.running))*e.config.PerRequest +
-		time.Duration(reading)*e.config.PerPromptToken
+		time.Duration(promptTokens)*e.config.PerPromptToken
 	return time.Duration(float64(length) * e.slow)
 }
--- a/internal/proof/standin/answer.go
+++ b/internal/proof/standin/answer.go
@@ -11,25 +11,24 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// answerText is the answer of a stand-in to a prompt: words that carry
-// a tag made from the prompt and their place, so that a missing, doubled or
-// foreign word shows.
+// answerText is the answer to a prompt. Each word contains a hash of the prompt and the word's index, so that missing,
+// repeated and misdirected words can be detected.
 type answerText struct {
 	tag string
 }
 
-// AnswerTag returns the tag of a prompt's answer. The prompt is the raw JSON of
-// the messages, without a part of an answer to go on from.
+// answerTag returns the tag of a prompt's answer. The prompt is the raw JSON of the messages, without a partial answer
+// that the engine is to continue.
 func answerTag(messages []byte) string {
 	hash := fnv.New32a()
 	hash.Write(messages)
 	return fmt.Sprintf("%08x", hash.Sum32())
 }
 
-// word returns the n-th word, counted from 1.
+// word returns the n-th word, starting from 1.
 func (a answerText) word(n int) string { return a.tag + "." + strconv.Itoa(n) + " " }
 
-// Answer returns the whole answer of so many words to a prompt.
+// Answer returns the complete answer to a prompt, with the given number of words.
 func Answer(messages []byte, words int) string {
 	text := answerText{tag: answerTag(messages)}
 	var b strings.Builder
@@ -39,27 +38,26 @@
 	return b.String()
 }
 
-// lengthMark lets a caller choose the length of the answer, as a real prompt
-// does without saying so.
-var lengthMark = regexp.MustCompile(`answer_tokens=([0-9]+)`)
+// lengthMarker lets a prompt set the length of its answer. With a real model, the length depends on the prompt as well.
+var lengthMarker = regexp.MustCompile(`answer_tokens=([0-9]+)`)
 
-// The lengths of answers to prompts without a mark.
+// Answers to prompts without a length marker have minAnswerTokens to minAnswerTokens + answerTokensSpan - 1 words.
 const (
-	leastAnswer = 16
-	answerSpan  = 112
+	minAnswerTokens  = 16
+	answerTokensSpan = 112
 )
 
-// answerLength returns the number of words of a prompt's answer.
+// answerLength returns the number of words in a prompt's answer. A bound of 0 means no bound.
 func answerLength(messages []byte, bound int) int {
 	length := 0
-	if found := lengthMark.FindSubmatch(messages); found != nil {
-		// The pattern allows digits only; a number that is too large is bounded.
+	if found := lengthMarker.FindSubmatch(messages); found != nil {
+		// The pattern matches only digits. Atoi returns the largest int for a number out of range.
 		length, _ = strconv.Atoi(string(found[1]))
 	}
 	if length == 0 {
 		hash := fnv.New32a()
 		hash.Write(messages)
-		length = leastAnswer + int(hash.Sum32()%answerSpan)
+		length = minAnswerTokens + int(hash.Sum32()%answerTokensSpan)
 	}
 	if bound > 0 {
 		length = min(length, bound)
@@ -67,7 +65,7 @@
 	return max(1, length)
 }
 
-// chatRequest is what the stand-in reads of a chat request.
+// chatRequest holds the fields of a chat request that the stand-in uses.
 type chatRequest struct {
 	Model                string           `json:"model"`
 	Messages             []jsontext.Value `json:"messages"`
@@ -85,19 +83,19 @@
 	Rest    jsontext.Value `json:",embed"`
 }
 
-// split removes a part of an answer off the end of the messages. It returns the
-// prompt and the number of words of the part.
-func (r *chatRequest) split() ([]byte, int, error) {
+// splitPrompt removes a partial answer from the end of the messages. It returns the prompt and the number of words in
+// the partial answer.
+func (r *chatRequest) splitPrompt() ([]byte, int, error) {
 	messages := r.Messages
-	done := 0
+	partial := 0
 	if r.ContinueFinalMessage && len(messages) > 0 {
 		var last chatMessage
 		if err := json.Unmarshal(messages[len(messages)-1], &last); err != nil {
 			return nil, 0, err
 		}
-		done = len(strings.Fields(last.Content))
+		partial = len(strings.Fields(last.Content))
 		messages = messages[:len(messages)-1]
 	}
 	prompt, err := json.Marshal(messages)
-	return prompt, done, err
+	return prompt, partial, err
 }
--- a/internal/proof/standin/chat.go
+++ b/internal/proof/standin/chat.go
@@ -20,7 +20,7 @@
 	endMark         = "[DONE]"
 )
 
-// Chunk is one event of a stream.
+// Chunk is an event of a stream.
 type Chunk struct {
 	ID      string        `json:"id"`
 	Object  string        `json:"object"`
@@ -35,12 +35,12 @@
 	FinishReason string `json:"finish_reason,omitzero"`
 }
 
-// Delta is new text.
+// Delta is the text added by a chunk.
 type Delta struct {
 	Content string `json:"content,omitzero"`
 }
 
-// Completion is a unary answer.
+// Completion is a non-streaming answer.
 type Completion struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -49,7 +49,7 @@
 	Usage   Usage              `json:"usage"`
 }
 
-// CompletionChoice is the text of a unary answer.
+// CompletionChoice is the text of a non-streaming answer.
 type CompletionChoice struct {
 	Index        int               `json:"index"`
 	Message      CompletionMessage `json:"message"`
@@ -68,8 +68,7 @@
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-// engineError is an error answer. Ran "no" says that the engine did not start
-// the request.
+// engineError is an error answer. Ran is "no" if the engine did not start the request.
 type engineError struct {
 	Error engineErrorDetail `json:"error"`
 }
@@ -79,7 +78,7 @@
 	Ran     string `json:"ran,omitzero"`
 }
 
-// chat runs one request.
+// chat handles a chat request.
 func (e *Engine) chat(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxRequestBytes))
 	if err != nil {
@@ -90,7 +89,7 @@
 		httprelay.WriteJSON(w, http.StatusBadRequest, engineError{engineErrorDetail{Message: err.Error()}})
 		return
 	}
-	prompt, done, err := body.split()
+	prompt, partial, err := body.splitPrompt()
 	if err != nil {
 		httprelay.WriteJSON(w, http.StatusBadRequest, engineError{engineErrorDetail{Message: err.Error()}})
 		return
@@ -98,9 +97,9 @@
 	id := r.Header.Get("X-Request-Id")
 	e.mu.Lock()
 	faults := e.faults
-	refused := faults.Refuse || (done > 0 && !e.config.CanContinue)
+	refused := faults.Refuse || (partial > 0 && !e.config.CanContinue)
 	if !refused {
-		e.submit(id, &body, prompt, done)
+		e.submit(id, &body, prompt, partial)
 	}
 	s := e.streams[id]
 	e.mu.Unlock()
@@ -111,22 +110,22 @@
 	if faults.DropAfterReading {
 		panic(http.ErrAbortHandler)
 	}
-	defer e.leave(r, id, s)
+	defer e.releaseStream(r, id, s)
 	if body.Stream {
-		e.write(w, r, s, done, faults)
+		e.writeStream(w, r, s, partial, faults)
 		return
 	}
-	e.writeWhole(w, r, s, len(prompt), faults)
+	e.writeCompletion(w, r, s, len(prompt), faults)
 }
 
-// submit starts a request in the model.
-func (e *Engine) submit(id string, body *chatRequest, prompt []byte, done int) {
+// submit starts a request in the model. The caller must hold the lock.
+func (e *Engine) submit(id string, body *chatRequest, prompt []byte, partial int) {
 	e.executions[id]++
-	e.lastBegun = time.Now()
-	e.streams[id] = newStream(id, answerText{tag: answerTag(prompt)}, done)
+	e.lastStart = time.Now()
+	e.streams[id] = newStream(id, answerText{tag: answerTag(prompt)}, partial)
 	bound := body.MaxTokens
 	if bound > 0 {
-		bound += done
+		bound += partial
 	}
 	e.model.Submit(time.Now(), emulator.Request{
 		ID:            id,
@@ -134,14 +133,14 @@
 		PromptTokens:  prefix.Tokens(prompt),
 		AnswerTokens:  answerLength(prompt, bound),
 		Prefix:        prefix.Hashes(body.CacheSalt, prompt),
-		PartialTokens: done,
+		PartialTokens: partial,
 	})
-	e.nudge()
+	e.wakeModel()
 }
 
-// leave cancels a request whose caller went away. A connection that the stand-in
-// broke itself leaves the request running, to be resumed.
-func (e *Engine) leave(r *http.Request, id string, s *stream) {
+// releaseStream cancels a request whose caller closed the connection. If the stand-in aborted the connection, the
+// request continues and its stream can be resumed.
+func (e *Engine) releaseStream(r *http.Request, id string, s *stream) {
 	if r.Context().Err() == nil {
 		return
 	}
@@ -150,14 +149,14 @@
 	if e.streams[id] != s {
 		return
 	}
-	if _, state, _ := s.look(); state == streamOpen {
+	if _, state, _ := s.snapshot(); state == streamOpen {
 		e.model.Cancel(id)
 		delete(e.streams, id)
 	}
 }
 
-// write sends a stream's events after the first so many words.
-func (e *Engine) write(w http.ResponseWriter, r *http.Request, s *stream, sent int, faults EngineFaults) {
+// writeStream sends the events of a stream that follow the first sent words.
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, s *stream, sent int, faults EngineFaults) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	control := http.NewResponseController(w)
@@ -168,21 +167,21 @@
 	start := sent
 	var buffer []byte
 	for {
-		tokens, state, changed := s.look()
+		tokens, state, changed := s.snapshot()
 		for sent < tokens {
 			sent++
-			last := state == streamWhole && sent == tokens
+			last := state == streamComplete && sent == tokens
 			buffer = e.appendChunk(buffer[:0], id, s.text.word(sent), sent, last)
 			if _, err := w.Write(buffer); err != nil {
 				return
 			}
 			if faults.BreakAfter > 0 && sent-start >= faults.BreakAfter {
-				// What was written may still leave before the cut.
+				// Sends the buffered events before the connection is aborted.
 				_ = control.Flush()
 				panic(http.ErrAbortHandler)
 			}
 		}
-		if !e.keepsStreaming(w, state) {
+		if !e.continueStream(w, state) {
 			return
 		}
 		if err := control.Flush(); err != nil {
@@ -196,11 +195,11 @@
 	}
 }
 
-// keepsStreaming ends a stream that is whole or lost, and reports whether it goes on.
-func (e *Engine) keepsStreaming(w http.ResponseWriter, state streamState) bool {
+// continueStream ends the answer of a complete or lost stream. It reports whether the stream continues.
+func (e *Engine) continueStream(w http.ResponseWriter, state streamState) bool {
 	switch state {
-	case streamWhole:
-		// A failed write means that the reader is gone.
+	case streamComplete:
+		// The error is ignored: the caller may have closed the connection.
 		_, _ = io.WriteString(w, "data: "+endMark+"\n\n")
 		return false
 	case streamLost:
@@ -229,12 +228,12 @@
 	return append(buffer, "\n\n"...)
 }
 
-// writeWhole waits for the whole answer and sends it.
-func (e *Engine) writeWhole(w http.ResponseWriter, r *http.Request, s *stream, promptBytes int, faults EngineFaults) {
+// writeCompletion waits for the complete answer and sends it.
+func (e *Engine) writeCompletion(w http.ResponseWriter, r *http.Request, s *stream, promptBytes int, faults EngineFaults) {
 	for {
-		tokens, state, changed := s.look()
+		tokens, state, changed := s.snapshot()
 		switch state {
-		case streamWhole:
+		case streamComplete:
 			e.sendCompletion(w, s, tokens, promptBytes, faults)
 			return
 		case streamLost:
@@ -275,11 +274,11 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
-	// Half of what the length promises: the server breaks the connection.
+	// The body is shorter than its Content-Length, so the server closes the connection.
 	_, _ = w.Write(data[:len(data)/2])
 }
 
-// resume sends the rest of a stream after the event that the reader saw last.
+// resume sends the events of a stream after the last event that the caller received.
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	s, ok := e.streams[mux.Vars(r)["id"]]
@@ -290,8 +289,8 @@
 		httprelay.WriteJSON(w, http.StatusNotFound, engineError{engineErrorDetail{Message: "no such stream"}})
 		return
 	}
-	defer e.leave(r, s.id, s)
-	e.write(w, r, s, after, faults)
+	defer e.releaseStream(r, s.id, s)
+	e.writeStream(w, r, s, after, faults)
 }
 
 func (e *Engine) models(w http.ResponseWriter, _ *http.Request) {
--- a/internal/proof/standin/engine.go
+++ b/internal/proof/standin/engine.go
@@ -14,34 +14,32 @@
 	"oxbowslip.dev/oxbowslip/internal/proof/emulator"
 )
 
-// EngineFaults are the faults that an engine stand-in shows while they are set.
+// EngineFaults are the faults that an engine injects while they are set.
 type EngineFaults struct {
-	// Slow makes every step take this many times as long; 0 means normal.
+	// Slow multiplies the duration of every step; 0 means 1.
 	Slow float64 `json:"slow,omitzero"`
 	// Stall stops all steps.
 	Stall bool `json:"stall,omitzero"`
-	// DropAfterReading reads a request and closes the connection. The request
-	// runs all the same.
+	// DropAfterReading closes the connection after reading the request, and still runs it.
 	DropAfterReading bool `json:"drop_after_reading,omitzero"`
-	// Refuse answers 503 and says that the request was not started.
+	// Refuse answers 503 and reports that the request was not started.
 	Refuse bool `json:"refuse,omitzero"`
-	// BreakAfter cuts each stream's connection after so many tokens; the stream
-	// itself goes on and can be resumed.
+	// BreakAfter aborts the connection of each stream after this many tokens. The stream continues and can be resumed.
 	BreakAfter int `json:"break_after,omitzero"`
-	// CutAnswer sends only a part of a unary answer.
+	// CutAnswer truncates non-streaming answers.
 	CutAnswer bool `json:"cut_answer,omitzero"`
-	// WrongID answers with another request's ID.
+	// WrongID answers with the ID of another request.
 	WrongID bool `json:"wrong_id,omitzero"`
 }
 
-// EngineConfig is what an engine stand-in is.
+// EngineConfig configures an engine.
 type EngineConfig struct {
 	Name  string
 	Model string
 	Speed emulator.Config
-	// StreamRetention is how long an ended stream can be resumed.
+	// StreamRetention is how long a completed stream can be resumed.
 	StreamRetention time.Duration
-	// CanContinue is set if the engine goes on from a part of an answer.
+	// CanContinue is set if the engine accepts requests to continue a partial answer.
 	CanContinue bool
 }
 
@@ -49,7 +47,7 @@
 	defaultKeepStreams = 30 * time.Second
 )
 
-// Engine is a stand-in for a model engine.
+// Engine is a stand-in for a model engine. It runs an emulator.Engine in real time.
 type Engine struct {
 	config EngineConfig
 	server *http.Server
@@ -61,13 +59,13 @@
 	faults     EngineFaults
 	streams    map[string]*stream
 	executions map[string]int
-	lastBegun  time.Time
+	lastStart  time.Time
 	wake       chan struct{}
 	done       chan struct{}
 	stopped    chan struct{}
 }
 
-// NewEngine returns an engine that does not listen yet.
+// NewEngine returns an engine that is not started.
 func NewEngine(config EngineConfig) *Engine {
 	if config.Speed.MaxRunning == 0 {
 		config.Speed = emulator.DefaultConfig
@@ -84,8 +82,7 @@
 	}
 }
 
-// Start listens on an address; port 0 picks a free one, and a later Start
-// takes the same again.
+// Start listens on an address. Port 0 selects a free port. Later calls reuse the address of the first one.
 func (e *Engine) Start(address string) error {
 	if e.address != "" {
 		address = e.address
@@ -100,7 +97,7 @@
 	router.HandleFunc("/v1/streams/{id}", e.resume).Methods(http.MethodGet)
 	router.HandleFunc("/standin/faults", e.setFaults).Methods(http.MethodPost)
 	e.address = listener.Addr().String()
-	e.server = &http.Server{Handler: router, ReadHeaderTimeout: headerTime}
+	e.server = &http.Server{Handler: router, ReadHeaderTimeout: headerTimeout}
 	e.crashed = false
 	e.done = make(chan struct{})
 	e.stopped = make(chan struct{})
@@ -109,16 +106,16 @@
 	return nil
 }
 
-const headerTime = 10 * time.Second
+const headerTimeout = 10 * time.Second
 
-// serve ends when the server is closed, and then its error says just that.
+// serve runs a server until it is closed. The error of Serve is ignored, as it only reports the close.
 func serve(server *http.Server, listener net.Listener) { _ = server.Serve(listener) }
 
-// Address is where the engine listens.
+// Address returns the address that the engine listens on.
 func (e *Engine) Address() string { return e.address }
 
-// Crash ends the engine at once: its connections break, and what it ran is
-// lost. Start brings it back, empty. A crashed engine may be crashed again.
+// Crash closes the engine's connections and drops its requests. Start restarts it without requests. Crash has no effect
+// on a crashed engine.
 func (e *Engine) Crash() {
 	if e.crashed {
 		return
@@ -136,7 +133,7 @@
 	}
 }
 
-// SetFaults replaces the faults that the engine shows.
+// SetFaults replaces the engine's faults.
 func (e *Engine) SetFaults(f EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -147,35 +144,35 @@
 	}
 	e.model.SetSlow(slow)
 	e.model.SetStalled(time.Now(), f.Stall)
-	e.nudge()
+	e.wakeModel()
 }
 
-// Executions returns how often each request was begun, by request ID.
+// Executions returns how often each request was started, by request ID.
 func (e *Engine) Executions() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return maps.Clone(e.executions)
 }
 
-// LastStart returns when the engine last began a request.
+// LastStart returns the time at which the engine last started a request.
 func (e *Engine) LastStart() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.lastBegun
+	return e.lastStart
 }
 
-// Generated counts the tokens of all answers.
+// Generated returns the number of answer tokens generated so far.
 func (e *Engine) Generated() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.model.AnswerTokensGenerated
 }
 
-func (e *Engine) nudge() {
+func (e *Engine) wakeModel() {
 	lifetime.Wake(e.wake)
 }
 
-// run drives the model in real time.
+// run advances the model in real time until done is closed.
 func (e *Engine) run(done, stopped chan struct{}) {
 	defer close(stopped)
 	timer := time.NewTimer(time.Hour)
@@ -192,8 +189,7 @@
 	}
 }
 
-// idleWait is how long an engine with nothing to do sleeps, if nothing wakes
-// it.
+// idleWait is how long an idle engine sleeps unless it is woken.
 const idleWait = 250 * time.Millisecond
 
 func (e *Engine) step() time.Duration {
@@ -203,7 +199,7 @@
 	for _, event := range e.model.Step(now) {
 		e.deliver(now, event)
 	}
-	e.forgetStreams(now)
+	e.expireStreams(now)
 	next, ok := e.model.Next()
 	if !ok {
 		return idleWait
@@ -222,11 +218,11 @@
 	case emulator.Last:
 		s.advance(event.Tokens)
 		s.endedAt = now
-		s.end(streamWhole)
+		s.end(streamComplete)
 	}
 }
 
-func (e *Engine) forgetStreams(now time.Time) {
+func (e *Engine) expireStreams(now time.Time) {
 	for id, s := range e.streams {
 		if !s.endedAt.IsZero() && now.Sub(s.endedAt) > e.config.StreamRetention {
 			delete(e.streams, id)
--- a/internal/proof/standin/platform.go
+++ b/internal/proof/standin/platform.go
@@ -17,30 +17,29 @@
 	"oxbowslip.dev/oxbowslip/internal/httprelay"
 )
 
-// PlatformFaults are the faults that the platform stand-in shows while they
-// are set.
+// PlatformFaults are the faults that the platform injects while they are set.
 type PlatformFaults struct {
-	// Down breaks every connection before anything is done.
+	// Down aborts every connection before the call is executed.
 	Down bool `json:"down,omitzero"`
-	// Slow comes before every answer.
+	// Slow delays every answer.
 	Slow time.Duration `json:"-"`
-	// LoseAnswers does what a write asks and then breaks the connection.
+	// LoseAnswers executes writes and aborts the connection without an answer.
 	LoseAnswers bool `json:"lose_answers,omitzero"`
 }
 
-// Calls counts what the platform was asked.
+// Calls counts the calls to the platform.
 type Calls struct {
 	Reads  int
 	Writes int
 }
 
-// PlatformConfig is how the platform stand-in behaves.
+// PlatformConfig configures a platform.
 type PlatformConfig struct {
-	// HostLag is the age of the list of hosts.
+	// HostLag is the delay after which readers receive a changed list of hosts.
 	HostLag time.Duration
 }
 
-// Platform is a stand-in for the platform's service.
+// Platform is a stand-in for the platform's table service. It is safe for concurrent use.
 type Platform struct {
 	config  PlatformConfig
 	server  *http.Server
@@ -60,12 +59,12 @@
 	hosts []tableclient.Host
 }
 
-// NewPlatform returns a platform that does not listen yet.
+// NewPlatform returns a platform that is not started.
 func NewPlatform(config PlatformConfig) *Platform {
 	return &Platform{config: config, rows: make(map[string]tableclient.Row), objects: make(map[string][]byte)}
 }
 
-// Start listens on an address; port 0 picks a free one.
+// Start listens on an address. Port 0 selects a free port.
 func (p *Platform) Start(address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -80,73 +79,73 @@
 	router.HandleFunc(tableclient.PathHosts, p.listHosts).Methods(http.MethodGet)
 	router.HandleFunc("/standin/faults", p.setFaults).Methods(http.MethodPost)
 	p.address = listener.Addr().String()
-	p.server = &http.Server{Handler: p.withFaults(router), ReadHeaderTimeout: headerTime}
+	p.server = &http.Server{Handler: p.withFaults(router), ReadHeaderTimeout: headerTimeout}
 	go serve(p.server, listener)
 	return nil
 }
 
-// Address is where the platform listens.
+// Address returns the address that the platform listens on.
 func (p *Platform) Address() string { return p.address }
 
-// Close ends the platform.
+// Close stops the platform and closes its connections.
 func (p *Platform) Close() { p.server.Close() }
 
-// SetFaults replaces the faults that the platform shows.
+// SetFaults replaces the platform's faults.
 func (p *Platform) SetFaults(f PlatformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
 }
 
-// Calls returns what the platform was asked so far.
+// Calls returns the number of calls so far.
 func (p *Platform) Calls() Calls {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-// SetHosts changes the list of hosts; readers see it after the lag.
+// SetHosts changes the list of hosts. Readers receive it after HostLag.
 func (p *Platform) SetHosts(hosts []tableclient.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hosts = append(p.hosts, hostVersion{time.Now(), hosts})
 }
 
-// Commit does a transaction from inside the process.
+// Commit executes a transaction without a call over the network.
 func (p *Platform) Commit(t tableclient.Transaction) ([]tableclient.Row, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.apply(t)
 }
 
-// Put stores an object from inside the process.
+// Put stores an object without a call over the network.
 func (p *Platform) Put(name string, data []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.objects[name] = data
 }
 
-// withFaults shows the faults around the real work.
+// withFaults injects the faults around the handler.
 func (p *Platform) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/standin/") {
 			next.ServeHTTP(w, r)
 			return
 		}
-		faults := p.count(r.Method)
+		faults := p.countCall(r.Method)
 		if faults.Down {
 			panic(http.ErrAbortHandler)
 		}
 		time.Sleep(faults.Slow)
 		if faults.LoseAnswers && r.Method != http.MethodGet {
-			next.ServeHTTP(discard{header: make(http.Header)}, r)
+			next.ServeHTTP(discardWriter{header: make(http.Header)}, r)
 			panic(http.ErrAbortHandler)
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-func (p *Platform) count(method string) PlatformFaults {
+func (p *Platform) countCall(method string) PlatformFaults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if method == http.MethodGet {
@@ -157,12 +156,12 @@
 	return p.faults
 }
 
-// discard swallows an answer that gets lost.
-type discard struct{ header http.Header }
+// discardWriter is a ResponseWriter that discards the answer.
+type discardWriter struct{ header http.Header }
 
-func (d discard) Header() http.Header         { return d.header }
-func (d discard) Write(b []byte) (int, error) { return len(b), nil }
-func (d discard) WriteHeader(int)             {}
+func (d discardWriter) Header() http.Header         { return d.header }
+func (d discardWriter) Write(b []byte) (int, error) { return len(b), nil }
+func (d discardWriter) WriteHeader(int)             {}
 
 func (p *Platform) read(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
@@ -209,8 +208,8 @@
 	httprelay.WriteJSON(w, status, tableclient.Conflict{Rows: rows})
 }
 
-// apply does a transaction if all its conditions hold; else it returns the rows
-// in the way.
+// apply executes a transaction if all its conditions hold. Otherwise it returns the conflicting rows. The caller must
+// hold the lock.
 func (p *Platform) apply(t tableclient.Transaction) ([]tableclient.Row, bool) {
 	rows := []tableclient.Row{}
 	for _, condition := range t.If {
@@ -245,14 +244,14 @@
 		http.Error(w, "no such object", http.StatusNotFound)
 		return
 	}
-	// A write that fails means that the reader is gone.
+	// The error is ignored: the caller may have closed the connection.
 	_, _ = w.Write(data)
 }
 
 func (p *Platform) putObject(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(r.Body)
 	if err != nil {
-		http.Error(w, "object broken off", http.StatusBadRequest)
+		http.Error(w, "object truncated", http.StatusBadRequest)
 		return
 	}
 	p.Put(unescape(mux.Vars(r)["name"]), data)
@@ -270,7 +269,7 @@
 	httprelay.WriteJSON(w, http.StatusOK, list)
 }
 
-// platformFaultsBody is the JSON form of the faults, with the delay as text.
+// platformFaultsBody is the JSON form of PlatformFaults, with the delay as text.
 type platformFaultsBody struct {
 	Down        bool   `json:"down"`
 	Slow        string `json:"slow"`
--- a/internal/proof/standin/seed.go
+++ b/internal/proof/standin/seed.go
@@ -10,7 +10,7 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// Seed puts a settings tree on the platform as revision 1.
+// Seed stores a settings tree on the platform as revision 1.
 func (p *Platform) Seed(tree *settings.Tree) error {
 	name := poller.SnapshotName(1, "seed")
 	data, err := settings.Encode(tree)
@@ -29,8 +29,7 @@
 	return nil
 }
 
-// unescape undoes the escaping of a path's element; one that is malformed
-// names nothing.
+// unescape decodes an element of a path. It returns an empty text for a malformed one.
 func unescape(element string) string {
 	text, err := url.PathUnescape(element)
 	if err != nil {
--- a/internal/proof/standin/service.go
+++ b/internal/proof/standin/service.go
@@ -12,21 +12,19 @@
 	"time"
 )
 
-// ServiceFaults are the faults that a service stand-in shows while they are
-// set.
+// ServiceFaults are the faults that a service injects while they are set.
 type ServiceFaults struct {
-	// DropAfterReading runs a call and closes the connection unanswered.
+	// DropAfterReading executes the call and aborts the connection without an answer.
 	DropAfterReading bool
-	// CutAnswer sends half of the answer.
+	// CutAnswer truncates answers to half their length.
 	CutAnswer bool
-	// Refuse answers 503 and says that the call was not started.
+	// Refuse answers 503 and reports that the call was not started.
 	Refuse bool
-	// Delay comes before each answer.
+	// Delay delays every answer.
 	Delay time.Duration
 }
 
-// Service is a stand-in for a plain service. It counts executions by request
-// ID and answers with what it was sent.
+// Service is a stand-in for a plain service. It echoes requests and counts executions by request ID.
 type Service struct {
 	server  *http.Server
 	address string
@@ -36,12 +34,12 @@
 	faults     ServiceFaults
 }
 
-// NewService returns a service that does not listen yet.
+// NewService returns a service that is not started.
 func NewService() *Service {
 	return &Service{executions: make(map[string]int)}
 }
 
-// Start listens on an address; port 0 picks a free one.
+// Start listens on an address. Port 0 selects a free port. Later calls reuse the address of the first one.
 func (s *Service) Start(address string) error {
 	if s.address != "" {
 		address = s.address
@@ -51,32 +49,32 @@
 		return fmt.Errorf("service stand-in: %w", err)
 	}
 	s.address = listener.Addr().String()
-	s.server = &http.Server{Handler: http.HandlerFunc(s.answer), ReadHeaderTimeout: headerTime}
+	s.server = &http.Server{Handler: http.HandlerFunc(s.answer), ReadHeaderTimeout: headerTimeout}
 	go serve(s.server, listener)
 	return nil
 }
 
-// Address is where the service listens.
+// Address returns the address that the service listens on.
 func (s *Service) Address() string { return s.address }
 
-// Close ends the service.
+// Close stops the service and closes its connections.
 func (s *Service) Close() { s.server.Close() }
 
-// SetFaults replaces the faults that the service shows.
+// SetFaults replaces the service's faults.
 func (s *Service) SetFaults(f ServiceFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Executions returns how often each call ran, by request ID.
+// Executions returns how often each call was executed, by request ID.
 func (s *Service) Executions() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.executions)
 }
 
-// begin counts an execution and returns the faults to show.
+// begin counts an execution and returns the faults to inject.
 func (s *Service) begin(id string) ServiceFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +84,7 @@
 	return s.faults
 }
 
-// answer runs a call: it sends back the method, the path and the body.
+// answer executes a call. The answer repeats its method, URI and body, or has the length given by the query's size.
 func (s *Service) answer(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -110,7 +108,7 @@
 	if faults.CutAnswer {
 		answer = answer[:len(answer)/2]
 	}
-	// A write that fails means that the caller is gone.
+	// The error is ignored: the caller may have closed the connection.
 	_, _ = io.WriteString(w, answer)
 }
 
--- a/internal/proof/standin/standin.go
+++ b/internal/proof/standin/standin.go
@@ -1,5 +1,7 @@
-// Package standin serves the outside systems that oxbowslipd works with, over their published
-// protocols: model engines, plain services and the platform's table service. It is for tests,
-// the demonstration and cmd/oxbowslip-standin. The stand-ins of the users' platform are in
-// platform/proof/standin, since only that folder may know its names.
+// Package standin provides stand-ins for the external systems that oxbowslipd uses: model engines, plain services and
+// the platform's table service. They serve the published protocols and can inject faults. Tests, the demonstration and
+// cmd/oxbowslip-standin use them.
+//
+// The stand-ins for the users' platform are in platform/proof/standin, since names of that platform are allowed only in
+// folder platform.
 package standin
--- a/internal/proof/standin/stream.go
+++ b/internal/proof/standin/stream.go
@@ -5,18 +5,17 @@
 	"time"
 )
 
-// streamState is how a stream stands.
+// streamState is the state of a stream.
 type streamState uint8
 
 const (
 	streamOpen streamState = iota
-	streamWhole
-	// streamLost: the engine lost it.
+	streamComplete
+	// streamLost means that the engine crashed.
 	streamLost
 )
 
-// stream is an answer as it grows. Its text is a function of the prompt, so
-// that any reader can check it.
+// stream is an answer that is being generated. Its text depends only on the prompt, so any reader can check it.
 type stream struct {
 	id   string
 	text answerText
@@ -25,8 +24,7 @@
 	tokens  int
 	state   streamState
 	changed chan struct{}
-	// first is the first token that this engine generates, when it goes on
-	// from a part of an answer.
+	// first is the number of tokens in the partial answer that the engine continues.
 	first   int
 	endedAt time.Time
 }
@@ -39,7 +37,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tokens = tokens
-	s.signal()
+	s.notify()
 }
 
 func (s *stream) end(state streamState) {
@@ -48,16 +46,16 @@
 	if s.state == streamOpen {
 		s.state = state
 	}
-	s.signal()
+	s.notify()
 }
 
-func (s *stream) signal() {
+func (s *stream) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// look returns the state and a channel that is closed when it changes.
-func (s *stream) look() (int, streamState, <-chan struct{}) {
+// snapshot returns the number of tokens, the state and a channel that is closed when either changes.
+func (s *stream) snapshot() (int, streamState, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tokens, s.state, s.changed
