--- a/internal/daemon/api/chat.go
+++ b/internal/daemon/api/chat.go
@@ -143,7 +143,7 @@
 		Body:   bytes.NewReader(data),
 		Length: int64(len(data)),
 		Once:   !c.policy.Repeatable,
-		OnSend: a.Sent,
+		OnSend: a.RecordSend,
 	}, nil
 }
 
@@ -172,10 +172,10 @@
 	case gjson.GetBytes(data, "id").String() != chatIDPrefix+x.caller.id:
 		return owner.Result{Event: request.EventWrongAnswer, Err: errors.New("answer to another request")}
 	}
-	if !a.Deliver() {
+	if !a.StartDelivery() {
 		return owner.Result{Event: request.EventBroken}
 	}
-	a.Tokens(int(gjson.GetBytes(data, "usage.completion_tokens").Int()))
+	a.RecordTokens(int(gjson.GetBytes(data, "usage.completion_tokens").Int()))
 	x.answer = &httprelay.HeldAnswer{Status: response.StatusCode, Header: response.Header, Body: data}
 	return owner.Result{Event: request.EventWhole}
 }
@@ -190,7 +190,7 @@
 	if status >= http.StatusInternalServerError || status == http.StatusTooManyRequests || status == http.StatusRequestTimeout {
 		return owner.Result{Event: request.EventBroken, Err: errors.New("endpoint answered " + response.Status)}
 	}
-	if !a.Deliver() {
+	if !a.StartDelivery() {
 		return owner.Result{Event: request.EventBroken}
 	}
 	x.answer = &httprelay.HeldAnswer{Status: status, Header: response.Header, Body: data}
--- a/internal/daemon/api/service.go
+++ b/internal/daemon/api/service.go
@@ -145,7 +145,7 @@
 	if x.caller.policy.Repeatable && isGatewayStatus(response.StatusCode) {
 		return owner.Result{Event: request.EventBroken, Err: errors.New("service answered " + response.Status)}
 	}
-	if !a.Deliver() {
+	if !a.StartDelivery() {
 		return owner.Result{Event: request.EventBroken}
 	}
 	if len(head) < heldBytes {
@@ -178,7 +178,7 @@
 	}
 	return httpclient.Call{
 		Address: a.Endpoint.Address, Method: x.r.Method, Path: x.path, Header: header,
-		Body: body, Length: length, Once: !x.caller.policy.Repeatable, OnSend: a.Sent,
+		Body: body, Length: length, Once: !x.caller.policy.Repeatable, OnSend: a.RecordSend,
 	}
 }
 
--- a/internal/daemon/api/stream.go
+++ b/internal/daemon/api/stream.go
@@ -90,7 +90,7 @@
 	if chunk[0].Str != r.chunkID {
 		return owner.Result{Event: request.EventWrongAnswer, Err: errors.New("chunk of another request")}, false
 	}
-	if !a.Deliver() {
+	if !a.StartDelivery() {
 		return owner.Result{Event: request.EventBroken}, false
 	}
 	if err := r.write(event.Data); err != nil {
@@ -100,7 +100,7 @@
 	if chunk[1].Str != "" {
 		r.parts.WriteString(chunk[1].Str)
 		r.tokens++
-		a.Tokens(r.tokens)
+		a.RecordTokens(r.tokens)
 	}
 	return owner.Result{}, true
 }
@@ -115,7 +115,7 @@
 
 // finish sends the end mark. It is sent only here.
 func (r *streamRelay) finish(a *owner.Attempt) owner.Result {
-	if !a.Deliver() {
+	if !a.StartDelivery() {
 		return owner.Result{Event: request.EventBroken}
 	}
 	if err := r.write(endMark); err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -98,7 +98,7 @@
 		Tree:    d.tree, Status: d.Status,
 	}).HTTP()
 	d.listeners = listen.New(d.log)
-	p.Counters.Gauge("oxbowslip_open_requests", func() float64 { return float64(p.Owner.Open()) })
+	p.Counters.Gauge("oxbowslip_open_requests", func() float64 { return float64(p.Owner.OpenJobs()) })
 	p.Counters.Gauge("oxbowslip_takeovers", func() float64 { return float64(p.Fleet.Takeovers()) })
 	p.Counters.Gauge("oxbowslip_settings_revision", func() float64 { return float64(d.parts.Holder.Number()) })
 	return d
@@ -145,7 +145,7 @@
 func (d *Daemon) OperatorsAddress() string { return d.operatorsAddress }
 
 // Open counts the requests under way.
-func (d *Daemon) Open() int { return d.parts.Owner.Open() }
+func (d *Daemon) Open() int { return d.parts.Owner.OpenJobs() }
 
 // Revision is the number of the settings in force, or 0.
 func (d *Daemon) Revision() uint64 { return d.parts.Holder.Number() }
@@ -171,7 +171,7 @@
 	}()
 	d.draining.Store(true)
 	d.parts.Fleet.Leave()
-	d.log.WithField("open", d.parts.Owner.Open()).Info("draining")
+	d.log.WithField("open", d.parts.Owner.OpenJobs()).Info("draining")
 	select {
 	case <-time.After(d.parts.Config.Drain.Notice):
 	case <-ctx.Done():
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -43,7 +43,7 @@
 	problem := d.Problem()
 	status := operator.Status{
 		Host: d.parts.Config.Name, Zone: d.parts.Config.Zone, Version: version.Version, Revision: d.parts.Holder.Number(), Ready: problem == "",
-		Problem: problem, Open: d.parts.Owner.Open(), Now: time.Now(), Schedulers: d.parts.Fleet.Schedulers(),
+		Problem: problem, Open: d.parts.Owner.OpenJobs(), Now: time.Now(), Schedulers: d.parts.Fleet.Schedulers(),
 		Refusals: d.parts.Counters.RefusalsByReason(),
 	}
 	for _, name := range d.shards.Names() {
--- a/internal/front/aggregate/aggregate.go
+++ b/internal/front/aggregate/aggregate.go
@@ -31,14 +31,14 @@
 // Work is the work of one host or of several together.
 type Work struct {
 	Loads   map[keys.Endpoint]placement.Load
-	Engines placement.Observed
+	Engines placement.EngineReports
 	// Holders are prefixes that were lately sent to endpoints.
 	Holders []placement.Holder
 }
 
 // newWork returns the work of no host.
 func newWork() Work {
-	return Work{Loads: make(map[keys.Endpoint]placement.Load), Engines: make(placement.Observed)}
+	return Work{Loads: make(map[keys.Endpoint]placement.Load), Engines: make(placement.EngineReports)}
 }
 
 // add adds the loads and what is known of engines.
--- a/internal/front/aggregate/aggregate_test.go
+++ b/internal/front/aggregate/aggregate_test.go
@@ -113,7 +113,7 @@
 func TestDemandIsAddedUp(t *testing.T) {
 	c := qt.New(t)
 	report := func(rate, samples, requests float64) Work {
-		return Work{Engines: placement.Observed{1: {
+		return Work{Engines: placement.EngineReports{1: {
 			Figures: engine.Figures{ReadRate: engine.Figure{Value: rate, Samples: samples}},
 			Traffic: engine.Traffic{2: {Requests: requests}},
 		}}}
--- a/internal/front/capacity/capacity_test.go
+++ b/internal/front/capacity/capacity_test.go
@@ -265,7 +265,7 @@
 			for _, span := range test.spans {
 				for range span.seconds * 5 {
 					now = now.Add(200 * time.Millisecond)
-					s.Observe(now, engine.Load{Reading: span.reading})
+					s.Observe(now, engine.Load{BusyEngines: span.reading})
 				}
 			}
 			qt.Check(t, s.Need, qt.Equals, test.want)
--- a/internal/front/capacity/size.go
+++ b/internal/front/capacity/size.go
@@ -45,7 +45,7 @@
 
 // Observe takes the work of all hosts now, and returns how many endpoints are needed.
 func (s *Size) Observe(now time.Time, load engine.Load) int {
-	s.samples = append(s.samples, sample{at: now, need: ceilDiv(int(load.Reading*100), int(mostReading*100))})
+	s.samples = append(s.samples, sample{at: now, need: ceilDiv(int(load.BusyEngines*100), int(mostReading*100))})
 	for len(s.samples) > 0 && now.Sub(s.samples[0].at) > holdTime {
 		s.samples = s.samples[1:]
 	}
--- a/internal/front/engine/engine_test.go
+++ b/internal/front/engine/engine_test.go
@@ -24,14 +24,14 @@
 // relay lets a service observe a number of streams of an engine, some beside a long prompt.
 func (m machine) relay(s *Service, streams int) {
 	for n := range streams {
-		s.Began(4000, ms(4000/m.rate))
+		s.RecordFirstEvent(4000, ms(4000/m.rate))
 		longest, beside := m.event, 0
 		if n%3 == 0 {
 			// Twice as many tokens as fill all steps.
 			longest, beside = (m.event+m.read/m.rate)*(1+pauseGrowth), int(2*m.read)
 		}
-		s.Decide(start.Add(time.Duration(n-streams)*time.Second), &Fleet{Endpoints: 9, Hosts: 1})
-		s.Streamed(Stream{Events: 20, Lasted: ms(18*m.event + longest), Longest: ms(longest), Beside: beside})
+		s.Refresh(start.Add(time.Duration(n-streams)*time.Second), &Fleet{Endpoints: 9, Hosts: 1})
+		s.RecordStream(Stream{Events: 20, Duration: ms(18*m.event + longest), LongestPause: ms(longest), UnreadBeside: beside})
 	}
 }
 
@@ -47,7 +47,7 @@
 			c := qt.New(t)
 			s := NewService()
 			m.relay(s, 200)
-			s.Decide(start, &Fleet{Endpoints: 9, Slots: 64, Hosts: 1})
+			s.Refresh(start, &Fleet{Endpoints: 9, Slots: 64, Hosts: 1})
 			f := s.Figures()
 			for what, pair := range map[string][2]float64{
 				"rate": {f.ReadRate.Value, m.rate}, "event": {f.EventTime.Value, m.event}, "read": {f.EventRead.Value, m.read},
@@ -66,9 +66,9 @@
 		if n%10 == 0 {
 			took = 10_000
 		}
-		s.Began(4000, ms(took))
+		s.RecordFirstEvent(4000, ms(took))
 	}
-	s.Decide(start, &Fleet{Endpoints: 9, Hosts: 1})
+	s.Refresh(start, &Fleet{Endpoints: 9, Hosts: 1})
 	rate := s.Figures().ReadRate.Value
 	qt.Check(t, rate > 30 && rate < 50, qt.IsTrue, qt.Commentf("%v", rate))
 }
@@ -89,9 +89,9 @@
 		t.Run(name, func(t *testing.T) {
 			pause := f.Pause(test.unread, 1)
 			qt.Check(t, pause.Round(time.Millisecond), qt.Equals, test.pause)
-			harm := f.Harm(test.unread, ms(200))
+			harm := f.MissProb(test.unread, ms(200))
 			qt.Check(t, harm >= test.least && harm <= test.most, qt.IsTrue, qt.Commentf("%v", harm))
-			qt.Check(t, f.Harm(test.unread, 0), qt.Equals, 0.0)
+			qt.Check(t, f.MissProb(test.unread, 0), qt.Equals, 0.0)
 		})
 	}
 }
@@ -106,14 +106,14 @@
 func exams(s *Service, essays, hints int) {
 	s.sent.since = start.Add(-time.Hour)
 	for range essays * int(trafficTime/time.Second) {
-		s.Arrived(start, Arrival{Class: essay, Prompt: 9000, Unread: 5000})
-		s.Ended(essay)
+		s.RecordArrival(start, Arrival{Class: essay, Prompt: 9000, Unread: 5000})
+		s.RecordEnd(essay)
 	}
 	for range hints * int(trafficTime/time.Second) {
-		s.Arrived(start, Arrival{Class: hint, Prompt: 800, Unread: 800})
+		s.RecordArrival(start, Arrival{Class: hint, Prompt: 800, Unread: 800})
 	}
 	for range hints * int(trafficTime/time.Second) * 2 / 3 {
-		s.Ended(hint)
+		s.RecordEnd(hint)
 	}
 }
 
@@ -145,8 +145,8 @@
 			s := NewService()
 			exams(s, test.essays, test.hints)
 			test.fleet.Hosts = 1
-			s.Decide(start, &test.fleet)
-			qt.Check(t, s.Short() >= test.least && s.Short() <= test.most, qt.IsTrue, qt.Commentf("%d", s.Short()))
+			s.Refresh(start, &test.fleet)
+			qt.Check(t, s.ShortEndpoints() >= test.least && s.ShortEndpoints() <= test.most, qt.IsTrue, qt.Commentf("%d", s.ShortEndpoints()))
 			qt.Check(t, s.IsLong(essay), qt.Equals, test.most > 0)
 			qt.Check(t, s.IsLong(hint), qt.IsFalse)
 		})
@@ -168,11 +168,11 @@
 		}
 	}
 	for _, host := range hosts {
-		host.Decide(start, &Fleet{Endpoints: 9, Slots: 64, Hosts: 3, Targets: examTargets})
-		c.Check(host.Short(), qt.Equals, hosts[0].Short())
+		host.Refresh(start, &Fleet{Endpoints: 9, Slots: 64, Hosts: 3, Targets: examTargets})
+		c.Check(host.ShortEndpoints(), qt.Equals, hosts[0].ShortEndpoints())
 		c.Check(host.IsLong(essay), qt.IsTrue)
 	}
-	c.Check(hosts[0].Short() > 0, qt.IsTrue)
+	c.Check(hosts[0].ShortEndpoints() > 0, qt.IsTrue)
 }
 
 // TestTheSplitShrinksSlowly lets the number of endpoints that would be best fall to two, from five.
@@ -197,17 +197,17 @@
 	s := NewService()
 	exams(s, 16, 32)
 	fleet := Fleet{Endpoints: 9, Slots: 64, Hosts: 1, Targets: examTargets}
-	s.Decide(start, &fleet)
+	s.Refresh(start, &fleet)
 	own := s.Split()
 	c.Assert(own.Long, qt.DeepEquals, []keys.Class{essay})
 	adopted := Split{Short: own.Short + 3, Long: []keys.Class{essay}}
 	c.Check(s.Adopt(start, adopted), qt.IsTrue)
 	c.Check(s.Adopt(start, adopted), qt.IsFalse)
-	s.Decide(start.Add(SumTimeout-1), &fleet)
+	s.Refresh(start.Add(SumTimeout-1), &fleet)
 	c.Check(s.Split(), qt.DeepEquals, adopted, qt.Commentf("it decides nothing meanwhile"))
-	s.Decide(start.Add(SumTimeout+shrinkAfter+refreshInterval), &fleet)
-	s.Decide(start.Add(SumTimeout+2*shrinkAfter+2*refreshInterval), &fleet)
-	c.Check(s.Short() < adopted.Short, qt.IsTrue, qt.Commentf("without the other one it decides again"))
+	s.Refresh(start.Add(SumTimeout+shrinkAfter+refreshInterval), &fleet)
+	s.Refresh(start.Add(SumTimeout+2*shrinkAfter+2*refreshInterval), &fleet)
+	c.Check(s.ShortEndpoints() < adopted.Short, qt.IsTrue, qt.Commentf("without the other one it decides again"))
 }
 
 // TestSumsTakeThePlaceOfOwnTraffic has a host that saw nothing decide from what all hosts saw.
@@ -218,7 +218,7 @@
 	s := NewService()
 	s.SetSum(start, others.Report(start))
 	fleet := Fleet{Endpoints: 9, Slots: 64, Hosts: 300, Targets: examTargets}
-	s.Decide(start, &fleet)
+	s.Refresh(start, &fleet)
 	c.Check(s.IsLong(essay), qt.IsTrue)
 	c.Check(s.allTraffic(start, 300)[essay].Requests, qt.Equals, others.allTraffic(start, 1)[essay].Requests)
 	c.Check(s.allTraffic(start.Add(SumTimeout), 300), qt.HasLen, 0, qt.Commentf("too old"))
@@ -259,9 +259,9 @@
 			s.SetSum(start, Report{Figures: s.own, Traffic: Traffic{
 				draft: demand(drafts, 17_000, 2), report: demand(180, 9200, 1), question: demand(260, 1460, 1.3),
 			}})
-			s.Decide(start, fleet)
+			s.Refresh(start, fleet)
 			c.Check(s.Split().Long, qt.DeepEquals, []keys.Class{draft, report})
-			c.Check(s.Short() >= 20 && s.Short() <= 107, qt.IsTrue, qt.Commentf("%d", s.Short()))
+			c.Check(s.ShortEndpoints() >= 20 && s.ShortEndpoints() <= 107, qt.IsTrue, qt.Commentf("%d", s.ShortEndpoints()))
 		})
 	}
 }
@@ -275,7 +275,7 @@
 			s := NewService()
 			exams(s, 16, 32)
 			s.sent.since = start.Add(-since)
-			s.Decide(start, &Fleet{Endpoints: 90, Slots: 64, Hosts: 1, Targets: examTargets})
+			s.Refresh(start, &Fleet{Endpoints: 90, Slots: 64, Hosts: 1, Targets: examTargets})
 			c.Assert(s.IsLong(essay), qt.IsTrue)
 			c.Check(s.cutUntil, qt.Equals, start.Add(stays))
 		})
@@ -307,21 +307,21 @@
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "later")))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				s.Began(rapid.Int().Draw(t, "unread"), time.Duration(duration.Draw(t, "took")))
+				s.RecordFirstEvent(rapid.Int().Draw(t, "unread"), time.Duration(duration.Draw(t, "took")))
 			case 1:
-				s.Streamed(Stream{
-					Events: rapid.Int().Draw(t, "events"), Lasted: time.Duration(duration.Draw(t, "lasted")),
-					Longest: time.Duration(duration.Draw(t, "longest")), Beside: rapid.Int().Draw(t, "beside"),
+				s.RecordStream(Stream{
+					Events: rapid.Int().Draw(t, "events"), Duration: time.Duration(duration.Draw(t, "lasted")),
+					LongestPause: time.Duration(duration.Draw(t, "longest")), UnreadBeside: rapid.Int().Draw(t, "beside"),
 				})
 			case 2:
-				s.Arrived(now, Arrival{Class: essay, Prompt: rapid.IntRange(0, 1e6).Draw(t, "prompt"), Unread: rapid.IntRange(0, 1e6).Draw(t, "toRead")})
+				s.RecordArrival(now, Arrival{Class: essay, Prompt: rapid.IntRange(0, 1e6).Draw(t, "prompt"), Unread: rapid.IntRange(0, 1e6).Draw(t, "toRead")})
 			case 3:
-				s.Ended(essay)
+				s.RecordEnd(essay)
 			case 4:
 				figure := Figure{Value: rapid.Float64().Draw(t, "value"), Samples: rapid.Float64().Draw(t, "samples")}
 				s.SetPeer("p", Report{Figures: Figures{ReadRate: figure, EventTime: figure, EventRead: figure}})
 			}
-			s.Decide(now, &Fleet{Endpoints: 9, Slots: 64, Hosts: 2, Targets: examTargets})
+			s.Refresh(now, &Fleet{Endpoints: 9, Slots: 64, Hosts: 2, Targets: examTargets})
 		}
 		f := s.Figures()
 		for _, pair := range [][2]float64{{f.ReadRate.Value, firstReadRate}, {f.EventTime.Value, firstEventTime}, {f.EventRead.Value, firstEventRead}} {
@@ -330,11 +330,11 @@
 			}
 		}
 		for _, unread := range []int{-1, 0, 1000, math.MaxInt32} {
-			if harm := f.Harm(unread, ms(200)); !(harm >= 0 && harm <= 1) {
+			if harm := f.MissProb(unread, ms(200)); !(harm >= 0 && harm <= 1) {
 				t.Fatalf("harm %v", harm)
 			}
 		}
-		if short := s.Short(); short < 0 || short >= 9 {
+		if short := s.ShortEndpoints(); short < 0 || short >= 9 {
 			t.Fatalf("%d endpoints for short prompts", short)
 		}
 	})
--- a/internal/front/engine/model.go
+++ b/internal/front/engine/model.go
@@ -71,9 +71,9 @@
 // distribution.
 const pauseSpread = 0.05
 
-// Harm returns the chance, from 0 to 1, that a stream with a target for pauses misses it if a number of
+// MissProb returns the chance, from 0 to 1, that a stream with a target for pauses misses it if a number of
 // prompt tokens is read beside it. Each time that the tokens fill the steps of an event, it pauses once.
-func (f *Figures) Harm(unread int, target time.Duration) float64 {
+func (f *Figures) MissProb(unread int, target time.Duration) float64 {
 	return f.harmAmong(unread, 1, target)
 }
 
--- a/internal/front/engine/service.go
+++ b/internal/front/engine/service.go
@@ -9,12 +9,12 @@
 // Stream is what a host saw of a stream that ended whole.
 type Stream struct {
 	// Events is their number, and Lasted the time from the first to the last.
-	Events int
-	Lasted time.Duration
-	// Longest is the longest pause between two of them, Beside the prompt tokens that the endpoint had
+	Events   int
+	Duration time.Duration
+	// LongestPause is the longest pause between two of them, Beside the prompt tokens that the endpoint had
 	// to read when it ended, as far as this host knew.
-	Longest time.Duration
-	Beside  int
+	LongestPause time.Duration
+	UnreadBeside int
 }
 
 // Service is what a host knows of the engines and the traffic of one service.
@@ -72,21 +72,21 @@
 // read: most run beside something.
 const besideNothing = 0.25
 
-// Began observes the first event of a stream that came a time after the call was sent, with a number of
+// RecordFirstEvent observes the first event of a stream that came a time after the call was sent, with a number of
 // prompt tokens that the endpoint had to read for it, and none waiting before them.
-func (s *Service) Began(unread int, took time.Duration) {
+func (s *Service) RecordFirstEvent(unread int, took time.Duration) {
 	if unread < minRead {
 		return
 	}
 	s.own.ReadRate.observe(float64(unread)/milliseconds(took), undisturbed, firstReadRate)
 }
 
-// Streamed observes a stream that ended whole.
-func (s *Service) Streamed(stream Stream) {
+// RecordStream observes a stream that ended whole.
+func (s *Service) RecordStream(stream Stream) {
 	if rest := stream.Events - 2; rest > 1 {
-		s.own.EventTime.observe(milliseconds(stream.Lasted-stream.Longest)/float64(rest), besideNothing, firstEventTime)
+		s.own.EventTime.observe(milliseconds(stream.Duration-stream.LongestPause)/float64(rest), besideNothing, firstEventTime)
 	}
-	s.observeEventRead(float64(stream.Beside), milliseconds(stream.Longest))
+	s.observeEventRead(float64(stream.UnreadBeside), milliseconds(stream.LongestPause))
 }
 
 const (
@@ -152,8 +152,8 @@
 // Load is the work of a service at all hosts.
 type Load struct {
 	// Requests are those that come in a second, Reading is how many engines would read all the time.
-	Requests float64
-	Reading  float64
+	Requests    float64
+	BusyEngines float64
 	// Open is the number of open requests.
 	Open float64
 }
@@ -163,7 +163,7 @@
 	var load Load
 	for _, d := range s.allTraffic(now, hosts) {
 		load.Requests += d.Requests / trafficTime.Seconds()
-		load.Reading += d.Unread / milliseconds(trafficTime) / s.merged.ReadRate.Value
+		load.BusyEngines += d.Unread / milliseconds(trafficTime) / s.merged.ReadRate.Value
 		load.Open += d.Open
 	}
 	return load
@@ -173,9 +173,9 @@
 // heartbeats.
 const refreshInterval = 100 * time.Millisecond
 
-// Decide puts the figures of all hosts together and decides the split, if that is due. It reports whether
+// Refresh puts the figures of all hosts together and decides the split, if that is due. It reports whether
 // the split has changed.
-func (s *Service) Decide(now time.Time, fleet *Fleet) bool {
+func (s *Service) Refresh(now time.Time, fleet *Fleet) bool {
 	if now.Before(s.refreshAt) {
 		return false
 	}
--- a/internal/front/engine/split.go
+++ b/internal/front/engine/split.go
@@ -64,8 +64,8 @@
 	shrinkAfter = 5 * time.Second
 )
 
-// Short returns how many endpoints are kept for short classes.
-func (s *Service) Short() int { return s.short }
+// ShortEndpoints returns how many endpoints are kept for short classes.
+func (s *Service) ShortEndpoints() int { return s.short }
 
 // LongClasses returns how many classes are long.
 func (s *Service) LongClasses() int { return len(s.long) }
@@ -262,10 +262,10 @@
 	return s.short
 }
 
-// HarmTo returns the chance that the tightest of the short classes misses its target if a number of prompt
+// ShortMissProb returns the chance that the tightest of the short classes misses its target if a number of prompt
 // tokens is read beside its streams.
-func (s *Service) HarmTo(unread int) float64 { return s.merged.Harm(unread, s.tightest) }
+func (s *Service) ShortMissProb(unread int) float64 { return s.merged.MissProb(unread, s.tightest) }
 
-// ShortMixed returns the chance that a short stream misses its target at an endpoint for long prompts that
+// MixedMissProb returns the chance that a short stream misses its target at an endpoint for long prompts that
 // has a number of prompt tokens to read.
-func (s *Service) ShortMixed(unread int) float64 { return max(s.met, s.HarmTo(unread)) }
+func (s *Service) MixedMissProb(unread int) float64 { return max(s.met, s.ShortMissProb(unread)) }
--- a/internal/front/engine/traffic.go
+++ b/internal/front/engine/traffic.go
@@ -92,8 +92,8 @@
 	return steady
 }
 
-// Arrived counts a request that this host sends.
-func (s *Service) Arrived(now time.Time, a Arrival) {
+// RecordArrival counts a request that this host sends.
+func (s *Service) RecordArrival(now time.Time, a Arrival) {
 	if s.sent.since.IsZero() {
 		s.sent.since = now
 	}
@@ -101,15 +101,15 @@
 	s.sent.traffic.add(a.Class, &Demand{Requests: 1, Prompt: float64(a.Prompt), Unread: float64(a.Unread), Open: 1})
 }
 
-// Refused counts a request that this host refused for lack of room: it belongs to what the endpoints are
+// RecordRefusal counts a request that this host refused for lack of room: it belongs to what the endpoints are
 // divided by.
-func (s *Service) Refused(now time.Time, a Arrival) {
-	s.Arrived(now, a)
-	s.Ended(a.Class)
+func (s *Service) RecordRefusal(now time.Time, a Arrival) {
+	s.RecordArrival(now, a)
+	s.RecordEnd(a.Class)
 }
 
-// Ended counts the end of a request that this host sent.
-func (s *Service) Ended(class keys.Class) {
+// RecordEnd counts the end of a request that this host sent.
+func (s *Service) RecordEnd(class keys.Class) {
 	s.sent.traffic.add(class, &Demand{Open: -1})
 }
 
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -308,7 +308,7 @@
 	ctx, cancel := context.WithTimeout(ctx, h.parts.Config.Drain.Limit)
 	defer cancel()
 	h.leaving.Store(true)
-	h.log.WithField("open", h.parts.Owner.Open()).Info("leaving")
+	h.log.WithField("open", h.parts.Owner.OpenJobs()).Info("leaving")
 	unregistered := make(chan struct{})
 	go func() {
 		defer close(unregistered)
--- a/internal/front/fx.go
+++ b/internal/front/fx.go
@@ -151,7 +151,7 @@
 
 func newPlacer(p placerParts) *placement.Placer {
 	placer := placement.New(p.Directory, p.Rests, p.Rejections, p.Failures, p.Limiter, logging.Part(p.Log, "endpoints"), p.Clock, p.Random, p.Late.loadChanged)
-	p.Directory.OnRestart(placer.Restarted)
+	p.Directory.OnRestart(placer.ResetEndpoint)
 	return placer
 }
 
--- a/internal/front/gauges.go
+++ b/internal/front/gauges.go
@@ -15,7 +15,7 @@
 		"oxbowslip_endpoints":                 func() float64 { return float64(h.parts.Directory.CountServing()) },
 		"oxbowslip_hosts":                     func() float64 { return float64(h.parts.Gossip.Hosts()) },
 		"oxbowslip_reads_store":               func() float64 { return zeroOrOne(h.parts.Followers.read()) },
-		"oxbowslip_open_requests":             func() float64 { return float64(h.parts.Owner.Open()) },
+		"oxbowslip_open_requests":             func() float64 { return float64(h.parts.Owner.OpenJobs()) },
 		"oxbowslip_leads":                     func() float64 { return zeroOrOne(h.parts.Leading.leads()) },
 		"oxbowslip_poison_requests":           func() float64 { return float64(len(h.parts.Poison.Verdicts())) },
 		"oxbowslip_endpoints_resting":         func() float64 { return float64(len(h.parts.Rests.Resting())) },
--- a/internal/front/peersync/engines.go
+++ b/internal/front/peersync/engines.go
@@ -12,7 +12,7 @@
 // Observed returns what the next report carries.
 func (s *Sync) Observed() []gossip.EngineReport {
 	var reports []gossip.EngineReport
-	for service, report := range s.parts.Placer.Observed() {
+	for service, report := range s.parts.Placer.EngineReports() {
 		reports = append(reports, toEngineReport(service, &report))
 	}
 	return reports
@@ -20,11 +20,11 @@
 
 // Reported handles a peer's report.
 func (s *Sync) Reported(peer string, reports []gossip.EngineReport) {
-	observed := make(placement.Observed, len(reports))
+	observed := make(placement.EngineReports, len(reports))
 	for i := range reports {
 		observed[reports[i].Service] = fromEngineReport(&reports[i])
 	}
-	s.parts.Placer.SetObserved(peer, observed)
+	s.parts.Placer.SetPeerEngineReports(peer, observed)
 }
 
 // toEngineReport turns what this host knows of a service into its form in heartbeats.
--- a/internal/front/peersync/sums.go
+++ b/internal/front/peersync/sums.go
@@ -46,7 +46,7 @@
 	for endpoint, load := range loads {
 		byKey[keys.OfEndpoint(endpoint)] = load
 	}
-	work := aggregate.Work{Loads: byKey, Engines: s.parts.Placer.Observed(), Holders: s.parts.Placer.HoldersToReport()}
+	work := aggregate.Work{Loads: byKey, Engines: s.parts.Placer.EngineReports(), Holders: s.parts.Placer.HoldersToReport()}
 	return toWork(&work, placement.Part{Of: 1})
 }
 
@@ -185,7 +185,7 @@
 
 // fromWork is the reverse of toWork. Columns of different lengths are cut to the shortest.
 func fromWork(w *gossip.Work) aggregate.Work {
-	work := aggregate.Work{Loads: make(map[keys.Endpoint]placement.Load, len(w.Endpoints)), Engines: make(placement.Observed, len(w.Engines))}
+	work := aggregate.Work{Loads: make(map[keys.Endpoint]placement.Load, len(w.Endpoints)), Engines: make(placement.EngineReports, len(w.Engines))}
 	for i := range min(len(w.Endpoints), len(w.Requests), len(w.Tokens)) {
 		work.Loads[w.Endpoints[i]] = placement.Load{Requests: w.Requests[i], Tokens: w.Tokens[i] * gossip.TokenUnit}
 	}
--- a/internal/front/placement/admit.go
+++ b/internal/front/placement/admit.go
@@ -85,7 +85,7 @@
 
 // admitsChoice reports whether a request is admitted to the endpoint that was chosen for it.
 func (b *PriorityBounds) admitsChoice(request *admission.Request, choice *Choice) bool {
-	hopeless := request.FirstToken > 0 && choice.First > hopelessTargets*request.FirstToken
+	hopeless := request.FirstToken > 0 && choice.PredictedFirstEvent > hopelessTargets*request.FirstToken
 	return b.admits(request, choice.Slots, choice.Load.Requests) && (!hopeless || !b.isBounded(request))
 }
 
@@ -133,13 +133,13 @@
 	switch reason {
 	case admission.ReasonNoRoom:
 	case admission.ReasonResting:
-		return choice.Free.Sub(now)
+		return choice.AvailableAt.Sub(now)
 	case admission.ReasonLimited:
-		return spreadRetry(max(choice.Free.Sub(now), leastRoomRetry), random)
+		return spreadRetry(max(choice.AvailableAt.Sub(now), leastRoomRetry), random)
 	default:
 		return noEndpointRetry
 	}
-	return spreadRetry(min(max(choice.First, leastRoomRetry), mostRoomRetry), random)
+	return spreadRetry(min(max(choice.PredictedFirstEvent, leastRoomRetry), mostRoomRetry), random)
 }
 
 // spreadRetry makes a time longer at random, so that those refused together do not come back together. Random is from 0 up
--- a/internal/front/placement/affinity.go
+++ b/internal/front/placement/affinity.go
@@ -33,8 +33,8 @@
 // with the last time.
 type holderTable map[keys.Prefix]map[keys.Endpoint]time.Time
 
-// Note records a holder, and reports whether it is new.
-func (t holderTable) Note(now time.Time, h Holder) bool {
+// Record records a holder, and reports whether it is new.
+func (t holderTable) Record(now time.Time, h Holder) bool {
 	endpoints, ok := t[h.Prefix]
 	if !ok {
 		endpoints = make(map[keys.Endpoint]time.Time)
--- a/internal/front/placement/cost.go
+++ b/internal/front/placement/cost.go
@@ -40,8 +40,8 @@
 	Endpoint string
 	// Version is that of the endpoint's entry.
 	Version string
-	// Free is when the first endpoint may be granted, if all rest or have named a limit and none has a permit left.
-	Free time.Time
+	// AvailableAt is when the first endpoint may be granted, if all rest or have named a limit and none has a permit left.
+	AvailableAt time.Time
 	// IsLimited is set if the endpoint has named a limit, so that the request needs a permit; permit is the one that it got.
 	IsLimited bool
 	permit    ratelimit.Permit
@@ -58,12 +58,12 @@
 	// FetchFrom is the ID of another endpoint that should hold what this one lacks, or
 	// empty.
 	FetchFrom string
-	// Rejected is the share of requests that the endpoint is expected to reject.
-	Rejected float64
-	// Failing is the share of requests that the endpoint is expected to fail beyond what its peers fail.
-	Failing float64
-	// First is the predicted time to the first event.
-	First time.Duration
+	// RejectionShare is the share of requests that the endpoint is expected to reject.
+	RejectionShare float64
+	// ExcessFailures is the share of requests that the endpoint is expected to fail beyond what its peers fail.
+	ExcessFailures float64
+	// PredictedFirstEvent is the predicted time to the first event.
+	PredictedFirstEvent time.Duration
 	// Cost is what the choice was made by, in prompt tokens.
 	Cost int
 }
@@ -133,7 +133,7 @@
 func (v *View) newQuery(now time.Time, service string, request *admission.Request, endpoints, candidates []*directory.Entry) *query {
 	engines := v.engines.get(keys.OfService(service))
 	q := &query{request: request, engines: engines, endpoints: len(endpoints), long: engines.IsLong(keys.OfClass(request.Class))}
-	q.shortSet = v.partitions.get(service, endpoints, min(engines.Short(), len(endpoints)-1))
+	q.shortSet = v.partitions.get(service, endpoints, min(engines.ShortEndpoints(), len(endpoints)-1))
 	q.prefix, q.shared = sharedPrefix(request)
 	if q.shared >= minSharedPrefix {
 		q.preferred = rendezvous(q.prefix, inPartition(!q.long, q.shortSet, candidates))
@@ -160,11 +160,11 @@
 		return late
 	case q.long:
 		// All streams there pause beside what is read, this prompt and those that wait already.
-		return late + q.engines.HarmTo(choice.Load.Tokens+choice.Tokens)*float64(choice.Load.Requests)
+		return late + q.engines.ShortMissProb(choice.Load.Tokens+choice.Tokens)*float64(choice.Load.Requests)
 	case q.isApart(e):
-		return max(late, q.engines.HarmTo(choice.Load.Tokens))
+		return max(late, q.engines.ShortMissProb(choice.Load.Tokens))
 	}
-	return max(late, q.engines.ShortMixed(choice.Load.Tokens))
+	return max(late, q.engines.MixedMissProb(choice.Load.Tokens))
 }
 
 // firstSpread is the spread of the time to the first event as a part of the predicted one, as the scale of a logistic
@@ -176,7 +176,7 @@
 	if q.request.FirstToken == 0 {
 		return 0
 	}
-	return 1 / (1 + math.Exp((1-float64(choice.First)/float64(q.request.FirstToken))/firstSpread))
+	return 1 / (1 + math.Exp((1-float64(choice.PredictedFirstEvent)/float64(q.request.FirstToken))/firstSpread))
 }
 
 // nearlyFull is the part of an endpoint's slots from which a request may find none.
@@ -220,14 +220,14 @@
 // weigh returns the cost of sending a request to an endpoint, with its figures.
 func (v *View) weigh(q *query, e *directory.Entry) Choice {
 	choice := Choice{Endpoint: e.ID, Version: e.Endpoint.Version, Slots: e.Endpoint.MaxInFlight, Load: v.loads.Total(e.ID)}
-	choice.Rejected = v.rejections.Share(keys.OfEndpoint(e.ID))
-	choice.Failing = v.failures.Excess(pushback.Work{Endpoint: keys.OfEndpoint(e.ID), Class: keys.OfClass(q.request.Class)}, q.endpoints)
+	choice.RejectionShare = v.rejections.Share(keys.OfEndpoint(e.ID))
+	choice.ExcessFailures = v.failures.Excess(pushback.Work{Endpoint: keys.OfEndpoint(e.ID), Class: keys.OfClass(q.request.Class)}, q.endpoints)
 	cost, cached := q.prefixCost(e)
 	choice.Cached = cached
 	choice.Tokens = q.request.PromptTokens - cached
-	choice.First = q.engines.Figures().ReadTime(choice.Load.Tokens + choice.Tokens)
+	choice.PredictedFirstEvent = q.engines.Figures().ReadTime(choice.Load.Tokens + choice.Tokens)
 	choice.Cost = cost + choice.Load.Requests*requestCost + choice.Load.Tokens + choice.Tokens +
-		int(missCost*(q.misses(e, &choice)+choice.Rejected)+failureCost*choice.Failing)
+		int(missCost*(q.misses(e, &choice)+choice.RejectionShare)+failureCost*choice.ExcessFailures)
 	if e.Endpoint.Zone != q.request.Zone {
 		choice.Cost += zoneCost
 	}
--- a/internal/front/placement/ejection.go
+++ b/internal/front/placement/ejection.go
@@ -49,8 +49,8 @@
 type Ejection struct {
 	// Until is when the endpoint may get new work again.
 	Until time.Time
-	// InRow counts the ejections without a success in between, this one included.
-	InRow int
+	// Consecutive counts the ejections without a success in between, this one included.
+	Consecutive int
 	// IsNew is set if this failure caused it.
 	IsNew bool
 }
@@ -68,15 +68,15 @@
 		s.brokenAt = now
 	}
 	if reached && alone {
-		return Ejection{Until: s.until, InRow: s.ejections}
+		return Ejection{Until: s.until, Consecutive: s.ejections}
 	}
 	if now.Before(s.until) {
 		// Calls that were in flight together fail together; that is one failure.
-		return Ejection{Until: s.until, InRow: s.ejections}
+		return Ejection{Until: s.until, Consecutive: s.ejections}
 	}
 	s.until = now.Add(ejectionBackoff.Span(s.ejections))
 	s.ejections++
-	return Ejection{Until: s.until, InRow: s.ejections, IsNew: true}
+	return Ejection{Until: s.until, Consecutive: s.ejections, IsNew: true}
 }
 
 // Answered counts a whole answer. It reports whether the endpoint had failed before.
@@ -92,9 +92,9 @@
 	delete(t.byPeers, keys.OfEndpoint(endpoint))
 }
 
-// EjectByPeer records a peer's report that an endpoint is ejected, and reports whether
+// RecordPeerEjection records a peer's report that an endpoint is ejected, and reports whether
 // this host did not know.
-func (t *ejectionTable) EjectByPeer(endpoint keys.Endpoint, until time.Time) bool {
+func (t *ejectionTable) RecordPeerEjection(endpoint keys.Endpoint, until time.Time) bool {
 	if !until.After(t.byPeers[endpoint].Add(sameEjection)) {
 		return false
 	}
--- a/internal/front/placement/placement.go
+++ b/internal/front/placement/placement.go
@@ -99,7 +99,7 @@
 			p.changed()
 			return p.newTicket(service, &request, &choice), p.grant(&request, &choice, now.Sub(asked), now), nil
 		}
-		if reason == admission.ReasonNoEndpoint || !now.Before(until) || choice.Free.After(until) {
+		if reason == admission.ReasonNoEndpoint || !now.Before(until) || choice.AvailableAt.After(until) {
 			p.refused(now, service, &request, reason)
 			return nil, p.refusal(&request, reason, &choice, now.Sub(asked)), nil
 		}
@@ -113,7 +113,7 @@
 // endpoint is left, until a time at most.
 func (p *Placer) acquire(ctx context.Context, service string, request *admission.Request, choice *Choice, until time.Time) bool {
 	wait := time.Duration(0)
-	if !choice.Free.IsZero() {
+	if !choice.AvailableAt.IsZero() {
 		wait = until.Sub(p.clock())
 	}
 	permit, ok := p.limiter.Acquire(ctx, choice.instance(), p.rank(request), wait)
@@ -146,7 +146,7 @@
 	defer p.mu.Unlock()
 	candidates, free, reason := p.candidates(now, request, endpoints, mayAsk)
 	if reason != "" {
-		return Choice{Free: free}, reason
+		return Choice{AvailableAt: free}, reason
 	}
 	if request.PromptTokens > 0 {
 		p.decideSplit(now, service, endpoints)
@@ -155,7 +155,7 @@
 	if !ok || !p.bounds.admitsChoice(request, &choice) {
 		return choice, admission.ReasonNoRoom
 	}
-	choice.Free = free
+	choice.AvailableAt = free
 	// A limit is the fleet's: what each host keeps to alone adds up to as many times of it as there are hosts.
 	if choice.IsLimited = p.limiter.IsLimited(choice.instance()); !choice.IsLimited {
 		p.begin(now, service, request, &choice)
@@ -191,7 +191,7 @@
 	p.rests.Granted(choice.Endpoint, choice.Version)
 	p.view.loads.Begin(choice.Endpoint, choice.Tokens)
 	if request.PromptTokens > 0 {
-		p.view.engines.get(keys.OfService(service)).Arrived(now, engine.Arrival{
+		p.view.engines.get(keys.OfService(service)).RecordArrival(now, engine.Arrival{
 			Class: keys.OfClass(request.Class), Prompt: request.PromptTokens, Unread: choice.Tokens,
 		})
 	}
@@ -207,7 +207,7 @@
 	fleet := engine.Fleet{
 		Endpoints: len(endpoints), Slots: endpoints[0].Endpoint.MaxInFlight, Hosts: p.view.Hosts(), Targets: p.targets,
 	}
-	if engines.Decide(now, &fleet) {
+	if engines.Refresh(now, &fleet) {
 		p.logSplit(service, engines)
 	}
 }
@@ -216,7 +216,7 @@
 func (p *Placer) logSplit(service string, engines *engine.Service) {
 	f := engines.Figures()
 	p.log.WithFields(logrus.Fields{
-		"service": service, "short": engines.Short(), "long_classes": engines.LongClasses(), "endpoints": len(p.directory.Serving(service)),
+		"service": service, "short": engines.ShortEndpoints(), "long_classes": engines.LongClasses(), "endpoints": len(p.directory.Serving(service)),
 		"read_rate": f.ReadRate.Value, "event_ms": f.EventTime.Value, "event_read": f.EventRead.Value,
 		"samples": f.ReadRate.Samples,
 	}).Info("endpoints kept for short prompts")
@@ -225,7 +225,7 @@
 // noteOwnHolder notes a prefix that an endpoint is sent, to be reported to peers if it is
 // new. The lock is held.
 func (p *Placer) noteOwnHolder(now time.Time, h Holder) {
-	if p.view.holders.Note(now, h) {
+	if p.view.holders.Record(now, h) {
 		p.newHolders = append(p.newHolders, newHolder{holder: h, reports: holderReports})
 	}
 }
@@ -237,9 +237,9 @@
 	}
 	return admission.Decision{
 		Kind: admission.Grant, ID: request.ID, Owner: request.Owner, Endpoint: choice.Endpoint, FetchFrom: fetchFrom,
-		Reason: admission.ReasonPlaced, RetryAfter: rejectedRetryAfter(choice.Rejected), Until: now.Add(grantValidity), UnprocessedTokens: choice.Load.Tokens + choice.Tokens,
+		Reason: admission.ReasonPlaced, RetryAfter: rejectedRetryAfter(choice.RejectionShare), Until: now.Add(grantValidity), UnprocessedTokens: choice.Load.Tokens + choice.Tokens,
 		Figures: admission.Figures{
-			Waited: waited, InFlight: choice.Load.Requests, Ahead: choice.Load.Tokens, CachedTokens: choice.Cached, PredictedFirstToken: choice.First,
+			Waited: waited, InFlight: choice.Load.Requests, Ahead: choice.Load.Tokens, CachedTokens: choice.Cached, PredictedFirstToken: choice.PredictedFirstEvent,
 		},
 	}
 }
@@ -247,7 +247,7 @@
 func (p *Placer) refusal(request *admission.Request, reason admission.Reason, choice *Choice, waited time.Duration) admission.Decision {
 	return admission.Decision{
 		Kind: admission.Refuse, ID: request.ID, Reason: reason, RetryAfter: retryAfter(p.clock(), reason, choice, p.random()), Figures: admission.Figures{
-			Waited: waited, InFlight: choice.Load.Requests, Ahead: choice.Load.Tokens, PredictedFirstToken: choice.First,
+			Waited: waited, InFlight: choice.Load.Requests, Ahead: choice.Load.Tokens, PredictedFirstToken: choice.PredictedFirstEvent,
 		},
 	}
 }
@@ -259,7 +259,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.view.engines.get(keys.OfService(service)).Refused(now, engine.Arrival{
+	p.view.engines.get(keys.OfService(service)).RecordRefusal(now, engine.Arrival{
 		Class: keys.OfClass(request.Class), Prompt: request.PromptTokens, Unread: request.PromptTokens,
 	})
 }
@@ -288,20 +288,20 @@
 	return p.view.loads.Own(), p.view.ejections.Ejected(p.clock())
 }
 
-// Observed returns what this host has observed of engines, for peers.
-func (p *Placer) Observed() Observed {
+// EngineReports returns what this host has observed of engines, for peers.
+func (p *Placer) EngineReports() EngineReports {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock()
-	observed := make(Observed, len(p.view.engines))
+	observed := make(EngineReports, len(p.view.engines))
 	for service, s := range p.view.engines {
 		observed[service] = s.Report(now)
 	}
 	return observed
 }
 
-// SetObserved replaces what a peer has observed of engines.
-func (p *Placer) SetObserved(peer string, observed Observed) {
+// SetPeerEngineReports replaces what a peer has observed of engines.
+func (p *Placer) SetPeerEngineReports(peer string, observed EngineReports) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.view.engines.setPeer(peer, observed)
@@ -314,10 +314,10 @@
 	now := p.clock()
 	p.view.loads.SetPeer(now, peer, report.Loads)
 	for _, h := range report.Holders {
-		p.view.holders.Note(now, h)
+		p.view.holders.Record(now, h)
 	}
 	for endpoint, until := range report.Ejected {
-		if p.view.ejections.EjectByPeer(endpoint, until) {
+		if p.view.ejections.RecordPeerEjection(endpoint, until) {
 			p.log.WithFields(logrus.Fields{"endpoint_key": endpoint, "from": peer, "until": until}).Info("endpoint ejected by a peer")
 		}
 	}
@@ -345,9 +345,9 @@
 	p.view.Expire(p.clock())
 }
 
-// Failed counts a call that failed or stayed silent, which may eject the endpoint. Reached
+// RecordFailure counts a call that failed or stayed silent, which may eject the endpoint. Reached
 // is set if the endpoint was reached and then broke the call.
-func (p *Placer) Failed(endpoint string, reached bool, cause error) {
+func (p *Placer) RecordFailure(endpoint string, reached bool, cause error) {
 	p.mu.Lock()
 	ejection := p.view.ejections.Failed(p.clock(), endpoint, reached)
 	p.mu.Unlock()
@@ -356,12 +356,12 @@
 	}
 	p.changed()
 	p.log.WithError(cause).WithFields(logrus.Fields{
-		"endpoint": endpoint, "until": ejection.Until, "reached": reached, "in_row": ejection.InRow,
+		"endpoint": endpoint, "until": ejection.Until, "reached": reached, "in_row": ejection.Consecutive,
 	}).Warn("endpoint ejected")
 }
 
-// Answered counts a whole answer of an endpoint, which ends its ejection.
-func (p *Placer) Answered(endpoint string) {
+// RecordSuccess counts a whole answer of an endpoint, which ends its ejection.
+func (p *Placer) RecordSuccess(endpoint string) {
 	p.mu.Lock()
 	failed := p.view.ejections.Answered(endpoint)
 	p.mu.Unlock()
@@ -370,9 +370,9 @@
 	}
 }
 
-// Restarted forgets what is believed of an endpoint that has started again under its ID: it holds nothing, and did not
+// ResetEndpoint forgets what is believed of an endpoint that has started again under its ID: it holds nothing, and did not
 // fail. The calls that it had break by themselves.
-func (p *Placer) Restarted(endpoint string) {
+func (p *Placer) ResetEndpoint(endpoint string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.view.holders.drop(keys.OfEndpoint(endpoint))
@@ -381,15 +381,15 @@
 	p.view.failures.Forget(keys.OfEndpoint(endpoint))
 }
 
-// Streamed observes a whole stream.
-func (p *Placer) Streamed(service string, stream engine.Stream) {
+// RecordStream observes a whole stream.
+func (p *Placer) RecordStream(service string, stream engine.Stream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.view.engines.get(keys.OfService(service)).Streamed(stream)
+	p.view.engines.get(keys.OfService(service)).RecordStream(stream)
 }
 
-// Unread returns the prompt tokens that an endpoint has still to read for all hosts.
-func (p *Placer) Unread(endpoint string) int {
+// UnprocessedTokens returns the prompt tokens that an endpoint has still to read for all hosts.
+func (p *Placer) UnprocessedTokens(endpoint string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.loads.Total(endpoint).Tokens
--- a/internal/front/placement/placement_test.go
+++ b/internal/front/placement/placement_test.go
@@ -99,7 +99,7 @@
 		},
 		"a long prompt goes to its preferred endpoint past some work": {
 			func(b *View) {
-				b.holders.Note(start, Holder{Prefix: 7, Endpoint: keys.OfEndpoint(preferred)})
+				b.holders.Record(start, Holder{Prefix: 7, Endpoint: keys.OfEndpoint(preferred)})
 				b.loads.Begin(preferred, 20_000)
 			}, long(7), preferred,
 		},
@@ -111,7 +111,7 @@
 		},
 		"a long prompt goes where it was sent": {
 			func(b *View) {
-				b.holders.Note(start, Holder{Prefix: 7, Endpoint: keys.OfEndpoint(other)})
+				b.holders.Record(start, Holder{Prefix: 7, Endpoint: keys.OfEndpoint(other)})
 			}, long(7), other,
 		},
 		"a preferred endpoint far behind is left": {
@@ -125,7 +125,7 @@
 		},
 		"a preferred endpoint that a peer ejected is left": {
 			func(b *View) {
-				b.ejections.EjectByPeer(keys.OfEndpoint(preferred), start.Add(time.Second))
+				b.ejections.RecordPeerEjection(keys.OfEndpoint(preferred), start.Add(time.Second))
 				b.loads.Begin(third(preferred, other), 60_000)
 			}, long(7), other,
 		},
@@ -178,18 +178,18 @@
 	v := NewView()
 	engines := v.engines.get(keys.OfService("llm"))
 	for range 4 {
-		engines.Arrived(start, engine.Arrival{Class: keys.OfClass("long"), Prompt: 12_000, Unread: 12_000})
-		engines.Ended(keys.OfClass("long"))
-		engines.Arrived(start, engine.Arrival{Class: keys.OfClass("short"), Prompt: 500, Unread: 500})
+		engines.RecordArrival(start, engine.Arrival{Class: keys.OfClass("long"), Prompt: 12_000, Unread: 12_000})
+		engines.RecordEnd(keys.OfClass("long"))
+		engines.RecordArrival(start, engine.Arrival{Class: keys.OfClass("short"), Prompt: 500, Unread: 500})
 	}
 	target := engine.Targets{First: time.Second, Pause: 150 * time.Millisecond}
-	engines.Decide(start, &engine.Fleet{
+	engines.Refresh(start, &engine.Fleet{
 		Endpoints: len(endpoints), Slots: slots, Hosts: 1,
 		Targets: map[keys.Class]engine.Targets{keys.OfClass("long"): {First: time.Second, Pause: time.Second}, keys.OfClass("short"): target},
 	})
 	c.Assert(engines.IsLong(keys.OfClass("long")), qt.IsTrue)
 	c.Assert(engines.IsLong(keys.OfClass("short")), qt.IsFalse)
-	return v, engines.Short()
+	return v, engines.ShortEndpoints()
 }
 
 func TestPartitions(t *testing.T) {
@@ -264,7 +264,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := NewView()
 			for i, id := range test.held {
-				b.holders.Note(start.Add(time.Duration(i)), Holder{Prefix: 7, Endpoint: keys.OfEndpoint(id)})
+				b.holders.Record(start.Add(time.Duration(i)), Holder{Prefix: 7, Endpoint: keys.OfEndpoint(id)})
 			}
 			for _, id := range test.ejected {
 				b.ejections.Failed(start, id, false)
@@ -288,7 +288,7 @@
 	c.Check(b.ejections.Answered("e1"), qt.IsFalse)
 	c.Check(failed(9*time.Second), qt.Equals, start.Add(10*time.Second))
 	c.Check(b.ejections.Ejected(start.Add(20*time.Second)), qt.HasLen, 0)
-	b.ejections.EjectByPeer(keys.OfEndpoint("e1"), start.Add(time.Second))
+	b.ejections.RecordPeerEjection(keys.OfEndpoint("e1"), start.Add(time.Second))
 	b.Expire(start.Add(time.Second))
 	c.Check(b.ejections.byPeers, qt.HasLen, 0)
 }
@@ -334,7 +334,7 @@
 		t.Run(name, func(t *testing.T) {
 			request := short()
 			request.Urgency, request.FirstToken = test.urgency, time.Second
-			qt.Check(t, bounds.admitsChoice(request, &Choice{Slots: slots, First: test.first}), qt.Equals, test.want)
+			qt.Check(t, bounds.admitsChoice(request, &Choice{Slots: slots, PredictedFirstEvent: test.first}), qt.Equals, test.want)
 		})
 	}
 }
@@ -357,7 +357,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			qt.Check(t, retryAfter(start, test.reason, &Choice{First: test.first, Free: start.Add(7 * time.Second)}, test.random), qt.Equals, test.want)
+			qt.Check(t, retryAfter(start, test.reason, &Choice{PredictedFirstEvent: test.first, AvailableAt: start.Add(7 * time.Second)}, test.random), qt.Equals, test.want)
 		})
 	}
 }
@@ -495,7 +495,7 @@
 				limits.Note(pushback.Instance{ID: id}, pushback.Limit{IsSet: true, PerSecond: perSecond}, time.Now())
 			}
 			if test.ejected != "" {
-				s.Failed(test.ejected, false, errors.New("refused"))
+				s.RecordFailure(test.ejected, false, errors.New("refused"))
 			}
 			request := short()
 			request.FirstToken = 3 * time.Second
@@ -751,7 +751,7 @@
 		t.Run(name, func(t *testing.T) {
 			v := NewView()
 			if test.holder != "" {
-				v.holders.Note(start, Holder{Prefix: 7, Endpoint: keys.OfEndpoint(test.holder)})
+				v.holders.Record(start, Holder{Prefix: 7, Endpoint: keys.OfEndpoint(test.holder)})
 			}
 			q := v.newQuery(start, "llm", long(7), three, three)
 			qt.Check(t, v.weigh(q, three[0]).Tokens, qt.Equals, test.unread)
@@ -810,7 +810,7 @@
 				v.loads.SetSum(start, Part{Of: 1}, loads)
 				engines := v.engines.get(keys.OfService("llm"))
 				engines.SetSum(start, engine.Report{Traffic: engine.Traffic{1: {Requests: 2000, Prompt: 2_800_000, Unread: 2_800_000, Open: 400}}})
-				engines.Decide(start, &engine.Fleet{Endpoints: number, Slots: 32, Hosts: hosts})
+				engines.Refresh(start, &engine.Fleet{Endpoints: number, Slots: 32, Hosts: hosts})
 				sent[v.choose(short(), all).Endpoint]++
 			}
 			busiest := slices.Max(slices.Collect(maps.Values(sent)))
@@ -870,9 +870,9 @@
 	p := New(d, nil, pushback.NewRejections(time.Now), pushback.NewFailures(time.Now), nil, logrus.NewEntry(log), func() time.Time { return start }, func() float64 { return 0 }, func() {})
 	key := keys.OfEndpoint("e1")
 	p.SetPeer("peer", PeerReport{Holders: []Holder{{Prefix: 7, Endpoint: key}}, Ejected: map[keys.Endpoint]time.Time{key: start.Add(time.Minute)}})
-	p.Failed("e1", false, errors.New("refused"))
+	p.RecordFailure("e1", false, errors.New("refused"))
 	c.Check(p.view.ejections.isEjected(start, "e1"), qt.IsTrue)
-	p.Restarted("e1")
+	p.ResetEndpoint("e1")
 	c.Check(p.view.ejections.isEjected(start, "e1"), qt.IsFalse)
 	c.Check(p.view.holders[7], qt.HasLen, 0)
 }
--- a/internal/front/placement/sum.go
+++ b/internal/front/placement/sum.go
@@ -12,7 +12,7 @@
 	Others  map[keys.Endpoint]Load
 	Holders []Holder
 	// Engines are what all hosts know, this one included.
-	Engines Observed
+	Engines EngineReports
 	// Splits are those that another host has decided for all. It is empty if this host is to decide.
 	Splits Splits
 }
@@ -27,7 +27,7 @@
 	now := p.clock()
 	p.view.loads.SetSum(now, sum.Part, sum.Others)
 	for _, h := range sum.Holders {
-		p.view.holders.Note(now, h)
+		p.view.holders.Record(now, h)
 	}
 	for service, report := range sum.Engines {
 		p.view.engines.get(service).SetSum(now, report)
--- a/internal/front/placement/ticket.go
+++ b/internal/front/placement/ticket.go
@@ -51,7 +51,7 @@
 	p := t.placer
 	p.mu.Lock()
 	if t.behind == 0 {
-		p.view.engines.get(t.service).Began(t.unprocessed, p.clock().Sub(t.startedAt))
+		p.view.engines.get(t.service).RecordFirstEvent(t.unprocessed, p.clock().Sub(t.startedAt))
 	}
 	p.view.loads.Processed(t.endpoint, t.unprocessed)
 	t.unprocessed = 0
@@ -68,7 +68,7 @@
 	p.mu.Lock()
 	p.view.loads.End(t.endpoint, t.unprocessed)
 	if t.prompt {
-		p.view.engines.get(t.service).Ended(t.class)
+		p.view.engines.get(t.service).RecordEnd(t.class)
 	}
 	t.unprocessed = 0
 	p.mu.Unlock()
--- a/internal/front/placement/view.go
+++ b/internal/front/placement/view.go
@@ -40,8 +40,8 @@
 	Holders []Holder
 }
 
-// Observed is what a host has observed of the engines of each service.
-type Observed map[keys.Service]engine.Report
+// EngineReports is what a host has observed of the engines of each service.
+type EngineReports map[keys.Service]engine.Report
 
 // Expire forgets what is too old to count.
 func (v *View) Expire(now time.Time) {
--- a/internal/front/relay/attempt.go
+++ b/internal/front/relay/attempt.go
@@ -113,7 +113,7 @@
 // failure too.
 func (x *exchange) failed(ctx context.Context, a *owner.Attempt, cause error) {
 	if ctx.Err() == nil || errors.Is(context.Cause(ctx), owner.ErrStalled) {
-		x.server.parts.Health.Failed(a.EndpointID, !errors.Is(cause, request.ErrNotSent), cause)
+		x.server.parts.Health.RecordFailure(a.EndpointID, !errors.Is(cause, request.ErrNotSent), cause)
 	}
 }
 
@@ -127,7 +127,7 @@
 
 // answered reports that an endpoint answered to the end.
 func (x *exchange) answered(a *owner.Attempt) {
-	x.server.parts.Health.Answered(a.EndpointID)
+	x.server.parts.Health.RecordSuccess(a.EndpointID)
 	x.server.parts.Poison.Answered(x.key)
 }
 
@@ -136,7 +136,7 @@
 	// closed.
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxPlainBytes))
 	if x.server.parts.Dialect.OtherEndpoint(answer.Status) {
-		x.server.parts.Health.Failed(a.EndpointID, false, errors.New("another endpoint has its address"))
+		x.server.parts.Health.RecordFailure(a.EndpointID, false, errors.New("another endpoint has its address"))
 	}
 	return owner.Result{Event: request.EventNotStarted, Err: errors.New("not started: " + strconv.Itoa(answer.Status))}
 }
@@ -163,7 +163,7 @@
 			return false
 		}
 		x.sentAt = x.server.parts.Clock.Now()
-		a.Sent()
+		a.RecordSend()
 		return true
 	}
 }
@@ -186,7 +186,7 @@
 		return x.serverFault(held)
 	}
 	x.answered(a)
-	if !a.Deliver() {
+	if !a.StartDelivery() {
 		return owner.Result{Event: request.EventBroken}
 	}
 	x.answer = held
--- a/internal/front/relay/exchange.go
+++ b/internal/front/relay/exchange.go
@@ -116,7 +116,7 @@
 	job := x.job()
 	end := p.Owner.Run(ctx, job)
 	if x.stream.events > 1 && end.Sends == 1 {
-		p.Health.Streamed(x.service, x.stream.observed())
+		p.Health.RecordStream(x.service, x.stream.observed())
 	}
 	x.logEnd(&end)
 	switch end.Outcome {
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -33,15 +33,15 @@
 
 // Health is notified of what requests show of endpoints. Its methods must not block.
 type Health interface {
-	// Failed is called when an endpoint could not be reached, or was reached and broke the call
+	// RecordFailure is called when an endpoint could not be reached, or was reached and broke the call
 	// or stayed silent.
-	Failed(endpoint string, reached bool, cause error)
-	// Answered is called when an endpoint gave a whole answer.
-	Answered(endpoint string)
-	// Streamed is called with what was seen of a whole stream.
-	Streamed(service string, stream engine.Stream)
-	// Unread returns the prompt tokens that an endpoint has still to read, as far as is known.
-	Unread(endpoint string) int
+	RecordFailure(endpoint string, reached bool, cause error)
+	// RecordSuccess is called when an endpoint gave a whole answer.
+	RecordSuccess(endpoint string)
+	// RecordStream is called with what was seen of a whole stream.
+	RecordStream(service string, stream engine.Stream)
+	// UnprocessedTokens returns the prompt tokens that an endpoint has still to read, as far as is known.
+	UnprocessedTokens(endpoint string) int
 }
 
 // Meter counts the requests that endpoints began to run.
--- a/internal/front/relay/stream.go
+++ b/internal/front/relay/stream.go
@@ -42,7 +42,7 @@
 // observed returns what was seen of the stream.
 func (s *streamState) observed() engine.Stream {
 	return engine.Stream{
-		Events: s.events, Lasted: s.lastAt.Sub(s.firstAt), Longest: s.longestPause, Beside: s.beside,
+		Events: s.events, Duration: s.lastAt.Sub(s.firstAt), LongestPause: s.longestPause, UnreadBeside: s.beside,
 	}
 }
 
@@ -69,7 +69,7 @@
 		return owner.Result{Event: request.EventBroken, Err: err}
 	}
 	x.answered(a)
-	if !a.Deliver() {
+	if !a.StartDelivery() {
 		return owner.Result{Event: request.EventBroken}
 	}
 	x.begin(answer)
@@ -78,7 +78,7 @@
 
 // passOn sends one event to the caller. It returns a result if the attempt is over.
 func (x *exchange) passOn(a *owner.Attempt, answer *upstream.Answer, event []byte) *owner.Result {
-	if !a.Deliver() {
+	if !a.StartDelivery() {
 		return &owner.Result{Event: request.EventBroken}
 	}
 	x.begin(answer)
@@ -92,9 +92,9 @@
 		return &owner.Result{Event: request.EventCallerGone, Err: err}
 	}
 	if x.stream.passed(x.server.parts.Clock.Now(), eventID(event)) {
-		x.stream.beside = x.server.parts.Health.Unread(a.EndpointID)
+		x.stream.beside = x.server.parts.Health.UnprocessedTokens(a.EndpointID)
 	}
-	a.Tokens(x.stream.events)
+	a.RecordTokens(x.stream.events)
 	return nil
 }
 
--- a/internal/front/scaler/scaler.go
+++ b/internal/front/scaler/scaler.go
@@ -147,7 +147,7 @@
 	}
 	if need := of.size.Observe(now, load); need != before {
 		s.parts.Log.WithFields(logrus.Fields{
-			"service": name, "need": need, "before": before, "reading": load.Reading, "requests": load.Requests, "open": load.Open,
+			"service": name, "need": need, "before": before, "reading": load.BusyEngines, "requests": load.Requests, "open": load.Open,
 			"ready": fleet.Ready(capacity.Regular) + fleet.Ready(capacity.Spot),
 		}).Info("endpoints needed")
 		s.keep(ctx, m)
--- a/internal/front/scaler/scaler_test.go
+++ b/internal/front/scaler/scaler_test.go
@@ -64,7 +64,7 @@
 	inventory := capacity.NewInventory(func(string) bool { return false })
 	inventory.Replace(follow.Batch[capacity.Change]{Revision: 3})
 	s := New(Parts{
-		Inventory: inventory, Settings: holder, Provider: f, Load: func(string) engine.Load { return engine.Load{Reading: reading} },
+		Inventory: inventory, Settings: holder, Provider: f, Load: func(string) engine.Load { return engine.Load{BusyEngines: reading} },
 		FirstPart: 0.5, Log: logrus.NewEntry(log), Clock: time.Now,
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), lasts)
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -52,7 +52,7 @@
 	problem := h.Problem()
 	status := operator.Status{
 		Host: h.parts.Config.Name, Zone: h.parts.Config.Zone, Revision: h.parts.Settings.Number(), Ready: problem == "", Problem: problem,
-		Open: h.parts.Owner.Open(), Now: time.Now(), Refusals: h.parts.Counters.RefusalsByReason(),
+		Open: h.parts.Owner.OpenJobs(), Now: time.Now(), Refusals: h.parts.Counters.RefusalsByReason(),
 		Hosts: h.parts.Gossip.Hosts(), Directory: era.Number(h.parts.Directory.Revision()), Era: h.parts.Freshness.Era(), Endpoints: h.parts.Directory.CountServing(),
 		Freshness: &operator.Freshness{
 			Settings: h.parts.Freshness.Age(freshness.Settings), Endpoints: h.parts.Freshness.Age(freshness.Endpoints),
--- a/internal/owner/attempt.go
+++ b/internal/owner/attempt.go
@@ -60,16 +60,16 @@
 	return takesWork && !a.run.job.isPoison() && a.run.ticket.MaySend()
 }
 
-// Sent is called once a connection is there: from now on bytes may reach the endpoint.
-func (a *Attempt) Sent() {
+// RecordSend is called once a connection is there: from now on bytes may reach the endpoint.
+func (a *Attempt) RecordSend() {
 	a.run.lifecycle.Apply(request.EventSent, request.Facts{})
 	a.run.ticket.Started()
 	a.run.step("sent", "", nil)
 }
 
-// Deliver is called before a part of the answer goes to the caller. It reports false if the
+// StartDelivery is called before a part of the answer goes to the caller. It reports false if the
 // attempt was preempted; nothing may go to the caller then.
-func (a *Attempt) Deliver() bool {
+func (a *Attempt) StartDelivery() bool {
 	if a.state.Load() != attemptDelivered && !a.state.CompareAndSwap(attemptOpen, attemptDelivered) {
 		return false
 	}
@@ -77,9 +77,9 @@
 	return true
 }
 
-// Tokens is called with the number of tokens of the answer so far, over all attempts that
+// RecordTokens is called with the number of tokens of the answer so far, over all attempts that
 // continue each other. Where the endpoint does not say, events count as tokens.
-func (a *Attempt) Tokens(tokens int) {
+func (a *Attempt) RecordTokens(tokens int) {
 	r := a.run
 	now := r.owner.parts.Clock()
 	if tokens > r.tokens {
--- a/internal/owner/drain.go
+++ b/internal/owner/drain.go
@@ -6,8 +6,8 @@
 	"oxbowslip.dev/oxbowslip/internal/lifetime"
 )
 
-// Open returns the number of jobs that run.
-func (o *Owner) Open() int {
+// OpenJobs returns the number of jobs that run.
+func (o *Owner) OpenJobs() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.open
@@ -16,13 +16,13 @@
 // Drain waits until no job is open. If ctx ends first, the rest are ended with ErrStopped, and
 // Drain waits for them and returns their number.
 func (o *Owner) Drain(ctx context.Context) int {
-	for o.Open() > 0 {
+	for o.OpenJobs() > 0 {
 		select {
 		case <-o.idle:
 		case <-ctx.Done():
-			rest := o.Open()
+			rest := o.OpenJobs()
 			o.stop()
-			for o.Open() > 0 {
+			for o.OpenJobs() > 0 {
 				<-o.idle
 			}
 			return rest
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -64,12 +64,12 @@
 
 // Budget bounds retries. A group is a class or a service, as the budget sees fit.
 type Budget interface {
-	// FirstTry counts a first try; fraction is the retries allowed for each first try.
-	FirstTry(group string, fraction float64)
-	// Has reports whether the group may retry once more.
-	Has(group string) bool
-	// Spend counts a retry.
-	Spend(group string)
+	// RecordFirstTry counts a first try; fraction is the retries allowed for each first try.
+	RecordFirstTry(group string, fraction float64)
+	// CanRetry reports whether the group may retry once more.
+	CanRetry(group string) bool
+	// RecordRetry counts a retry.
+	RecordRetry(group string)
 }
 
 // Parts are what an owner works with.
@@ -112,7 +112,7 @@
 	defer o.cancelOnStop(cancel)()
 
 	r := &run{owner: o, job: job, lifecycle: request.NewLifecycle(job.Rules), arrived: job.Request.Arrived}
-	o.parts.Budget.FirstTry(job.budgetGroup(), job.RetryBudget)
+	o.parts.Budget.RecordFirstTry(job.budgetGroup(), job.RetryBudget)
 	o.parts.Explained.Begin(explain.Record{
 		ID: job.Request.ID, Host: o.parts.Host, Workspace: job.Request.Workspace,
 		Class: job.Request.Class, Shard: job.Shard, Tier: job.Request.Tier,
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -43,9 +43,9 @@
 
 type unlimited struct{}
 
-func (unlimited) FirstTry(string, float64) {}
-func (unlimited) Has(string) bool          { return true }
-func (unlimited) Spend(string)             {}
+func (unlimited) RecordFirstTry(string, float64) {}
+func (unlimited) CanRetry(string) bool           { return true }
+func (unlimited) RecordRetry(string)             {}
 
 // TestWhenToComeBackAfterARejection has the only endpoint reject a request: its caller comes back when the grant says.
 func TestWhenToComeBackAfterARejection(t *testing.T) {
@@ -56,7 +56,7 @@
 		Endpoints: func(string) (settings.Endpoint, bool) { return settings.Endpoint{}, true },
 	})
 	end := o.Run(context.Background(), &Job{Rules: request.Rules{MaxTries: 1, ResendNotStarted: true}, Attempt: func(_ context.Context, a *Attempt) Result {
-		a.Sent()
+		a.RecordSend()
 		return Result{Event: request.EventNotStarted}
 	}})
 	c.Check(end.Refusal.Reason, qt.Equals, request.ReasonNotStarted)
@@ -100,7 +100,7 @@
 					if !a.MaySend() {
 						return Result{Event: request.EventWithheld}
 					}
-					a.Sent()
+					a.RecordSend()
 					sent = append(sent, a.EndpointID)
 					return Result{Event: request.EventWhole}
 				},
--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -18,9 +18,9 @@
 // and more), so that a retry can still meet them.
 var retryBackoff = backoff.Doubling{First: 20 * time.Millisecond, Longest: 2 * time.Second}
 
-// RetryWait returns the wait before a retry of a request that was tried a number of times.
+// RetryDelay returns the wait before a retry of a request that was tried a number of times.
 // Random is a number from 0 up to 1.
-func RetryWait(tries int, random float64) time.Duration {
+func RetryDelay(tries int, random float64) time.Duration {
 	return backoff.Jitter(retryBackoff.Span(tries), 0, random)
 }
 
@@ -117,14 +117,14 @@
 	retry := r.lifecycle.Retry()
 	r.owner.parts.Counters.Retried(retry)
 	if retry.SpendsBudget() {
-		r.owner.parts.Budget.Spend(r.job.budgetGroup())
+		r.owner.parts.Budget.RecordRetry(r.job.budgetGroup())
 	}
 	r.step("retry", string(retry), nil)
 }
 
 // backOff waits before a retry, and reports false if ctx ended.
 func (r *run) backOff(ctx context.Context) bool {
-	return lifetime.Sleep(ctx, RetryWait(r.lifecycle.Tries(), r.owner.parts.Random()))
+	return lifetime.Sleep(ctx, RetryDelay(r.lifecycle.Tries(), r.owner.parts.Random()))
 }
 
 // checkGrant checks a grant against the newest knowledge of its endpoint, which may have been
@@ -268,7 +268,7 @@
 		CanResume:   canResume,
 		CanContinue: r.job.CanContinue,
 		Expired:     !deadline.IsZero() && r.owner.parts.Clock().After(deadline),
-		BudgetLeft:  r.owner.parts.Budget.Has(r.job.budgetGroup()),
+		BudgetLeft:  r.owner.parts.Budget.CanRetry(r.job.budgetGroup()),
 	}
 }
 
--- a/internal/proof/replay/owner.go
+++ b/internal/proof/replay/owner.go
@@ -275,7 +275,7 @@
 
 func (sim *simulation) resubmit(j *job) {
 	j.request.Retry = true
-	sim.after(owner.RetryWait(j.lifecycle.Tries(), sim.random.Float64()), func(now time.Time) {
+	sim.after(owner.RetryDelay(j.lifecycle.Tries(), sim.random.Float64()), func(now time.Time) {
 		if j.state != stateWaiting {
 			return
 		}
--- a/internal/retrybudget/class.go
+++ b/internal/retrybudget/class.go
@@ -20,8 +20,8 @@
 // NewClass returns a budget in which every class may retry a few times.
 func NewClass() *Class { return &Class{balance: make(map[string]float64)} }
 
-// FirstTry adds what one first try of a class earns.
-func (b *Class) FirstTry(class string, fraction float64) {
+// RecordFirstTry adds what one first try of a class earns.
+func (b *Class) RecordFirstTry(class string, fraction float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	balance, ok := b.balance[class]
@@ -31,15 +31,15 @@
 	b.balance[class] = min(balance+fraction, fullBalance)
 }
 
-// Has reports whether the class may retry once more.
-func (b *Class) Has(class string) bool {
+// CanRetry reports whether the class may retry once more.
+func (b *Class) CanRetry(class string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.balance[class] >= 1
 }
 
-// Spend counts a retry.
-func (b *Class) Spend(class string) {
+// RecordRetry counts a retry.
+func (b *Class) RecordRetry(class string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.balance[class]--
--- a/internal/retrybudget/fleet.go
+++ b/internal/retrybudget/fleet.go
@@ -49,9 +49,9 @@
 	return &Fleet{limits: limits, hosts: hosts, clock: clock, groups: make(map[string]*group)}
 }
 
-// FirstTry counts a first try. The fraction of the class is ignored: the limits are those
+// RecordFirstTry counts a first try. The fraction of the class is ignored: the limits are those
 // of the whole service.
-func (b *Fleet) FirstTry(service string, _ float64) {
+func (b *Fleet) RecordFirstTry(service string, _ float64) {
 	now := b.clock()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,9 +59,9 @@
 	g.firsts = append(g.firsts, now)
 }
 
-// Has reports whether one more retry may be sent to a service: at most usedPart of Ratio
+// CanRetry reports whether one more retry may be sent to a service: at most usedPart of Ratio
 // times the first tries of this host in the window, plus its share of Slack.
-func (b *Fleet) Has(service string) bool {
+func (b *Fleet) CanRetry(service string) bool {
 	now, hosts := b.clock(), b.hosts()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -84,8 +84,8 @@
 	return b.limits.Slack / float64(max(b.size, 1))
 }
 
-// Spend counts a retry.
-func (b *Fleet) Spend(service string) {
+// RecordRetry counts a retry.
+func (b *Fleet) RecordRetry(service string) {
 	now := b.clock()
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/retrybudget/fleet_test.go
+++ b/internal/retrybudget/fleet_test.go
@@ -24,18 +24,18 @@
 			now := time.Unix(0, 0)
 			b := NewFleet(limits, func() int { return test.hosts }, func() time.Time { return now })
 			for range test.firsts {
-				b.FirstTry("s", 0)
+				b.RecordFirstTry("s", 0)
 			}
 			retries := 0
-			for b.Has("s") {
-				b.Spend("s")
+			for b.CanRetry("s") {
+				b.RecordRetry("s")
 				retries++
 			}
 			c.Check(retries, qt.Equals, test.want)
 			now = now.Add(9 * time.Second)
-			c.Check(b.Has("s"), qt.IsFalse)
+			c.Check(b.CanRetry("s"), qt.IsFalse)
 			now = now.Add(2 * time.Second)
-			c.Check(b.Has("s"), qt.Equals, test.hosts < 100)
+			c.Check(b.CanRetry("s"), qt.Equals, test.hosts < 100)
 		})
 	}
 }
@@ -63,12 +63,12 @@
 			for range hosts {
 				seen := hosts
 				b := NewFleet(limits, func() int { return seen }, func() time.Time { return now })
-				b.Has("s")
+				b.CanRetry("s")
 				seen = 1
-				b.Has("s")
+				b.CanRetry("s")
 				now = now.Add(test.after)
-				for b.Has("s") {
-					b.Spend("s")
+				for b.CanRetry("s") {
+					b.RecordRetry("s")
 					retries++
 				}
 			}
@@ -80,7 +80,7 @@
 func TestServicesHaveBudgetsOfTheirOwn(t *testing.T) {
 	c := qt.New(t)
 	b := NewFleet(Limits{Slack: 2, Window: time.Second}, func() int { return 1 }, func() time.Time { return time.Unix(0, 0) })
-	b.Spend("a")
-	c.Check(b.Has("a"), qt.IsFalse)
-	c.Check(b.Has("b"), qt.IsTrue)
+	b.RecordRetry("a")
+	c.Check(b.CanRetry("a"), qt.IsFalse)
+	c.Check(b.CanRetry("b"), qt.IsTrue)
 }
