--- a/internal/front/capacity/capacity.go
+++ b/internal/front/capacity/capacity.go
@@ -52,8 +52,8 @@
 	return ready
 }
 
-// Wanted is how many endpoints there should be.
-type Wanted map[Place]int
+// DesiredCounts is how many endpoints there should be.
+type DesiredCounts map[Place]int
 
 // Order is one for the provider.
 type Order struct {
@@ -81,15 +81,15 @@
 // as five or six spot ones and boots as long; spells without any lasted for 8.6 to 11 s on the users' days.
 const dryTime = 15 * time.Second
 
-// Want returns how many endpoints there should be if a number of them is needed, whichever zone loses its spot
+// ComputeDesired returns how many endpoints there should be if a number of them is needed, whichever zone loses its spot
 // endpoints: those of one zone more than needed are cheaper than regular ones, unless there are hardly any zones.
 // Regular ones stay until the spot ones are there, as far as the bounds of a zone have room for both, and come
 // where there are no spot ones for long.
-func (p *Plan) Want(now time.Time, scaling *settings.Scaling, fleet Fleet, need int) Wanted {
+func (p *Plan) ComputeDesired(now time.Time, scaling *settings.Scaling, fleet Fleet, need int) DesiredCounts {
 	zones := zonesOf(scaling, fleet)
 	spot := spotInZone(scaling, len(zones), need)
 	lacking := max(min(need, scaling.Max*len(zones))-fleet.Ready(Spot), 0)
-	wanted := make(Wanted)
+	wanted := make(DesiredCounts)
 	for i, zone := range zones {
 		regular := min(ceilDiv(lacking, len(zones)-i), scaling.Max)
 		lacking -= regular
@@ -155,9 +155,9 @@
 	refusedAfter = 2 * time.Second
 )
 
-// Due returns the orders that are to be sent now: what has changed, and what was not fulfilled. What makes room
+// DueOrders returns the orders that are to be sent now: what has changed, and what was not fulfilled. What makes room
 // goes first.
-func (p *Plan) Due(now time.Time, scaling *settings.Scaling, fleet Fleet, wanted Wanted) []Order {
+func (p *Plan) DueOrders(now time.Time, scaling *settings.Scaling, fleet Fleet, wanted DesiredCounts) []Order {
 	var orders []Order
 	for place, desired := range wanted {
 		if p.isDue(now, scaling, fleet, Order{place, desired}) {
@@ -186,8 +186,8 @@
 	return ready < o.Desired && now.Sub(last.at) >= scaling.Boot+repeatAfter
 }
 
-// Sent notes an order that the provider has taken, or refused because there are none to be had.
-func (p *Plan) Sent(now time.Time, order Order, refused bool) {
+// RecordOrder notes an order that the provider has taken, or refused because there are none to be had.
+func (p *Plan) RecordOrder(now time.Time, order Order, refused bool) {
 	s := sent{desired: order.Desired, at: now}
 	if refused {
 		if s.refusedAt = p.sent[order.Place].refusedAt; s.refusedAt.IsZero() {
--- a/internal/front/capacity/capacity_test.go
+++ b/internal/front/capacity/capacity_test.go
@@ -133,13 +133,13 @@
 		ready := fleet.Ready(Regular) + fleet.Ready(Spot)
 		p.least, p.most = min(p.least, ready), max(p.most, ready)
 		now := start.Add(p.now)
-		for _, o := range p.plan.Due(now, p.scaling, fleet, p.plan.Want(now, p.scaling, fleet, need)) {
+		for _, o := range p.plan.DueOrders(now, p.scaling, fleet, p.plan.ComputeDesired(now, p.scaling, fleet, need)) {
 			p.orders = append(p.orders, o)
 			if p.loses > 0 {
 				p.loses--
 				continue
 			}
-			p.plan.Sent(now, o, !p.take(o))
+			p.plan.RecordOrder(now, o, !p.take(o))
 		}
 	}
 }
@@ -260,7 +260,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := Size{Need: test.first}
+			s := NeedEstimate{Need: test.first}
 			now := start
 			for _, span := range test.spans {
 				for range span.seconds * 5 {
@@ -275,12 +275,12 @@
 
 func TestFirst(t *testing.T) {
 	c := qt.New(t)
-	c.Check(First(threeZones(), 3, 0.75), qt.Equals, 90)
-	c.Check(First(threeZones(), 3, 0), qt.Equals, 0)
-	c.Check(First(threeZones(), 1, 0.75), qt.Equals, 0)
+	c.Check(InitialNeed(threeZones(), 3, 0.75), qt.Equals, 90)
+	c.Check(InitialNeed(threeZones(), 3, 0), qt.Equals, 0)
+	c.Check(InitialNeed(threeZones(), 1, 0.75), qt.Equals, 0)
 	none := threeZones()
 	none.SpotPrice = 0
-	c.Check(First(none, 3, 0.75), qt.Equals, 0)
+	c.Check(InitialNeed(none, 3, 0.75), qt.Equals, 0)
 }
 
 func TestInventory(t *testing.T) {
@@ -297,7 +297,7 @@
 	i.Apply(follow.Batch[Change]{Revision: 6, Items: []Change{entry("2", true, true), {Endpoint: Endpoint{ID: "1"}, Gone: true}}})
 	c.Check(fmt.Sprint(i.Fleet("llm")), qt.Equals, fmt.Sprint(Fleet{{"a", Spot}: {Leaving: 1}}))
 	c.Check(i.Revision(), qt.Equals, uint64(6))
-	i.Forget()
+	i.Reset()
 	c.Check(i.Revision(), qt.Equals, uint64(0))
 	c.Check(i.Fleet("llm"), qt.HasLen, 0)
 }
--- a/internal/front/capacity/inventory.go
+++ b/internal/front/capacity/inventory.go
@@ -45,8 +45,8 @@
 	return i.revision
 }
 
-// Forget makes the inventory unknown: it is read whole before it is used again.
-func (i *Inventory) Forget() {
+// Reset makes the inventory unknown: it is read whole before it is used again.
+func (i *Inventory) Reset() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.revision = 0
--- a/internal/front/capacity/size.go
+++ b/internal/front/capacity/size.go
@@ -22,8 +22,8 @@
 	shrinkPart = 0.7
 )
 
-// Size follows how many endpoints of a service are needed. The zero value knows nothing.
-type Size struct {
+// NeedEstimate follows how many endpoints of a service are needed. The zero value knows nothing.
+type NeedEstimate struct {
 	// Need is the number, 0 if it is not known yet.
 	Need int
 	// samples are what was needed lately, by time.
@@ -36,15 +36,15 @@
 	need int
 }
 
-// First returns how many endpoints are taken to be needed as long as nothing is known of the traffic: as many as are
+// InitialNeed returns how many endpoints are taken to be needed as long as nothing is known of the traffic: as many as are
 // left of a part of the most spot endpoints without those of one zone. It is 0 where spot endpoints are not worth
 // it: what is there stays, then.
-func First(scaling *settings.Scaling, zones int, part float64) int {
+func InitialNeed(scaling *settings.Scaling, zones int, part float64) int {
 	return min(spotInZone(scaling, zones, math.MaxInt32), int(part*float64(scaling.Max))) * (zones - 1)
 }
 
 // Observe takes the work of all hosts now, and returns how many endpoints are needed.
-func (s *Size) Observe(now time.Time, load engine.Load) int {
+func (s *NeedEstimate) Observe(now time.Time, load engine.Load) int {
 	s.samples = append(s.samples, sample{at: now, need: ceilDiv(int(load.BusyEngines*100), int(mostReading*100))})
 	for len(s.samples) > 0 && now.Sub(s.samples[0].at) > holdTime {
 		s.samples = s.samples[1:]
--- a/internal/front/leader/announce.go
+++ b/internal/front/leader/announce.go
@@ -29,11 +29,11 @@
 	}
 	l.mu.Unlock()
 	l.parts.Peers.Announce(a)
-	l.Received(l.parts.Host, a)
+	l.HandleAnnouncement(l.parts.Host, a)
 }
 
-// Received notes an announcement of a host. An older one than the last is ignored.
-func (l *Leader) Received(host string, a Announcement) {
+// HandleAnnouncement notes an announcement of a host. An older one than the last is ignored.
+func (l *Leader) HandleAnnouncement(host string, a Announcement) {
 	now := l.parts.Clock()
 	l.mu.Lock()
 	if a.Token < l.newest.Token || (a.Token == l.newest.Token && a.Until != 0 && a.Until < l.newest.Until) {
@@ -49,7 +49,7 @@
 		l.freeAt = now.Add(time.Duration(a.Until-at) + lease.Margin)
 	}
 	l.mu.Unlock()
-	l.parts.Announced(a)
+	l.parts.OnAnnouncement(a)
 }
 
 // State is what a host knows of the leader.
--- a/internal/front/leader/leader.go
+++ b/internal/front/leader/leader.go
@@ -75,8 +75,8 @@
 	Random func() float64
 	// StoreTime returns the least that the store's clock shows at a time, or false if it is not known.
 	StoreTime func(time.Time) (freshness.StoreTime, bool)
-	// Announced is called with each announcement that counts, this host's own included.
-	Announced func(a Announcement)
+	// OnAnnouncement is called with each announcement that counts, this host's own included.
+	OnAnnouncement func(a Announcement)
 }
 
 // Leader is this host's part in having one leader. It is safe for concurrent use.
@@ -174,11 +174,11 @@
 	defer l.mu.Unlock()
 	switch {
 	case err == nil:
-		l.lease.Written(w, answer)
+		l.lease.ObserveWrite(w, answer)
 		l.failures = 0
 		return true
 	case errors.Is(err, ErrConflict):
-		l.lease.Saw(answer)
+		l.lease.Observe(answer)
 	}
 	l.failures++
 	l.parts.Log.WithError(err).WithFields(logrus.Fields{"token": w.Record.Token, "sequence": w.Record.Sequence, "failures": l.failures}).Warn("the lease was not written")
--- a/internal/front/leader/leader_test.go
+++ b/internal/front/leader/leader_test.go
@@ -149,7 +149,7 @@
 func (p hostPeers) Announce(a Announcement) {
 	for _, l := range p.all.leaders {
 		if l.parts.Host != p.name && !p.all.deaf[l.parts.Host] {
-			l.Received(p.name, a)
+			l.HandleAnnouncement(p.name, a)
 		}
 	}
 }
@@ -168,9 +168,9 @@
 			unable := c.all.unable[c.name]
 			c.all.mu.Unlock()
 			if unable {
-				m.Unanswered()
+				m.RecordNoAnswer()
 			} else {
-				m.Answered()
+				m.RecordAnswer()
 			}
 		}
 		select {
@@ -191,8 +191,8 @@
 		all.leaders = append(all.leaders, New(Parts{
 			Host: name, Start: int64(n + 1), Duration: leaseTime, Store: hostStore{all.store, name}, Peers: hostPeers{all, name, n},
 			Tasks: []Task{&caller{all, name}}, Log: logrus.NewEntry(log), Clock: time.Now, Random: random.Float64,
-			StoreTime: func(time.Time) (freshness.StoreTime, bool) { return all.store.at(), true },
-			Announced: func(Announcement) {},
+			StoreTime:      func(time.Time) (freshness.StoreTime, bool) { return all.store.at(), true },
+			OnAnnouncement: func(Announcement) {},
 		}))
 	}
 	for _, l := range all.leaders {
@@ -360,7 +360,7 @@
 		c.Check(h.lastActs()["a"] <= lost+leaseTime-leastLeft, qt.IsTrue)
 		first := slices.IndexFunc(h.acts, func(a act) bool { return a.host == "b" })
 		c.Check(h.acts[first].at-h.lastActs()["a"] >= leastLeft, qt.IsTrue)
-		c.Check(leastLeft > lease.Flight, qt.IsTrue, qt.Commentf("a call has some time"))
+		c.Check(leastLeft > lease.MaxFlightTime, qt.IsTrue, qt.Commentf("a call has some time"))
 		c.Check(renewInterval+storeTimeout+leastLeft <= leaseTime, qt.IsTrue, qt.Commentf("one renewal may be lost without a gap"))
 	})
 }
@@ -403,13 +403,13 @@
 		h := start(2)
 		time.Sleep(10 * time.Second)
 		m := h.leaders[0].mandateNow()
-		c.Assert(m.Keep(t.Context(), Record{Key: "k", Value: []byte("v")}), qt.IsNil)
+		c.Assert(m.WriteRecords(t.Context(), Record{Key: "k", Value: []byte("v")}), qt.IsNil)
 		c.Check(string(h.store.records["k"]), qt.Equals, "v")
 		h.set(h.store.away, "a", true)
-		err := m.Keep(t.Context(), Record{Key: "k", Value: []byte("w")})
-		c.Check(err, qt.ErrorIs, ErrLost, qt.Commentf("the lease ended meanwhile"))
+		err := m.WriteRecords(t.Context(), Record{Key: "k", Value: []byte("w")})
+		c.Check(err, qt.ErrorIs, ErrLeadershipLost, qt.Commentf("the lease ended meanwhile"))
 		c.Check(string(h.store.records["k"]), qt.Equals, "v")
-		c.Check(m.Keep(t.Context(), Record{Key: "k"}), qt.ErrorIs, ErrLost)
+		c.Check(m.WriteRecords(t.Context(), Record{Key: "k"}), qt.ErrorIs, ErrLeadershipLost)
 		h.stop()
 	})
 }
--- a/internal/front/leader/mandate.go
+++ b/internal/front/leader/mandate.go
@@ -10,8 +10,8 @@
 	"oxbowslip.dev/oxbowslip/internal/front/lease"
 )
 
-// ErrLost is returned to a task whose mandate has ended.
-var ErrLost = merry.Sentinel("this host leads no more")
+// ErrLeadershipLost is returned to a task whose mandate has ended.
+var ErrLeadershipLost = merry.Sentinel("this host leads no more")
 
 // Fence is asked right before a call of a leader is sent. It returns the fencing token for the call, and how long from
 // now it may take, whatever has come of it; or false if nothing may be sent.
@@ -35,17 +35,17 @@
 	if !ok || token != m.token || expires.Sub(now) < leastLeft {
 		return 0, 0, false
 	}
-	return token, expires.Sub(now) - lease.Flight, true
+	return token, expires.Sub(now) - lease.MaxFlightTime, true
 }
 
-// Keep has records written to the store beside the lease, and returns once they are there.
-func (m *Mandate) Keep(ctx context.Context, records ...Record) error {
+// WriteRecords has records written to the store beside the lease, and returns once they are there.
+func (m *Mandate) WriteRecords(ctx context.Context, records ...Record) error {
 	k := &keeping{records: records, done: make(chan struct{})}
 	l := m.leader
 	l.mu.Lock()
 	if l.mandate != m {
 		l.mu.Unlock()
-		return merry.Wrap(ErrLost)
+		return merry.Wrap(ErrLeadershipLost)
 	}
 	l.kept = append(l.kept, k)
 	l.mu.Unlock()
@@ -56,7 +56,7 @@
 		return merry.Wrap(ctx.Err())
 	}
 	if !k.written {
-		return merry.Wrap(ErrLost)
+		return merry.Wrap(ErrLeadershipLost)
 	}
 	return nil
 }
@@ -75,23 +75,23 @@
 	return m.leader.memo
 }
 
-// Remember changes what is left to successors. It is stored with the next renewal.
-func (m *Mandate) Remember(change func(*lease.Memo)) {
+// UpdateMemo changes what is left to successors. It is stored with the next renewal.
+func (m *Mandate) UpdateMemo(change func(*lease.Memo)) {
 	m.leader.mu.Lock()
 	defer m.leader.mu.Unlock()
 	change(&m.leader.memo)
 }
 
-// Answered notes an answer of the provider, Unanswered a call that got none.
-func (m *Mandate) Answered() {
+// RecordAnswer notes an answer of the provider, Unanswered a call that got none.
+func (m *Mandate) RecordAnswer() {
 	m.leader.mu.Lock()
 	defer m.leader.mu.Unlock()
 	m.leader.provider = providerHealth{answeredAt: m.leader.parts.Clock()}
 	m.leader.memo.Failing = 0
 }
 
-// Unanswered notes a call to the provider that got no answer.
-func (m *Mandate) Unanswered() {
+// RecordNoAnswer notes a call to the provider that got no answer.
+func (m *Mandate) RecordNoAnswer() {
 	m.leader.mu.Lock()
 	defer m.leader.mu.Unlock()
 	m.leader.provider.unanswered++
--- a/internal/front/leader/stand.go
+++ b/internal/front/leader/stand.go
@@ -19,8 +19,8 @@
 	}
 	now := l.parts.Clock()
 	l.mu.Lock()
-	l.lease.Saw(answer)
-	wait := l.lease.Wait(now)
+	l.lease.Observe(answer)
+	wait := l.lease.WaitTime(now)
 	if wait > 0 {
 		l.mu.Unlock()
 		l.postpone(wait)
--- a/internal/front/leading.go
+++ b/internal/front/leading.go
@@ -75,18 +75,18 @@
 	parts := leader.Parts{
 		Host: p.Config.Name, Start: p.Clock().UnixNano(), Duration: provider.Lease, Store: p.Deployment.Lease, Peers: leaderPeers{p.Gossip},
 		Log: logging.Part(p.Log, "leader"), Clock: p.Clock, Random: p.Random, StoreTime: p.Freshness.StoreTime,
-		Announced: func(leader.Announcement) {},
+		OnAnnouncement: func(leader.Announcement) {},
 	}
 	if provider.Has(hostconfig.TaskUsage) {
 		l.reporter = reporter.New(reporter.Parts{
-			Meter: p.Meter, Usage: p.Usage, Due: provider.UsageDue, Provider: p.Deployment.Provider, Peers: p.Gossip,
+			Meter: p.Meter, UsageClock: p.Usage, DueAfter: provider.UsageDue, Provider: p.Deployment.Provider, Peers: p.Gossip,
 			Leader: func() string { return l.leader.Holder() }, Log: logging.Part(p.Log, "usage"), Clock: p.Clock, Random: p.Random,
 		})
 		parts.Tasks = append(parts.Tasks, l.reporter)
-		parts.Announced = l.reporter.Announced
-		p.Gossip.Handle(envelope.KindUsage, l.reporter.Received)
-		p.Gossip.Handle(envelope.KindFixedReports, l.reporter.ReceivedFixed)
-		p.Gossip.Handle(envelope.KindAskFixed, l.reporter.ReceivedAsk)
+		parts.OnAnnouncement = l.reporter.HandleAnnouncement
+		p.Gossip.Handle(envelope.KindUsage, l.reporter.HandleCounts)
+		p.Gossip.Handle(envelope.KindFixedReports, l.reporter.HandleFixedReports)
+		p.Gossip.Handle(envelope.KindAskFixed, l.reporter.HandleFixedReportsRequest)
 	}
 	if provider.Has(hostconfig.TaskAutoscale) {
 		inventory := capacity.NewInventory(p.Directory.IsLeaving)
@@ -124,7 +124,7 @@
 			log.WithError(err).WithField("peer", from.Host).Warn("an announcement can't be read")
 			return
 		}
-		l.leader.Received(from.Host, a)
+		l.leader.HandleAnnouncement(from.Host, a)
 	}
 }
 
--- a/internal/front/lease/lease.go
+++ b/internal/front/lease/lease.go
@@ -34,10 +34,10 @@
 // lease and sending.
 const Margin = 100 * time.Millisecond
 
-// Flight is how long bytes of a call may be on their way once it has been given up and its connection reset: on a link
+// MaxFlightTime is how long bytes of a call may be on their way once it has been given up and its connection reset: on a link
 // whose queue is full. A holder's calls end that long before its lease, and one that gives the lease up keeps it that
 // long from others. Packets that wait for longer count as a fault of the machine on the users' platform.
-const Flight = 500 * time.Millisecond
+const MaxFlightTime = 500 * time.Millisecond
 
 // maxDuration bounds what a record may say of how long it lasts, so that a faulty one does not keep the lease from all
 // hosts.
@@ -67,14 +67,14 @@
 	Until    freshness.StoreTime `json:"until"`
 	Duration time.Duration       `json:"duration"`
 	// Former are the hosts before the holder, as long as they must not take the lease again.
-	Former []Former `json:"former,omitzero"`
+	Former []FormerHolder `json:"former,omitzero"`
 	// Memo is what holders leave to their successors.
 	Memo Memo `json:"memo,omitzero"`
 }
 
-// Former is a host that held the lease, and when its lease ended by the store's clock. Without a name it may be any:
+// FormerHolder is a host that held the lease, and when its lease ended by the store's clock. Without a name it may be any:
 // the row could not be read.
-type Former struct {
+type FormerHolder struct {
 	Host  string              `json:"host"`
 	Until freshness.StoreTime `json:"until"`
 }
@@ -138,8 +138,8 @@
 	return &Lease{host: host, start: start, duration: duration, sentAt: make(map[uint64]time.Time)}
 }
 
-// Saw notes an answer that shows the row. An answer that is older than another one is ignored.
-func (l *Lease) Saw(a Answer) {
+// Observe notes an answer that shows the row. An answer that is older than another one is ignored.
+func (l *Lease) Observe(a Answer) {
 	if a.Revision < l.last.Revision {
 		return
 	}
@@ -173,10 +173,10 @@
 	return &grant{token: r.Token, expires: sent.Add(l.duration)}
 }
 
-// Written notes that a write was done.
-func (l *Lease) Written(w *Write, a Answer) {
+// ObserveWrite notes that a write was done.
+func (l *Lease) ObserveWrite(w *Write, a Answer) {
 	a.Row = Row{Version: a.Revision, Record: &w.Record}
-	l.Saw(a)
+	l.Observe(a)
 	for sequence := range l.sentAt {
 		if sequence < w.Record.Sequence {
 			// The store did a later write on the same row: it will never do this one.
@@ -204,9 +204,9 @@
 // Row returns the row as it was last seen.
 func (l *Lease) Row() Row { return l.row }
 
-// Wait returns how long this host has to wait before it may take the lease, judged by the row as it was last
+// WaitTime returns how long this host has to wait before it may take the lease, judged by the row as it was last
 // seen; 0 means that it may now.
-func (l *Lease) Wait(now time.Time) time.Duration {
+func (l *Lease) WaitTime(now time.Time) time.Duration {
 	if l.isFree() {
 		return 0
 	}
@@ -254,10 +254,10 @@
 		record.Token = max(record.Token, before.Token+1)
 		record.Former = l.formerHosts(now)
 		if before.Holder != "" && before.Holder != l.host {
-			record.Former = append(record.Former, Former{Host: before.Holder, Until: before.Until})
+			record.Former = append(record.Former, FormerHolder{Host: before.Holder, Until: before.Until})
 		}
 	case !l.isFree():
-		record.Former = []Former{{Until: l.latest(now)}}
+		record.Former = []FormerHolder{{Until: l.latest(now)}}
 	}
 	return l.write(now, record)
 }
@@ -282,8 +282,8 @@
 func (l *Lease) Release(now time.Time, memo Memo) Write {
 	l.grant = nil
 	clear(l.sentAt)
-	until := l.latest(now) + freshness.StoreTime(Flight)
-	former := append(l.formerHosts(now), Former{Host: l.host, Until: until})
+	until := l.latest(now) + freshness.StoreTime(MaxFlightTime)
+	former := append(l.formerHosts(now), FormerHolder{Host: l.host, Until: until})
 	return l.numbered(Record{Token: l.row.Record.Token, Until: until, Former: former, Memo: memo})
 }
 
@@ -296,8 +296,8 @@
 
 // formerHosts returns the hosts of the row that held the lease before its holder, without this one and those
 // that may take the lease again.
-func (l *Lease) formerHosts(now time.Time) []Former {
-	return slices.DeleteFunc(slices.Clone(l.row.Record.Former), func(f Former) bool {
+func (l *Lease) formerHosts(now time.Time) []FormerHolder {
+	return slices.DeleteFunc(slices.Clone(l.row.Record.Former), func(f FormerHolder) bool {
 		return f.Host == l.host || l.leftUntil(f.Until, now)+l.duration+Margin <= 0
 	})
 }
--- a/internal/front/lease/model_test.go
+++ b/internal/front/lease/model_test.go
@@ -249,7 +249,7 @@
 		{h.name + " starts again", 1, func() { w.restart(h) }},
 		{h.name + " is suspended", 2, func() { w.suspend(h) }},
 	}
-	mayTake := h.lease.Wait(now) == 0 || w.mutant == doesNotWait || (w.mutant == takesLostRows && h.lease.row.Version == 0)
+	mayTake := h.lease.WaitTime(now) == 0 || w.mutant == doesNotWait || (w.mutant == takesLostRows && h.lease.row.Version == 0)
 	if !holds && h.seen && mayTake {
 		for f := range fates {
 			events = append(events, event{fmt.Sprintf("%s takes the lease (%d)", h.name, f), weights[f], func() { w.write(i, w.take(h), f) }})
@@ -280,7 +280,7 @@
 	if f == slow {
 		w.now += leaseTime / 3
 	}
-	h.lease.Saw(w.answer(h, sent, at, w.table))
+	h.lease.Observe(w.answer(h, sent, at, w.table))
 	h.seen = true
 }
 
@@ -308,7 +308,7 @@
 	// Its calls under way are reset.
 	for n := range w.arrivals {
 		if w.arrivals[n].host == h.name {
-			w.arrivals[n].at = min(w.arrivals[n].at, w.now+Flight)
+			w.arrivals[n].at = min(w.arrivals[n].at, w.now+MaxFlightTime)
 		}
 	}
 	write := h.lease.Release(w.local(h), Memo{})
@@ -345,9 +345,9 @@
 // answered hands the answer to a write to its host.
 func (w *model) answered(h *modelHost, write *Write, done bool, answer Answer) {
 	if done {
-		h.lease.Written(write, answer)
+		h.lease.ObserveWrite(write, answer)
 	} else {
-		h.lease.Saw(answer)
+		h.lease.Observe(answer)
 	}
 	if w.mutant == countsFromAnswer && h.lease.grant != nil {
 		h.lease.grant.expires = answer.Received.Add(leaseTime)
--- a/internal/front/reporter/lead.go
+++ b/internal/front/reporter/lead.go
@@ -42,12 +42,12 @@
 // mandate is what the reports need of a leader.Mandate.
 type mandate interface {
 	Fence() (token uint64, left time.Duration, ok bool)
-	Keep(ctx context.Context, records ...leader.Record) error
+	WriteRecords(ctx context.Context, records ...leader.Record) error
 	Records(ctx context.Context) ([]leader.Record, error)
 	Memo() lease.Memo
-	Remember(change func(*lease.Memo))
-	Answered()
-	Unanswered()
+	UpdateMemo(change func(*lease.Memo))
+	RecordAnswer()
+	RecordNoAnswer()
 }
 
 // Lead reports the windows that end, until ctx does. It implements leader.Task.
@@ -88,12 +88,12 @@
 	clear(r.fixed)
 	clear(r.inStore)
 	r.stored = nil
-	oldest := r.parts.Usage.Window(now) - keptReports
+	oldest := r.parts.UsageClock.Window(now) - keptReports
 	reported := max(usage.Window(m.Memo().Reported), r.known.reported)
 	r.reported = max(reported, oldest)
 	if reported == 0 {
 		// A fleet that has just started reports the window in which it did.
-		r.reported = r.parts.Usage.Window(now) - 1
+		r.reported = r.parts.UsageClock.Window(now) - 1
 	}
 	for i := range records {
 		if err := r.loadRecord(&records[i]); err != nil {
@@ -179,7 +179,7 @@
 		alive[usage.Source(sender)] = true
 	}
 	r.mu.Lock()
-	var offers []usage.Zero
+	var offers []usage.ClockOffset
 	for source, zero := range r.zeros {
 		if !alive[source] {
 			delete(r.zeros, source)
@@ -192,9 +192,9 @@
 	if len(offers) < len(senders) && r.parts.Clock().Sub(since) < offerTime {
 		return
 	}
-	if zero, ok := usage.Median(offers); ok {
-		m.Remember(func(memo *lease.Memo) { memo.TrueTime = int64(zero) })
-		r.parts.Usage.Agree(zero)
+	if zero, ok := usage.MedianOffset(offers); ok {
+		m.UpdateMemo(func(memo *lease.Memo) { memo.TrueTime = int64(zero) })
+		r.parts.UsageClock.SetOffset(zero)
 	}
 }
 
@@ -205,16 +205,16 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var due []usage.Window
-	for w := r.reported + 1; r.parts.Usage.SinceEnd(w, now) >= settleTime; w++ {
+	for w := r.reported + 1; r.parts.UsageClock.SinceEnd(w, now) >= settleTime; w++ {
 		if r.settled[w] {
 			continue
 		}
-		end := r.parts.Usage.True(now) - r.parts.Usage.SinceEnd(w, now)
+		end := r.parts.UsageClock.TrueTime(now) - r.parts.UsageClock.SinceEnd(w, now)
 		complete := true
 		for _, sender := range senders {
 			complete = complete && r.ledger.AsOf(usage.Source(sender)) >= end
 		}
-		late := r.parts.Usage.SinceEnd(w, now) >= time.Duration(latePart*float64(r.parts.Due))
+		late := r.parts.UsageClock.SinceEnd(w, now) >= time.Duration(latePart*float64(r.parts.DueAfter))
 		if _, fixed := r.fixed[w]; fixed || complete || late {
 			due = append(due, w)
 		}
@@ -240,7 +240,7 @@
 	if err := r.parts.Provider.ReportUsage(ctx, m.Fence, w, counts); err != nil {
 		return err
 	}
-	m.Answered()
+	m.RecordAnswer()
 	r.settle(m, w, counts)
 	return nil
 }
@@ -268,7 +268,7 @@
 		}
 	}
 	r.mu.Unlock()
-	if err := m.Keep(ctx, records...); err != nil {
+	if err := m.WriteRecords(ctx, records...); err != nil {
 		return err
 	}
 	r.mu.Lock()
@@ -289,26 +289,26 @@
 	reported, hosts := r.reported, len(r.ledger.Shares())
 	r.mu.Unlock()
 	r.parts.Meter.Drop(reported)
-	m.Remember(func(memo *lease.Memo) { memo.Reported = uint64(reported) })
+	m.UpdateMemo(func(memo *lease.Memo) { memo.Reported = uint64(reported) })
 	requests := uint64(0)
 	for _, count := range counts {
 		requests += count
 	}
 	r.parts.Log.WithFields(logrus.Fields{
 		"window": w, "requests": requests, "workspaces": len(counts), "hosts": hosts,
-		"after_end_ms": r.parts.Usage.SinceEnd(w, now).Milliseconds(),
+		"after_end_ms": r.parts.UsageClock.SinceEnd(w, now).Milliseconds(),
 	}).Info("reported")
 }
 
 // failed notes why a window was not reported.
 func (r *Reporter) failed(ctx context.Context, m mandate, w usage.Window, err error) {
-	if ctx.Err() != nil || errors.Is(err, leader.ErrLost) {
+	if ctx.Err() != nil || errors.Is(err, leader.ErrLeadershipLost) {
 		return
 	}
 	if errors.Is(err, ErrRefused) {
-		m.Answered()
+		m.RecordAnswer()
 	} else {
-		m.Unanswered()
+		m.RecordNoAnswer()
 	}
 	r.parts.Log.WithError(err).WithField("window", fmt.Sprint(w)).Warn("a window is not reported yet")
 }
--- a/internal/front/reporter/recovery.go
+++ b/internal/front/reporter/recovery.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// ReceivedFixed handles the reports that a peer knows.
-func (r *Reporter) ReceivedFixed(from envelope.Sender, body []byte) {
+// HandleFixedReports handles the reports that a peer knows.
+func (r *Reporter) HandleFixedReports(from envelope.Sender, body []byte) {
 	var m fixedReports
 	if err := cbor.Unmarshal(body, &m); err != nil {
 		r.parts.Log.WithError(err).WithField("peer", from.Host).Warn("a peer's reports can't be read")
@@ -75,8 +75,8 @@
 	r.known.merge(&m)
 }
 
-// ReceivedAsk sends a peer the reports that this host knows.
-func (r *Reporter) ReceivedAsk(from envelope.Sender, _ []byte) {
+// HandleFixedReportsRequest sends a peer the reports that this host knows.
+func (r *Reporter) HandleFixedReportsRequest(from envelope.Sender, _ []byte) {
 	r.parts.Peers.SendTo(from.Host, envelope.KindFixedReports, r.fixedReports())
 }
 
@@ -91,7 +91,7 @@
 // knowsSince returns the true time from which on this host has got what leaders send.
 func (r *Reporter) knowsSince() time.Duration {
 	now := r.parts.Clock()
-	return r.parts.Usage.True(now) - now.Sub(r.started) + joinTime
+	return r.parts.UsageClock.TrueTime(now) - now.Sub(r.started) + joinTime
 }
 
 // recoverReports makes up for what the store has lost, if this is the first leader of an era that gets so far. It reports false if
@@ -111,7 +111,7 @@
 		return false
 	}
 	r.takeKnown()
-	m.Remember(func(memo *lease.Memo) { memo.Era = era.Of(token) })
+	m.UpdateMemo(func(memo *lease.Memo) { memo.Era = era.Of(token) })
 	return true
 }
 
@@ -132,7 +132,7 @@
 		}
 	}
 	var leftOut []usage.Window
-	for w := r.reported + 1; r.parts.Usage.SinceEnd(w, now) > r.parts.Usage.True(now)-since; w++ {
+	for w := r.reported + 1; r.parts.UsageClock.SinceEnd(w, now) > r.parts.UsageClock.TrueTime(now)-since; w++ {
 		if _, fixed := r.fixed[w]; !fixed {
 			leftOut = append(leftOut, w)
 			r.settled[w] = true
--- a/internal/front/reporter/reporter.go
+++ b/internal/front/reporter/reporter.go
@@ -48,10 +48,10 @@
 
 // Parts are what a Reporter works with.
 type Parts struct {
-	Meter *usage.Meter
-	Usage *usage.Clock
-	// Due is how long after the end of a window its report is due.
-	Due      time.Duration
+	Meter      *usage.Meter
+	UsageClock *usage.Clock
+	// DueAfter is how long after the end of a window its report is due.
+	DueAfter time.Duration
 	Provider Provider
 	Peers    Peers
 	// Leader returns the host that leads, or nothing if this host knows of none.
@@ -70,7 +70,7 @@
 	mu     sync.Mutex
 	ledger *usage.Ledger
 	// zeros are what hosts offer as the true time.
-	zeros map[usage.Source]usage.Zero
+	zeros map[usage.Source]usage.ClockOffset
 	// reported is the window up to which all are reported, settled the reported ones after it.
 	reported usage.Window
 	settled  map[usage.Window]bool
@@ -86,7 +86,7 @@
 // New returns a reporter that knows no counts.
 func New(parts Parts) *Reporter {
 	return &Reporter{
-		parts: parts, started: parts.Clock(), known: known{windows: make(usage.Windows)}, ledger: usage.NewLedger(), zeros: make(map[usage.Source]usage.Zero),
+		parts: parts, started: parts.Clock(), known: known{windows: make(usage.Windows)}, ledger: usage.NewLedger(), zeros: make(map[usage.Source]usage.ClockOffset),
 		settled: make(map[usage.Window]bool), fixed: make(map[usage.Window]usage.Counts), inStore: make(map[usage.Window]bool),
 	}
 }
@@ -119,15 +119,15 @@
 // ownShare returns what this host has counted.
 func (r *Reporter) ownShare() share {
 	now := r.parts.Clock()
-	s := share{AsOf: int64(r.parts.Usage.True(now)), Windows: r.parts.Meter.Windows()}
-	if zero, known := r.parts.Usage.Own(now); known {
+	s := share{AsOf: int64(r.parts.UsageClock.TrueTime(now)), Windows: r.parts.Meter.Windows()}
+	if zero, known := r.parts.UsageClock.LocalOffset(now); known {
 		s.Zero = int64(zero)
 	}
 	return s
 }
 
-// Received handles a peer's counts.
-func (r *Reporter) Received(from envelope.Sender, body []byte) {
+// HandleCounts handles a peer's counts.
+func (r *Reporter) HandleCounts(from envelope.Sender, body []byte) {
 	var s share
 	if err := cbor.Unmarshal(body, &s); err != nil {
 		r.parts.Log.WithError(err).WithField("peer", from.Host).Warn("a peer's counts can't be read")
@@ -142,14 +142,14 @@
 	defer r.mu.Unlock()
 	r.ledger.Merge(source, usage.Share{AsOf: time.Duration(s.AsOf), Windows: s.Windows})
 	if s.Zero != 0 {
-		r.zeros[source] = usage.Zero(s.Zero)
+		r.zeros[source] = usage.ClockOffset(s.Zero)
 	}
 }
 
-// Announced takes what a leader announces.
-func (r *Reporter) Announced(a leader.Announcement) {
+// HandleAnnouncement takes what a leader announces.
+func (r *Reporter) HandleAnnouncement(a leader.Announcement) {
 	if a.TrueTime != 0 {
-		r.parts.Usage.Agree(usage.Zero(a.TrueTime))
+		r.parts.UsageClock.SetOffset(usage.ClockOffset(a.TrueTime))
 	}
 	if a.Reported != 0 {
 		r.parts.Meter.Drop(usage.Window(a.Reported))
--- a/internal/front/reporter/reporter_test.go
+++ b/internal/front/reporter/reporter_test.go
@@ -91,7 +91,7 @@
 	h.clock = usage.NewClock(window, store, func(at time.Time) time.Time { return at })
 	h.meter = usage.NewMeter(h.clock)
 	h.Reporter = New(Parts{
-		Meter: h.meter, Usage: h.clock, Due: due, Provider: n, Peers: h, Leader: func() string { return n.leader() },
+		Meter: h.meter, UsageClock: h.clock, DueAfter: due, Provider: n, Peers: h, Leader: func() string { return n.leader() },
 		Log: n.log, Clock: func() time.Time { return time.Now().Add(h.ahead) }, Random: func() float64 { return 0.5 },
 	})
 	n.mu.Lock()
@@ -176,7 +176,7 @@
 		return
 	}
 	handle := map[envelope.Kind]envelope.Handler{
-		envelope.KindUsage: receiver.Received, envelope.KindFixedReports: receiver.ReceivedFixed, envelope.KindAskFixed: receiver.ReceivedAsk,
+		envelope.KindUsage: receiver.HandleCounts, envelope.KindFixedReports: receiver.HandleFixedReports, envelope.KindAskFixed: receiver.HandleFixedReportsRequest,
 	}[kind]
 	handle(envelope.Sender{Host: h.name, Incarnation: 1}, body)
 }
@@ -234,7 +234,7 @@
 	}
 }
 
-func (h *host) Keep(_ context.Context, records ...leader.Record) error {
+func (h *host) WriteRecords(_ context.Context, records ...leader.Record) error {
 	time.Sleep(5 * time.Millisecond)
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -264,19 +264,19 @@
 	return h.network.memo
 }
 
-func (h *host) Remember(change func(*lease.Memo)) {
+func (h *host) UpdateMemo(change func(*lease.Memo)) {
 	h.network.mu.Lock()
 	change(&h.network.memo)
 	a := leader.Announcement{TrueTime: h.network.memo.TrueTime, Reported: h.network.memo.Reported}
 	hosts := slices.Collect(maps.Values(h.network.hosts))
 	h.network.mu.Unlock()
 	for _, other := range hosts {
-		other.Announced(a)
+		other.HandleAnnouncement(a)
 	}
 }
 
-func (h *host) Answered()   {}
-func (h *host) Unanswered() {}
+func (h *host) RecordAnswer()   {}
+func (h *host) RecordNoAnswer() {}
 
 // renew stores the checkpoint of the leader.
 func (h *host) renew() {
@@ -389,7 +389,7 @@
 			n.kill("a")
 			n.kill("b")
 			n.kill("c")
-			n.add("d").clock.Agree(usage.Zero(n.memo.TrueTime))
+			n.add("d").clock.SetOffset(usage.ClockOffset(n.memo.TrueTime))
 			n.lead("d")
 			n.hosts["d"].count("x", 1)
 			time.Sleep(3 * window)
@@ -445,8 +445,8 @@
 			n.awaitReports(2)
 			n.kill("a")
 			n.restore()
-			zero := usage.Zero(n.memo.TrueTime)
-			n.add("d").clock.Agree(zero)
+			zero := usage.ClockOffset(n.memo.TrueTime)
+			n.add("d").clock.SetOffset(zero)
 			n.lead("d")
 			n.hosts["b"].count("x", 2)
 			time.Sleep(3 * window)
@@ -458,7 +458,7 @@
 			counts := n.records[keyCheckpoint]
 			n.hosts["a"].count("x", 1)
 			n.awaitReports(1)
-			n.add("d").clock.Agree(usage.Zero(n.memo.TrueTime))
+			n.add("d").clock.SetOffset(usage.ClockOffset(n.memo.TrueTime))
 			for _, name := range []string{"a", "b", "c"} {
 				n.kill(name)
 			}
--- a/internal/front/scaler/scaler.go
+++ b/internal/front/scaler/scaler.go
@@ -22,8 +22,8 @@
 
 // The errors of a Provider that has answered.
 var (
-	// ErrNone: there are no such endpoints to be had now.
-	ErrNone = merry.Sentinel("none to be had")
+	// ErrNoneAvailable: there are no such endpoints to be had now.
+	ErrNoneAvailable = merry.Sentinel("none to be had")
 	// ErrRefused: the provider did not take the order.
 	ErrRefused = merry.Sentinel("the provider refused")
 )
@@ -57,7 +57,7 @@
 // service is what is known of one service.
 type service struct {
 	plan *capacity.Plan
-	size capacity.Size
+	size capacity.NeedEstimate
 }
 
 // New returns a scaler that has ordered nothing.
@@ -73,17 +73,17 @@
 // mandate is what orders need of a leader.Mandate.
 type mandate interface {
 	Fence() (token uint64, left time.Duration, ok bool)
-	Keep(ctx context.Context, records ...leader.Record) error
+	WriteRecords(ctx context.Context, records ...leader.Record) error
 	Records(ctx context.Context) ([]leader.Record, error)
-	Answered()
-	Unanswered()
+	RecordAnswer()
+	RecordNoAnswer()
 }
 
 // Lead orders endpoints until ctx ends. It implements leader.Task.
 func (s *Scaler) Lead(ctx context.Context, m *leader.Mandate) { s.lead(ctx, m) }
 
 func (s *Scaler) lead(ctx context.Context, m mandate) {
-	defer s.parts.Inventory.Forget()
+	defer s.parts.Inventory.Reset()
 	for !s.load(ctx, m) {
 		if !lifetime.Sleep(ctx, planInterval) {
 			return
@@ -143,7 +143,7 @@
 	load := s.parts.Load(name)
 	before := of.size.Need
 	if before == 0 {
-		of.size.Need = capacity.First(scaling, len(scaling.ZonePrices), s.parts.FirstPart)
+		of.size.Need = capacity.InitialNeed(scaling, len(scaling.ZonePrices), s.parts.FirstPart)
 	}
 	if need := of.size.Observe(now, load); need != before {
 		s.parts.Log.WithFields(logrus.Fields{
@@ -155,8 +155,8 @@
 	if of.size.Need == 0 {
 		return
 	}
-	wanted := of.plan.Want(now, scaling, fleet, of.size.Need)
-	for _, order := range of.plan.Due(now, scaling, fleet, wanted) {
+	wanted := of.plan.ComputeDesired(now, scaling, fleet, of.size.Need)
+	for _, order := range of.plan.DueOrders(now, scaling, fleet, wanted) {
 		s.order(ctx, m, name, of, fleet, order)
 	}
 }
@@ -169,7 +169,7 @@
 	}
 	data, err := json.Marshal(needs, json.Deterministic(true))
 	if err == nil {
-		err = m.Keep(ctx, leader.Record{Key: recordKey, Value: data})
+		err = m.WriteRecords(ctx, leader.Record{Key: recordKey, Value: data})
 	}
 	if err != nil {
 		s.parts.Log.WithError(err).Warn("what is needed was not kept for the next leader")
@@ -185,18 +185,18 @@
 	})
 	switch {
 	case err == nil:
-		m.Answered()
-		of.plan.Sent(s.parts.Clock(), order, false)
+		m.RecordAnswer()
+		of.plan.RecordOrder(s.parts.Clock(), order, false)
 		log.Info("ordered")
-	case errors.Is(err, ErrNone):
-		m.Answered()
-		of.plan.Sent(s.parts.Clock(), order, true)
+	case errors.Is(err, ErrNoneAvailable):
+		m.RecordAnswer()
+		of.plan.RecordOrder(s.parts.Clock(), order, true)
 		log.Warn("none to be had")
 	case errors.Is(err, ErrRefused):
-		m.Answered()
+		m.RecordAnswer()
 		log.WithError(err).Warn("an order was refused")
-	case ctx.Err() == nil && !errors.Is(err, leader.ErrLost):
-		m.Unanswered()
+	case ctx.Err() == nil && !errors.Is(err, leader.ErrLeadershipLost):
+		m.RecordNoAnswer()
 		log.WithError(err).Warn("an order was not answered")
 	}
 }
--- a/internal/front/scaler/scaler_test.go
+++ b/internal/front/scaler/scaler_test.go
@@ -29,10 +29,10 @@
 }
 
 func (f *fake) Fence() (uint64, time.Duration, bool) { return 1, time.Second, true }
-func (f *fake) Answered()                            { f.answered++ }
-func (f *fake) Unanswered()                          { f.unanswered++ }
+func (f *fake) RecordAnswer()                        { f.answered++ }
+func (f *fake) RecordNoAnswer()                      { f.unanswered++ }
 
-func (f *fake) Keep(_ context.Context, records ...leader.Record) error {
+func (f *fake) WriteRecords(_ context.Context, records ...leader.Record) error {
 	for _, r := range records {
 		f.records[r.Key] = r.Value
 	}
@@ -85,7 +85,7 @@
 		"what a former leader has found out": {map[string][]byte{recordKey: []byte(`{"llm":80}`)}, 0, nil, 40, true, false},
 		"a record that can't be read":        {map[string][]byte{recordKey: []byte(`[]`)}, 0, nil, 30, true, false},
 		"more is needed":                     {map[string][]byte{}, 67, nil, 50, true, false},
-		"none to be had":                     {map[string][]byte{}, 0, merry.Wrap(ErrNone), 30, true, false},
+		"none to be had":                     {map[string][]byte{}, 0, merry.Wrap(ErrNoneAvailable), 30, true, false},
 		"refused":                            {map[string][]byte{}, 0, merry.Wrap(ErrRefused), 30, true, false},
 		"not answered":                       {map[string][]byte{}, 0, errors.New("silent"), 30, false, true},
 	}
--- a/internal/front/usage/clock.go
+++ b/internal/front/usage/clock.go
@@ -16,8 +16,8 @@
 // Window is the number of a window: it begins that many lengths after the start of 1970, in true time.
 type Window uint64
 
-// Zero is the true time at the zero of the store's clock, since the start of 1970.
-type Zero time.Duration
+// ClockOffset is the true time at the zero of the store's clock, since the start of 1970.
+type ClockOffset time.Duration
 
 // Clock finds the windows of this host's times. It is safe for concurrent use.
 type Clock struct {
@@ -28,7 +28,7 @@
 	timeOfDay func(time.Time) time.Time
 
 	mu     sync.Mutex
-	zero   Zero
+	zero   ClockOffset
 	agreed bool
 }
 
@@ -37,21 +37,21 @@
 	return &Clock{length: length, store: store, timeOfDay: timeOfDay}
 }
 
-// Agree puts in force what the hosts have agreed on.
-func (c *Clock) Agree(zero Zero) {
+// SetOffset puts in force what the hosts have agreed on.
+func (c *Clock) SetOffset(zero ClockOffset) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.zero, c.agreed = zero, true
 }
 
-// Own returns what this host's time of day says, or false if the store's clock is not known.
-func (c *Clock) Own(now time.Time) (Zero, bool) {
+// LocalOffset returns what this host's time of day says, or false if the store's clock is not known.
+func (c *Clock) LocalOffset(now time.Time) (ClockOffset, bool) {
 	at, known := c.store(now)
-	return Zero(c.timeOfDay(now).UnixNano()) - Zero(at), known
+	return ClockOffset(c.timeOfDay(now).UnixNano()) - ClockOffset(at), known
 }
 
-// True returns the true time since the start of 1970: by what was agreed on, or else by this host's time of day.
-func (c *Clock) True(now time.Time) time.Duration {
+// TrueTime returns the true time since the start of 1970: by what was agreed on, or else by this host's time of day.
+func (c *Clock) TrueTime(now time.Time) time.Duration {
 	c.mu.Lock()
 	zero, agreed := c.zero, c.agreed
 	c.mu.Unlock()
@@ -62,15 +62,15 @@
 }
 
 // Window returns the window of a time.
-func (c *Clock) Window(now time.Time) Window { return Window(c.True(now) / c.length) }
+func (c *Clock) Window(now time.Time) Window { return Window(c.TrueTime(now) / c.length) }
 
 // SinceEnd returns how long ago a window ended; below 0 if it has not.
 func (c *Clock) SinceEnd(w Window, now time.Time) time.Duration {
-	return c.True(now) - time.Duration(w+1)*c.length
+	return c.TrueTime(now) - time.Duration(w+1)*c.length
 }
 
-// Median returns the one in the middle of what hosts offer, or false if there is none.
-func Median(offers []Zero) (Zero, bool) {
+// MedianOffset returns the one in the middle of what hosts offer, or false if there is none.
+func MedianOffset(offers []ClockOffset) (ClockOffset, bool) {
 	if len(offers) == 0 {
 		return 0, false
 	}
--- a/internal/front/usage/usage_test.go
+++ b/internal/front/usage/usage_test.go
@@ -16,15 +16,15 @@
 	zeroAt := time.Unix(1_000_000_000, 0)
 	tests := map[string]struct {
 		storeKnown bool
-		agreed     Zero
+		agreed     ClockOffset
 		want       Window
 	}{
 		"nothing is agreed on":                {true, 0, 200_000_000},
-		"as the time of day":                  {true, Zero(zeroAt.UnixNano()), 200_000_000},
-		"the time of day is 3 s late":         {true, Zero(zeroAt.UnixNano()) + Zero(3*time.Second), 200_000_001},
-		"the time of day is 7 s early":        {true, Zero(zeroAt.UnixNano()) - Zero(7*time.Second), 199_999_999},
-		"the store's clock is not known":      {false, Zero(zeroAt.UnixNano()) + Zero(3*time.Second), 200_000_000},
-		"an hour of difference is an hour":    {true, Zero(zeroAt.UnixNano()) + Zero(time.Hour), 200_000_720},
+		"as the time of day":                  {true, ClockOffset(zeroAt.UnixNano()), 200_000_000},
+		"the time of day is 3 s late":         {true, ClockOffset(zeroAt.UnixNano()) + ClockOffset(3*time.Second), 200_000_001},
+		"the time of day is 7 s early":        {true, ClockOffset(zeroAt.UnixNano()) - ClockOffset(7*time.Second), 199_999_999},
+		"the store's clock is not known":      {false, ClockOffset(zeroAt.UnixNano()) + ClockOffset(3*time.Second), 200_000_000},
+		"an hour of difference is an hour":    {true, ClockOffset(zeroAt.UnixNano()) + ClockOffset(time.Hour), 200_000_720},
 		"agreed on before the store is known": {false, 0, 200_000_000},
 	}
 	for name, test := range tests {
@@ -34,7 +34,7 @@
 				return freshness.StoreTime(now.Sub(zeroAt)), test.storeKnown
 			}, sameTime)
 			if test.agreed != 0 {
-				clock.Agree(test.agreed)
+				clock.SetOffset(test.agreed)
 			}
 			c.Check(clock.Window(start), qt.Equals, test.want)
 			c.Check(clock.SinceEnd(test.want, start) < 0, qt.IsTrue)
@@ -54,27 +54,27 @@
 	store := func(steady time.Duration) func(time.Time) (freshness.StoreTime, bool) {
 		return func(time.Time) (freshness.StoreTime, bool) { return freshness.StoreTime(steady), true }
 	}
-	before, _ := NewClock(5*time.Second, store(time.Minute), sameTime).Own(start)
+	before, _ := NewClock(5*time.Second, store(time.Minute), sameTime).LocalOffset(start)
 	woken := NewClock(5*time.Second, store(time.Minute+slept), func(at time.Time) time.Time { return at.Add(-slept) })
-	after, _ := woken.Own(start.Add(slept).Add(slept))
+	after, _ := woken.LocalOffset(start.Add(slept).Add(slept))
 	c.Check(after, qt.Equals, before)
-	c.Check(woken.True(start.Add(slept).Add(slept)), qt.Equals, time.Duration(start.Add(slept).UnixNano()))
+	c.Check(woken.TrueTime(start.Add(slept).Add(slept)), qt.Equals, time.Duration(start.Add(slept).UnixNano()))
 }
 
 func TestMedian(t *testing.T) {
 	tests := map[string]struct {
-		offers []Zero
-		want   Zero
+		offers []ClockOffset
+		want   ClockOffset
 		ok     bool
 	}{
 		"none":                  {nil, 0, false},
-		"one":                   {[]Zero{5}, 5, true},
-		"one of three is wrong": {[]Zero{5, 2_000, 6}, 6, true},
-		"two of five are wrong": {[]Zero{5, -9_000, 2_000, 6, 7}, 6, true},
+		"one":                   {[]ClockOffset{5}, 5, true},
+		"one of three is wrong": {[]ClockOffset{5, 2_000, 6}, 6, true},
+		"two of five are wrong": {[]ClockOffset{5, -9_000, 2_000, 6, 7}, 6, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			got, ok := Median(test.offers)
+			got, ok := MedianOffset(test.offers)
 			qt.Check(t, got, qt.Equals, test.want)
 			qt.Check(t, ok, qt.Equals, test.ok)
 		})
