--- a/internal/daemon/api/chat.go
+++ b/internal/daemon/api/chat.go
@@ -237,7 +237,7 @@
 const resumePause = 20 * time.Millisecond
 
 func (x *chatExchange) relay(ctx context.Context, a *owner.Attempt, call httpclient.Call) owner.Result {
-	ctx, watch := httprelay.WatchSilence(ctx, stallTime, owner.ErrStalled)
+	ctx, watch := httprelay.WithIdleTimeout(ctx, stallTime, owner.ErrStalled)
 	defer watch.Stop()
 	response, err := x.server.parts.Client.Do(ctx, call)
 	if err != nil {
--- a/internal/daemon/api/stream.go
+++ b/internal/daemon/api/stream.go
@@ -58,7 +58,7 @@
 func (r *streamRelay) text() string { return r.parts.String() }
 
 // copy passes events on until the stream ends or breaks.
-func (r *streamRelay) copy(body io.Reader, a *owner.Attempt, watch *httprelay.SilenceWatch) owner.Result {
+func (r *streamRelay) copy(body io.Reader, a *owner.Attempt, watch *httprelay.IdleTimer) owner.Result {
 	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
 			return r.broken(err)
--- a/internal/front/envelope/envelope.go
+++ b/internal/front/envelope/envelope.go
@@ -18,18 +18,18 @@
 	KindLeaving Kind = 4
 	// KindRejections is what endpoints reject.
 	KindRejections Kind = 5
-	// KindLimits is the limits that endpoints name, KindPermitAsk and KindPermitReply a question for a permit to send a
+	// KindLimits is the limits that endpoints name, KindPermitRequest and KindPermitReply a question for a permit to send a
 	// request to one of them, and the reply.
-	KindLimits      Kind = 6
-	KindPermitAsk   Kind = 7
-	KindPermitReply Kind = 8
+	KindLimits        Kind = 6
+	KindPermitRequest Kind = 7
+	KindPermitReply   Kind = 8
 	// KindFailures is what endpoints fail.
 	KindFailures Kind = 9
 	// KindConfirmation is up to when the sender knows everything, in an era of the store after the first.
 	KindConfirmation Kind = 10
-	// KindFixedReports is reports of usage that must not change, KindAskFixed asks a host for those that it knows.
-	KindFixedReports Kind = 11
-	KindAskFixed     Kind = 12
+	// KindFixedReports is reports of usage that must not change, KindFixedReportsRequest asks a host for those that it knows.
+	KindFixedReports        Kind = 11
+	KindFixedReportsRequest Kind = 12
 )
 
 // Sender is the host that a message came from.
--- a/internal/front/fleet_test.go
+++ b/internal/front/fleet_test.go
@@ -152,7 +152,7 @@
 // readers returns the names of the hosts that read the store.
 func (f *fleet) readers() []string {
 	return f.names(func(_ int, h *fleetHost) bool {
-		return h.gossip.Order().Reads()
+		return h.gossip.Order().IsReader()
 	})
 }
 
--- a/internal/front/followers.go
+++ b/internal/front/followers.go
@@ -57,7 +57,7 @@
 // place among its peers yet waits for that as long as the last of them.
 func dutyOf(topic freshness.Topic, g *gossip.Gossip, state *freshness.State) follow.Duty {
 	order := g.Order()
-	if g.ReadsStore() {
+	if g.MustReadStore() {
 		return follow.Duty{Call: true, Reads: true, Hold: state.Hold(order.ReadersBefore, order.Readers)}
 	}
 	before := order.Before
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -297,7 +297,7 @@
 // Reload applies the host's file as it was read again. Only the addresses of first peers can
 // change while the host runs.
 func (h *Host) Reload(config hostconfig.Host) {
-	h.parts.Gossip.Contact(config.FirstPeers)
+	h.parts.Gossip.AddContacts(config.FirstPeers)
 	h.log.WithFields(logrus.Fields{"first_peers": config.FirstPeers, "store": config.Platform.Address}).Info("settings file read again")
 }
 
--- a/internal/front/fuzz_test.go
+++ b/internal/front/fuzz_test.go
@@ -40,7 +40,7 @@
 		Host: "peer", Address: "10.0.0.2:7000", Zone: "zone-a", Start: 1, Hosts: 2,
 	}})
 	qt.Assert(t, err, qt.IsNil)
-	g.Arrived(announcement, "10.0.0.2:7000")
+	g.HandleDatagram(announcement, "10.0.0.2:7000")
 	return g
 }
 
@@ -59,7 +59,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		g := newDeafHost(t)
 		defer g.Close()
-		g.Arrived(data, "10.0.0.2:7000")
-		g.Arrived(data, "10.0.0.3:7000")
+		g.HandleDatagram(data, "10.0.0.2:7000")
+		g.HandleDatagram(data, "10.0.0.3:7000")
 	})
 }
--- a/internal/front/fx.go
+++ b/internal/front/fx.go
@@ -43,7 +43,7 @@
 			func(c *clock.Clock) func() time.Time { return c.Now },
 			func() func() float64 { return randomNumber },
 			func() *late { return new(late) },
-			func() gossip.Network { return gossip.IP{} },
+			func() gossip.Network { return gossip.IPNetwork{} },
 			explain.New,
 			record.New,
 			settings.NewHolder,
@@ -95,14 +95,14 @@
 // revisionChanged lets gossip know that peers should have a newer revision at once.
 func (l *late) revisionChanged() {
 	if g := l.gossip.Load(); g != nil {
-		g.ChangedRevision()
+		g.RequestUrgentHeartbeat()
 	}
 }
 
 // confirm lets gossip know that the store has answered.
 func (l *late) confirm() {
 	if g := l.gossip.Load(); g != nil {
-		g.Confirm()
+		g.RequestConfirmation()
 	}
 }
 
@@ -110,7 +110,7 @@
 func (l *late) loadChanged() {
 	g, s := l.gossip.Load(), l.sync.Load()
 	if g != nil && s != nil && s.WorthReporting() {
-		g.Changed()
+		g.RequestHeartbeat()
 	}
 }
 
@@ -236,9 +236,9 @@
 			Name: p.Config.Name, Zone: p.Config.Zone, Address: p.Config.Peers, FirstPeers: p.Config.FirstPeers,
 			Fleet: fleetOf(p.Config),
 		},
-		Host: sync, Network: p.Network, Log: logging.Part(p.Log, "peers"), Clock: p.Clock, Random: p.Random, Sent: p.Counters.SentToPeers,
+		Host: sync, Network: p.Network, Log: logging.Part(p.Log, "peers"), Clock: p.Clock, Random: p.Random, CountSent: p.Counters.SentToPeers,
 	})
-	g.Handle(envelope.KindPermitAsk, p.Limiter.ReceivedAsk)
+	g.Handle(envelope.KindPermitRequest, p.Limiter.ReceivedAsk)
 	g.Handle(envelope.KindPermitReply, p.Limiter.ReceivedReply)
 	p.Late.gossip.Store(g)
 	p.Late.sync.Store(sync)
--- a/internal/front/gossip/confirm.go
+++ b/internal/front/gossip/confirm.go
@@ -16,9 +16,9 @@
 // about the same time, and one datagram can carry both.
 const confirmDelay = 10 * time.Millisecond
 
-// Confirm asks for a confirmation to all members: the store has just answered this host. It does not
+// RequestConfirmation asks for a confirmation to all members: the store has just answered this host. It does not
 // block.
-func (g *Gossip) Confirm() {
+func (g *Gossip) RequestConfirmation() {
 	lifetime.Wake(g.confirm)
 }
 
@@ -84,11 +84,11 @@
 // announced itself.
 func (g *Gossip) useConfirmation(c *Confirmation) {
 	g.mu.Lock()
-	member, known := g.members.Confirmed(c)
+	member, known := g.members.ApplyConfirmation(c)
 	g.mu.Unlock()
 	if !known {
 		return
 	}
-	g.parts.Host.Confirmed(c.Topics)
+	g.parts.Host.HandleConfirmations(c.Topics)
 	g.syncWith(member)
 }
--- a/internal/front/gossip/fetch.go
+++ b/internal/front/gossip/fetch.go
@@ -187,7 +187,7 @@
 func (g *Gossip) fetchFrom(ctx context.Context, t freshness.Topic, peer Member) bool {
 	own := g.parts.Host.Revisions()
 	if t == freshness.Endpoints && own.Directory > 0 && g.fetchChanges(ctx, peer, own.Directory) {
-		g.Changed()
+		g.RequestHeartbeat()
 		return true
 	}
 	var response SyncResponse
@@ -195,7 +195,7 @@
 	err := g.call(ctx, peer.Address, rpcSync, &request, &response)
 	if err == nil {
 		g.parts.Host.Apply(peer, response)
-		g.Changed()
+		g.RequestHeartbeat()
 		return true
 	}
 	if g.isBehind(t, &peer) {
--- a/internal/front/gossip/gossip.go
+++ b/internal/front/gossip/gossip.go
@@ -47,32 +47,32 @@
 	State(direct bool) State
 	// Work returns this host's work for its aggregators.
 	Work() Work
-	// Contributed handles the work of a host of this host's zone, or its own.
-	Contributed(host string, contribution *Contribution)
+	// HandleContribution handles the work of a host of this host's zone, or its own.
+	HandleContribution(host string, contribution *Contribution)
 	// Sums returns the parts of the sum over this host's zone, and those of the sum over all hosts.
 	Sums() ([]ZoneSum, []FleetSum)
-	// ZoneSummed handles a sum over a zone that a peer sent.
-	ZoneSummed(peer, zone string, sum *ZoneSum)
-	// FleetSummed handles a sum over all hosts that a peer or this host made. Counted is the work of this host
+	// HandleZoneSum handles a sum over a zone that a peer sent.
+	HandleZoneSum(peer, zone string, sum *ZoneSum)
+	// HandleFleetSum handles a sum over all hosts that a peer or this host made. Counted is the work of this host
 	// that the sum counts, or nil.
-	FleetSummed(sum *FleetSum, counted *Work)
+	HandleFleetSum(sum *FleetSum, counted *Work)
 	// Revisions returns the revisions up to which this host knows all changes.
 	Revisions() SyncRequest
-	// Received handles a peer's heartbeat that has no announcement.
-	Received(peer string, heartbeat *Heartbeat)
-	// Observed returns what the next report carries.
-	Observed() []EngineReport
-	// Reported handles a peer's report.
-	Reported(peer string, engines []EngineReport)
+	// HandleHeartbeat handles a peer's heartbeat that has no announcement.
+	HandleHeartbeat(peer string, heartbeat *Heartbeat)
+	// EngineReports returns what the next report carries.
+	EngineReports() []EngineReport
+	// HandleReport handles a peer's report.
+	HandleReport(peer string, engines []EngineReport)
 	// Confirmations returns what this host can confirm to others.
 	Confirmations() []TopicConfirmation
-	// Confirmed handles a peer's confirmations.
-	Confirmed(topics []TopicConfirmation)
+	// HandleConfirmations handles a peer's confirmations.
+	HandleConfirmations(topics []TopicConfirmation)
 	// MustAsk reports whether a host with a number of hosts before it has to ask others about a topic,
 	// because nobody has confirmed for too long what this host knows.
 	MustAsk(topic freshness.Topic, before int) bool
-	// Lost is called when a peer left or fell silent.
-	Lost(peer string)
+	// HandlePeerLoss is called when a peer left or fell silent.
+	HandlePeerLoss(peer string)
 	// Respond returns what is newer than a peer's revisions.
 	Respond(request SyncRequest) SyncResponse
 	// Changes returns what has changed in the directory after a peer's revision, ApplyChanges puts a peer's in force. It
@@ -104,8 +104,8 @@
 	Clock   func() time.Time
 	// Random returns numbers from 0 up to 1.
 	Random func() float64
-	// Sent counts the bytes that go to peers.
-	Sent func(kind counters.PeerTraffic, bytes int)
+	// CountSent counts the bytes that go to peers.
+	CountSent func(kind counters.PeerTraffic, bytes int)
 }
 
 // Gossip is this host's part in the exchange. Its methods are safe for concurrent use.
@@ -129,7 +129,7 @@
 	joined   func(envelope.Sender)
 	packets  net.PacketConn
 	listener net.Listener
-	// changed, urgent and confirm wake Run; see Changed, ChangedRevision and Confirm.
+	// changed, urgent and confirm wake Run; see Changed, RequestUrgentHeartbeat and Confirm.
 	changed chan struct{}
 	urgent  chan struct{}
 	confirm chan struct{}
@@ -164,16 +164,16 @@
 	}
 	g.members.address = g.address
 	g.Handle(envelope.KindConfirmation, g.confirmedInEra)
-	g.Contact(parts.Config.FirstPeers)
+	g.AddContacts(parts.Config.FirstPeers)
 	return g
 }
 
-// Contact adds addresses where peers may be.
-func (g *Gossip) Contact(addresses []string) {
+// AddContacts adds addresses where peers may be.
+func (g *Gossip) AddContacts(addresses []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, address := range addresses {
-		g.members.Contact(g.parts.Clock(), address)
+		g.members.AddContact(g.parts.Clock(), address)
 	}
 }
 
@@ -193,15 +193,15 @@
 	return now.Sub(g.joinedAt) >= joinTime || now.Sub(g.started) >= maxSettleTime
 }
 
-// ReadsStore reports whether this host is to read the store for all: its place among its peers says so, and it knows
+// MustReadStore reports whether this host is to read the store for all: its place among its peers says so, and it knows
 // that place. One that would only take over from others waits until it has run for long enough to know whether they
 // read.
-func (g *Gossip) ReadsStore() bool {
+func (g *Gossip) MustReadStore() bool {
 	if !g.Settled() {
 		return false
 	}
 	order := g.Order()
-	return order.Reads() && (order.Before < freshness.Readers || g.parts.Clock().Sub(g.started) >= maxSettleTime)
+	return order.IsReader() && (order.Before < freshness.Readers || g.parts.Clock().Sub(g.started) >= maxSettleTime)
 }
 
 // Order returns this host's place where not all hosts are to do the same.
@@ -211,14 +211,14 @@
 	return g.members.Order()
 }
 
-// Changed asks for a heartbeat as soon as the pace allows. It does not block.
-func (g *Gossip) Changed() {
+// RequestHeartbeat asks for a heartbeat as soon as the pace allows. It does not block.
+func (g *Gossip) RequestHeartbeat() {
 	lifetime.Wake(g.changed)
 }
 
-// ChangedRevision asks for a heartbeat at once: this host has read a newer revision from the
+// RequestUrgentHeartbeat asks for a heartbeat at once: this host has read a newer revision from the
 // store. It does not block.
-func (g *Gossip) ChangedRevision() {
+func (g *Gossip) RequestUrgentHeartbeat() {
 	lifetime.Wake(g.urgent)
 }
 
@@ -238,7 +238,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	g.listener, g.packets, g.cancel = listener, packets, cancel
 	// Serve ends when ctx is cancelled, and its error says only that.
-	go func() { _ = drpcserver.New(newSyncHandler(g.parts.Host, g.parts.Sent)).Serve(ctx, listener) }()
+	go func() { _ = drpcserver.New(newSyncHandler(g.parts.Host, g.parts.CountSent)).Serve(ctx, listener) }()
 	go g.receive()
 	return nil
 }
@@ -293,7 +293,7 @@
 	hosts := g.members.Count() + 1
 	g.mu.Unlock()
 	for _, name := range lost {
-		g.parts.Host.Lost(name)
+		g.parts.Host.HandlePeerLoss(name)
 		g.parts.Log.WithFields(logrus.Fields{"peer": name, "hosts": hosts, "silent_ms": limit.Milliseconds()}).Warn("peer lost")
 	}
 }
--- a/internal/front/gossip/gossip_test.go
+++ b/internal/front/gossip/gossip_test.go
@@ -60,7 +60,7 @@
 			c := qt.New(t)
 			m := NewMembers("self", "")
 			for _, h := range test.heartbeats {
-				_, isNew, ok := m.Received(start, &h.heartbeat)
+				_, isNew, ok := m.ApplyHeartbeat(start, &h.heartbeat)
 				c.Check([]bool{isNew, ok}, qt.DeepEquals, []bool{h.isNew, h.ok})
 			}
 			c.Check(m.Count(), qt.Equals, test.live)
@@ -71,37 +71,37 @@
 func TestSilentMembersExpire(t *testing.T) {
 	c := qt.New(t)
 	m := NewMembers("self", "")
-	m.Received(start, &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1, "c:1")})
-	m.Received(start.Add(900*time.Millisecond), &Heartbeat{Incarnation: 2, Sequence: 1, Announcement: announcement("b", 1)})
-	c.Check(m.ToAnnounceTo(start.Add(time.Second)), qt.DeepEquals, []string{"c:1"})
+	m.ApplyHeartbeat(start, &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1, "c:1")})
+	m.ApplyHeartbeat(start.Add(900*time.Millisecond), &Heartbeat{Incarnation: 2, Sequence: 1, Announcement: announcement("b", 1)})
+	c.Check(m.AnnouncementTargets(start.Add(time.Second)), qt.DeepEquals, []string{"c:1"})
 	c.Check(m.Expire(start.Add(1100*time.Millisecond), time.Second), qt.DeepEquals, []string{"a"})
-	c.Check(m.ToAnnounceTo(start.Add(1100*time.Millisecond)), qt.DeepEquals, []string{"a:1"}, qt.Commentf("it is tried again: it may come back"))
-	c.Check(m.ToAnnounceTo(start.Add(1200*time.Millisecond)), qt.HasLen, 0, qt.Commentf("each address has been tried just now"))
-	c.Check(m.ToAnnounceTo(start.Add(time.Second+contactInterval)), qt.DeepEquals, []string{"c:1"})
+	c.Check(m.AnnouncementTargets(start.Add(1100*time.Millisecond)), qt.DeepEquals, []string{"a:1"}, qt.Commentf("it is tried again: it may come back"))
+	c.Check(m.AnnouncementTargets(start.Add(1200*time.Millisecond)), qt.HasLen, 0, qt.Commentf("each address has been tried just now"))
+	c.Check(m.AnnouncementTargets(start.Add(time.Second+contactInterval)), qt.DeepEquals, []string{"c:1"})
 	c.Check(m.Live(), qt.HasLen, 1)
 	m.Expire(start.Add(contactTimeout+500*time.Millisecond), time.Hour)
-	c.Check(m.ToAnnounceTo(start.Add(time.Hour)), qt.HasLen, 0, qt.Commentf("addresses that nobody names are forgotten"))
+	c.Check(m.AnnouncementTargets(start.Add(time.Hour)), qt.HasLen, 0, qt.Commentf("addresses that nobody names are forgotten"))
 }
 
 // TestAHostIsNoContactOfItself has peers name a host's own address, as they do in their announcements to it.
 func TestAHostIsNoContactOfItself(t *testing.T) {
 	c := qt.New(t)
 	g := New(Parts{Config: Config{Name: "self", Address: "self:1"}, Clock: func() time.Time { return start }, Random: rand.Float64})
-	g.members.Received(start, &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1, "self:1", "c:1")})
-	g.Contact([]string{"self:1", "d:1"})
-	c.Check(g.members.ToAnnounceTo(start), qt.DeepEquals, []string{"c:1", "d:1"})
+	g.members.ApplyHeartbeat(start, &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1, "self:1", "c:1")})
+	g.AddContacts([]string{"self:1", "d:1"})
+	c.Check(g.members.AnnouncementTargets(start), qt.DeepEquals, []string{"c:1", "d:1"})
 }
 
 func TestReportsOfMembersCount(t *testing.T) {
 	c := qt.New(t)
 	m := NewMembers("self", "")
-	m.Received(start, &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)})
-	name, counts := m.Reported(&Report{Incarnation: 1, Sequence: 2})
+	m.ApplyHeartbeat(start, &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)})
+	name, counts := m.ApplyReport(&Report{Incarnation: 1, Sequence: 2})
 	c.Check(name, qt.Equals, "a")
 	c.Check(counts, qt.IsTrue)
-	_, counts = m.Reported(&Report{Incarnation: 1, Sequence: 1})
+	_, counts = m.ApplyReport(&Report{Incarnation: 1, Sequence: 1})
 	c.Check(counts, qt.IsFalse, qt.Commentf("an older one came late"))
-	_, counts = m.Reported(&Report{Incarnation: 2, Sequence: 3})
+	_, counts = m.ApplyReport(&Report{Incarnation: 2, Sequence: 3})
 	c.Check(counts, qt.IsFalse, qt.Commentf("of an unknown host"))
 }
 
@@ -111,7 +111,7 @@
 	b := startNode(c, "b", a.gossip.Address())
 	a.look(func() bool { a.observed = []EngineReport{{Service: 5}}; return true })
 	eventually(c, "b has the report of a", func() bool {
-		a.gossip.Changed()
+		a.gossip.RequestHeartbeat()
 		return b.look(func() bool { return len(b.reported["a"]) == 1 })
 	})
 	c.Check(b.look(func() bool { return b.reported["a"][0].Service == 5 }), qt.IsTrue)
@@ -168,13 +168,13 @@
 	return n.work
 }
 
-func (n *node) Contributed(host string, contribution *Contribution) {
+func (n *node) HandleContribution(host string, contribution *Contribution) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.contributed[host] = contribution
 }
 
-func (n *node) ZoneSummed(peer, _ string, _ *ZoneSum) {
+func (n *node) HandleZoneSum(peer, _ string, _ *ZoneSum) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.zoneSums[peer]++
@@ -191,7 +191,7 @@
 	return []ZoneSum{{Parts: 1}}, []FleetSum{sum}
 }
 
-func (n *node) FleetSummed(_ *FleetSum, counted *Work) {
+func (n *node) HandleFleetSum(_ *FleetSum, counted *Work) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.fleetSums++
@@ -204,19 +204,19 @@
 	return n.has
 }
 
-func (n *node) Received(peer string, heartbeat *Heartbeat) {
+func (n *node) HandleHeartbeat(peer string, heartbeat *Heartbeat) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.received[peer] = heartbeat
 }
 
-func (n *node) Observed() []EngineReport {
+func (n *node) EngineReports() []EngineReport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.observed
 }
 
-func (n *node) Reported(peer string, observed []EngineReport) {
+func (n *node) HandleReport(peer string, observed []EngineReport) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.reported[peer] = observed
@@ -234,13 +234,13 @@
 	return n.mustAsk
 }
 
-func (n *node) Confirmed(topics []TopicConfirmation) {
+func (n *node) HandleConfirmations(topics []TopicConfirmation) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.confirmed = topics
 }
 
-func (n *node) Lost(peer string) {
+func (n *node) HandlePeerLoss(peer string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lost = append(n.lost, peer)
@@ -285,8 +285,8 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	n.gossip = New(Parts{
-		Config: Config{Name: name, Address: "127.0.0.1:0", FirstPeers: first}, Host: n, Network: IP{}, Log: logrus.NewEntry(log),
-		Clock: time.Now, Random: rand.Float64, Sent: n.count,
+		Config: Config{Name: name, Address: "127.0.0.1:0", FirstPeers: first}, Host: n, Network: IPNetwork{}, Log: logrus.NewEntry(log),
+		Clock: time.Now, Random: rand.Float64, CountSent: n.count,
 	})
 	c.Assert(n.gossip.Start(), qt.IsNil)
 	ended := make(chan struct{})
@@ -330,7 +330,7 @@
 	a.state = State{Loads: []EndpointLoad{{Endpoint: 5, Requests: 2, Tokens: 9}}, Settings: 7, Directory: 8}
 	a.has = SyncRequest{Settings: 7, Directory: 8}
 	a.mu.Unlock()
-	a.gossip.Changed()
+	a.gossip.RequestHeartbeat()
 	for _, n := range []*node{b, d} {
 		eventually(c, "the load is received", func() bool {
 			return n.look(func() bool {
@@ -377,7 +377,7 @@
 				m := NewMembers(self, "")
 				for j, other := range names {
 					if other != self {
-						m.Received(start, &Heartbeat{Incarnation: uint32(j + 1), Sequence: 1, Announcement: announcement(other, 1), ReadsStore: reading[other]})
+						m.ApplyHeartbeat(start, &Heartbeat{Incarnation: uint32(j + 1), Sequence: 1, Announcement: announcement(other, 1), ReadsStore: reading[other]})
 					}
 				}
 				order := m.Order()
@@ -385,7 +385,7 @@
 				c.Check(order.Hosts, qt.Equals, test.hosts)
 				c.Check(order.ReadersBefore, qt.Equals, answered)
 				c.Check(order.Readers, qt.Equals, answered+1)
-				if order.Reads() {
+				if order.IsReader() {
 					should++
 					reading[self] = i >= test.failing
 				}
@@ -410,7 +410,7 @@
 		a.confirmations = []TopicConfirmation{{Newest: 7, Revision: 9, AsOf: 70_000}, {Newest: 8, Revision: 9, AsOf: 70_001}}
 		return true
 	})
-	a.gossip.Confirm()
+	a.gossip.RequestConfirmation()
 	eventually(c, "b has the confirmation of a", func() bool { return b.look(func() bool { return len(b.confirmed) == 2 }) })
 	c.Check(b.look(func() bool { return b.confirmed[1].AsOf == 70_001 }), qt.IsTrue)
 	eventually(c, "b has fetched what a has", func() bool {
@@ -440,10 +440,10 @@
 func TestConfirmationsOfUnknownHostsAreLeftOut(t *testing.T) {
 	c := qt.New(t)
 	m := NewMembers("self", "")
-	_, known := m.Confirmed(&Confirmation{Incarnation: 1})
+	_, known := m.ApplyConfirmation(&Confirmation{Incarnation: 1})
 	c.Check(known, qt.IsFalse)
-	m.Received(start, &Heartbeat{Incarnation: 1, Sequence: 1, Settings: 3, Directory: 4, Announcement: announcement("a", 1)})
-	member, known := m.Confirmed(&Confirmation{Incarnation: 1, Topics: []TopicConfirmation{{Newest: 5}, {Newest: 2}, {Newest: 99}}})
+	m.ApplyHeartbeat(start, &Heartbeat{Incarnation: 1, Sequence: 1, Settings: 3, Directory: 4, Announcement: announcement("a", 1)})
+	member, known := m.ApplyConfirmation(&Confirmation{Incarnation: 1, Topics: []TopicConfirmation{{Newest: 5}, {Newest: 2}, {Newest: 99}}})
 	c.Check(known, qt.IsTrue)
 	c.Check(member.Settings, qt.Equals, uint64(5))
 	c.Check(member.Directory, qt.Equals, uint64(4), qt.Commentf("a late one takes nothing back"))
@@ -456,7 +456,7 @@
 	c.Assert(err, qt.IsNil)
 	host := &node{has: SyncRequest{Settings: 3, Directory: 3}}
 	g := New(Parts{Config: Config{Name: "a"}, Host: host, Clock: time.Now, Random: func() float64 { return 0.5 }})
-	g.members.Received(time.Now(), &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("b", 1)})
+	g.members.ApplyHeartbeat(time.Now(), &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("b", 1)})
 	topics := []TopicConfirmation{{Newest: 3, Revision: restored}, {Newest: 3, Revision: 5}}
 	g.confirmed(&Confirmation{Incarnation: 1, Topics: topics})
 	c.Check(host.confirmed, qt.HasLen, 0)
@@ -474,14 +474,14 @@
 	log.SetOutput(io.Discard)
 	g := New(Parts{
 		Config: Config{Name: "a"}, Host: &node{}, Log: logrus.NewEntry(log), Clock: time.Now,
-		Random: func() float64 { return 0.5 }, Sent: func(counters.PeerTraffic, int) {},
+		Random: func() float64 { return 0.5 }, CountSent: func(counters.PeerTraffic, int) {},
 	})
 	for n := range 300 {
-		g.members.Received(time.Now(), &Heartbeat{Incarnation: uint32(n + 1), Sequence: 1, Announcement: announcement(fmt.Sprintf("host-%d", n), 1)})
+		g.members.ApplyHeartbeat(time.Now(), &Heartbeat{Incarnation: uint32(n + 1), Sequence: 1, Announcement: announcement(fmt.Sprintf("host-%d", n), 1)})
 	}
 	// Its turn would come in some seconds, and with a change only then.
-	g.Changed()
-	g.ChangedRevision()
+	g.RequestHeartbeat()
+	g.RequestUrgentHeartbeat()
 	begun := make(chan bool)
 	go func() { begun <- g.waitForNext(make(chan struct{})) }()
 	c.Check(<-begun, qt.IsTrue)
@@ -496,13 +496,13 @@
 			host := &node{}
 			g := New(Parts{
 				Config: Config{Name: "a"}, Host: host, Log: logrus.NewEntry(log), Clock: time.Now,
-				Random: func() float64 { return 0.5 }, Sent: func(counters.PeerTraffic, int) {},
+				Random: func() float64 { return 0.5 }, CountSent: func(counters.PeerTraffic, int) {},
 			})
 			for n := range hosts {
-				g.members.Received(time.Now(), &Heartbeat{Incarnation: uint32(n + 1), Sequence: 1, Announcement: announcement(fmt.Sprintf("host-%d", n), 1)})
+				g.members.ApplyHeartbeat(time.Now(), &Heartbeat{Incarnation: uint32(n + 1), Sequence: 1, Announcement: announcement(fmt.Sprintf("host-%d", n), 1)})
 			}
 			host.state = State{Settings: 3, Loads: []EndpointLoad{{Endpoint: 1}}}
-			sent := g.newHeartbeat(g.parts.Host.State(!g.Aggregates()))
+			sent := g.newHeartbeat(g.parts.Host.State(!g.UsesAggregators()))
 			qt.Check(t, len(sent.Loads) > 0, qt.Equals, hosts < fullHeartbeats)
 			qt.Check(t, sent.Settings, qt.Equals, uint64(3))
 			qt.Check(t, g.nextReport() != nil, qt.Equals, hosts < fullHeartbeats)
@@ -528,7 +528,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	g := New(Parts{Config: Config{Name: "a"}, Host: peer, Log: logrus.NewEntry(log), Clock: time.Now, Random: func() float64 { return 0.5 }, Sent: func(counters.PeerTraffic, int) {}})
+	g := New(Parts{Config: Config{Name: "a"}, Host: peer, Log: logrus.NewEntry(log), Clock: time.Now, Random: func() float64 { return 0.5 }, CountSent: func(counters.PeerTraffic, int) {}})
 	c.Check(g.beginFetch(freshness.Endpoints), qt.IsTrue)
 	c.Check(g.beginFetch(freshness.Endpoints), qt.IsFalse)
 	c.Check(g.beginFetch(freshness.Settings), qt.IsTrue)
@@ -557,7 +557,7 @@
 				n.has = SyncRequest{Settings: 1, Directory: revision}
 				n.state = State{Settings: 1, Directory: revision}
 				n.mu.Unlock()
-				n.gossip.Changed()
+				n.gossip.RequestHeartbeat()
 			}
 			var known Member
 			eventually(c, "the host knows who is ahead", func() bool {
@@ -607,22 +607,22 @@
 		prepare func(m *Members)
 		want    []string
 	}{
-		"an unknown address": {func(m *Members) { m.Unknown(start, "x:1") }, []string{"x:1"}},
+		"an unknown address": {func(m *Members) { m.AddUnknownSender(start, "x:1") }, []string{"x:1"}},
 		"a member's address, with another life": {func(m *Members) {
-			m.Received(start, &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)})
-			m.Unknown(start, "a:1")
+			m.ApplyHeartbeat(start, &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)})
+			m.AddUnknownSender(start, "a:1")
 		}, []string{"a:1"}},
 		"asked a moment ago": {func(m *Members) {
-			m.Unknown(start, "x:1")
-			m.ToAnnounceTo(start)
-			m.Unknown(start, "x:1")
+			m.AddUnknownSender(start, "x:1")
+			m.AnnouncementTargets(start)
+			m.AddUnknownSender(start, "x:1")
 		}, nil},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			m := NewMembers("self", "")
 			test.prepare(m)
-			qt.Check(t, m.ToAnnounceTo(start.Add(time.Second)), qt.DeepEquals, test.want)
+			qt.Check(t, m.AnnouncementTargets(start.Add(time.Second)), qt.DeepEquals, test.want)
 		})
 	}
 }
--- a/internal/front/gossip/heartbeat.go
+++ b/internal/front/gossip/heartbeat.go
@@ -16,7 +16,7 @@
 // heartbeat sends this host's state to all members, and announces this host to addresses
 // whose host is not known.
 func (g *Gossip) heartbeat() {
-	state := g.parts.Host.State(!g.Aggregates())
+	state := g.parts.Host.State(!g.UsesAggregators())
 	g.mu.Lock()
 	if g.leaving {
 		g.mu.Unlock()
@@ -25,12 +25,12 @@
 	heartbeat := g.newHeartbeat(state)
 	members := g.addresses()
 	announcement := g.newAnnouncement(true, 0)
-	targets := append(g.members.ToAnnounceTo(g.parts.Clock()), g.memberToAsk()...)
+	targets := append(g.members.AnnouncementTargets(g.parts.Clock()), g.memberToAsk()...)
 	report := g.nextReport()
 	g.mu.Unlock()
 	g.send(heartbeat, members)
 	if report != nil {
-		report.Engines = g.parts.Host.Observed()
+		report.Engines = g.parts.Host.EngineReports()
 		g.sendDatagram(counters.PeerHeartbeats, report, members)
 	}
 	g.send(announcement, targets)
@@ -130,7 +130,7 @@
 		g.parts.Log.WithError(err).Error("a datagram can't be encoded")
 		return
 	}
-	g.parts.Sent(kind, len(data)*len(targets))
+	g.parts.CountSent(kind, len(data)*len(targets))
 	for _, target := range targets {
 		address, err := net.ResolveUDPAddr("udp", target)
 		if err != nil {
@@ -154,13 +154,13 @@
 			// A single datagram could not be read, such as one that was refused.
 			continue
 		}
-		g.Arrived(buffer[:n], from.String())
+		g.HandleDatagram(buffer[:n], from.String())
 	}
 }
 
-// Arrived handles a datagram from an address, which may be any bytes. The messages are told apart by their number of
+// HandleDatagram handles a datagram from an address, which may be any bytes. The messages are told apart by their number of
 // fields.
-func (g *Gossip) Arrived(data []byte, from string) {
+func (g *Gossip) HandleDatagram(data []byte, from string) {
 	var h Heartbeat
 	err := cbor.Unmarshal(data, &h)
 	if err == nil {
@@ -187,19 +187,19 @@
 // reported handles a report.
 func (g *Gossip) reported(r *Report) {
 	g.mu.Lock()
-	member, counts := g.members.Reported(r)
+	member, counts := g.members.ApplyReport(r)
 	g.mu.Unlock()
 	if counts {
-		g.parts.Host.Reported(member, r.Engines)
+		g.parts.Host.HandleReport(member, r.Engines)
 	}
 }
 
 // received handles a heartbeat that came from an address.
 func (g *Gossip) received(h *Heartbeat, from string) {
 	g.mu.Lock()
-	member, isNew, counts := g.members.Received(g.parts.Clock(), h)
-	if !counts && h.Announcement == nil && !g.members.Knows(h.Incarnation) {
-		g.members.Unknown(g.parts.Clock(), from)
+	member, isNew, counts := g.members.ApplyHeartbeat(g.parts.Clock(), h)
+	if !counts && h.Announcement == nil && !g.members.HasIncarnation(h.Incarnation) {
+		g.members.AddUnknownSender(g.parts.Clock(), from)
 	}
 	if isNew && counts {
 		g.joinedAt = g.parts.Clock()
@@ -211,19 +211,19 @@
 		return
 	}
 	if h.Leaving {
-		g.parts.Host.Lost(member.Name)
+		g.parts.Host.HandlePeerLoss(member.Name)
 		g.parts.Log.WithFields(logrus.Fields{"peer": member.Name, "hosts": hosts}).Info("peer leaves")
 		return
 	}
 	if h.Announcement == nil {
-		g.parts.Host.Received(member.Name, h)
+		g.parts.Host.HandleHeartbeat(member.Name, h)
 	} else if h.Announcement.WantReply && !leaving {
 		g.reply(h.Announcement)
 	}
 	if isNew {
 		g.parts.Log.WithFields(logrus.Fields{"peer": member.Name, "address": member.Address, "hosts": hosts}).Info("peer joined")
 		g.joined(envelope.Sender{Host: member.Name, Incarnation: member.incarnation})
-		g.Changed()
+		g.RequestHeartbeat()
 	}
 	g.syncWith(member)
 }
--- a/internal/front/gossip/members.go
+++ b/internal/front/gossip/members.go
@@ -65,8 +65,8 @@
 	unknown bool
 }
 
-// Contact adds an address where a host may be.
-func (m *Members) Contact(now time.Time, address string) {
+// AddContact adds an address where a host may be.
+func (m *Members) AddContact(now time.Time, address string) {
 	known, ok := m.contacts[address]
 	if !ok {
 		known = new(contact)
@@ -75,10 +75,10 @@
 	known.namedAt = now
 }
 
-// Received handles a heartbeat. It returns the member that sent it. Counts is false if the
+// ApplyHeartbeat handles a heartbeat. It returns the member that sent it. Counts is false if the
 // heartbeat is this host's own, older than the last one of its sender, or of an unknown
 // sender; isNew is set if the member was not live before.
-func (m *Members) Received(now time.Time, h *Heartbeat) (member Member, isNew, counts bool) {
+func (m *Members) ApplyHeartbeat(now time.Time, h *Heartbeat) (member Member, isNew, counts bool) {
 	if h.Announcement != nil {
 		isNew = m.announced(now, h)
 	}
@@ -112,9 +112,9 @@
 		return false
 	}
 	for _, address := range a.KnownAddresses {
-		m.Contact(now, address)
+		m.AddContact(now, address)
 	}
-	m.Contact(now, a.Address)
+	m.AddContact(now, a.Address)
 	if ok && known.incarnation == h.Incarnation {
 		return false
 	}
@@ -124,8 +124,8 @@
 	return true
 }
 
-// Reported handles a report. It returns the member that sent it, and whether it is newer than the last one.
-func (m *Members) Reported(r *Report) (name string, counts bool) {
+// ApplyReport handles a report. It returns the member that sent it, and whether it is newer than the last one.
+func (m *Members) ApplyReport(r *Report) (name string, counts bool) {
 	known, ok := m.byIncarnation(r.Incarnation)
 	if !ok || r.Sequence <= known.reports {
 		return "", false
@@ -134,9 +134,9 @@
 	return known.Name, true
 }
 
-// Contributed handles the work of a host. It returns the member that sent it, and whether that is of this
+// ApplyContribution handles the work of a host. It returns the member that sent it, and whether that is of this
 // host's zone.
-func (m *Members) Contributed(now time.Time, c *Contribution) (name string, counts bool) {
+func (m *Members) ApplyContribution(now time.Time, c *Contribution) (name string, counts bool) {
 	known, ok := m.byIncarnation(c.Incarnation)
 	if !ok || known.Zone != m.zone {
 		return "", false
@@ -147,8 +147,8 @@
 	return known.Name, true
 }
 
-// ZoneSummed handles the sum of a zone. It returns the member that sent it, and whether it is known.
-func (m *Members) ZoneSummed(now time.Time, s *ZoneSum) (member Member, known bool) {
+// ApplyZoneSum handles the sum of a zone. It returns the member that sent it, and whether it is known.
+func (m *Members) ApplyZoneSum(now time.Time, s *ZoneSum) (member Member, known bool) {
 	sender, ok := m.byIncarnation(s.Incarnation)
 	if !ok {
 		return Member{}, false
@@ -157,9 +157,9 @@
 	return *sender, true
 }
 
-// FleetSummed handles a sum over all hosts. It returns the member that sent it, and whether it is not older than the
+// ApplyFleetSum handles a sum over all hosts. It returns the member that sent it, and whether it is not older than the
 // last one; the parts of one sum have the same number.
-func (m *Members) FleetSummed(s *FleetSum) (name string, counts bool) {
+func (m *Members) ApplyFleetSum(s *FleetSum) (name string, counts bool) {
 	known, ok := m.byIncarnation(s.Incarnation)
 	if !ok || s.Sequence < known.sums {
 		return "", false
@@ -200,9 +200,9 @@
 	return ""
 }
 
-// Confirmed notes what a confirmation says of its sender. It returns the member that sent it, and whether it
+// ApplyConfirmation notes what a confirmation says of its sender. It returns the member that sent it, and whether it
 // is known.
-func (m *Members) Confirmed(c *Confirmation) (member Member, known bool) {
+func (m *Members) ApplyConfirmation(c *Confirmation) (member Member, known bool) {
 	sender, ok := m.byIncarnation(c.Incarnation)
 	if !ok {
 		return Member{}, false
@@ -218,8 +218,8 @@
 	return *sender, true
 }
 
-// Knows reports whether an incarnation is that of a member.
-func (m *Members) Knows(incarnation uint32) bool {
+// HasIncarnation reports whether an incarnation is that of a member.
+func (m *Members) HasIncarnation(incarnation uint32) bool {
 	_, ok := m.names[incarnation]
 	return ok
 }
@@ -263,17 +263,17 @@
 // Count returns the number of members, without this host.
 func (m *Members) Count() int { return len(m.live) }
 
-// Unknown notes that a heartbeat of an unknown incarnation came from an address.
-func (m *Members) Unknown(now time.Time, address string) {
+// AddUnknownSender notes that a heartbeat of an unknown incarnation came from an address.
+func (m *Members) AddUnknownSender(now time.Time, address string) {
 	if _, ok := m.contacts[address]; !ok {
-		m.Contact(now, address)
+		m.AddContact(now, address)
 	}
 	m.contacts[address].unknown = true
 }
 
-// ToAnnounceTo returns the addresses that are due for an announcement, and counts them as
+// AnnouncementTargets returns the addresses that are due for an announcement, and counts them as
 // tried: those that are no member's, and those of unknown senders.
-func (m *Members) ToAnnounceTo(now time.Time) []string {
+func (m *Members) AnnouncementTargets(now time.Time) []string {
 	// A fleet of 300 hosts that announce themselves to themselves sends 100 datagrams a second for nothing.
 	ofMembers := map[string]bool{m.address: true}
 	for _, member := range m.live {
--- a/internal/front/gossip/messages.go
+++ b/internal/front/gossip/messages.go
@@ -30,7 +30,7 @@
 	Settings  uint64
 	Directory uint64
 	Leaving   bool
-	// ReadsStore is set if the sender reads the store and gets answers from it.
+	// MustReadStore is set if the sender reads the store and gets answers from it.
 	ReadsStore bool
 	Loads      []EndpointLoad
 	Ejections  []Ejection
--- a/internal/front/gossip/network.go
+++ b/internal/front/gossip/network.go
@@ -6,7 +6,7 @@
 )
 
 // Network is how a host reaches its peers: connections for syncs, datagrams for heartbeats.
-// Addresses are IP:PORT. Its methods may be called concurrently.
+// Addresses are IPNetwork:PORT. Its methods may be called concurrently.
 type Network interface {
 	Listen(address string) (net.Listener, error)
 	ListenPacket(address string) (net.PacketConn, error)
@@ -14,19 +14,19 @@
 	Dial(ctx context.Context, address string) (net.Conn, error)
 }
 
-// IP is the Network of the machine: TCP and UDP.
-type IP struct{}
+// IPNetwork is the Network of the machine: TCP and UDP.
+type IPNetwork struct{}
 
 // Listen listens for TCP connections.
-func (IP) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
+func (IPNetwork) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
 // ListenPacket listens for UDP datagrams.
-func (IP) ListenPacket(address string) (net.PacketConn, error) {
+func (IPNetwork) ListenPacket(address string) (net.PacketConn, error) {
 	return net.ListenPacket("udp", address)
 }
 
 // Dial makes a TCP connection.
-func (IP) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (IPNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	return dialer.DialContext(ctx, "tcp", address)
 }
--- a/internal/front/gossip/registry.go
+++ b/internal/front/gossip/registry.go
@@ -101,17 +101,17 @@
 func (g *Gossip) register(ctx context.Context, registry Registry) {
 	g.registration.enter(era.Of(g.parts.Host.Revisions().Directory))
 	alone := g.Hosts() == 1
-	if !alone && (g.registration.isThere.Load() || !g.ReadsStore()) {
+	if !alone && (g.registration.isThere.Load() || !g.MustReadStore()) {
 		return
 	}
 	if err := g.registration.make(ctx, registry, g.parts.Config.Name, g.address); err != nil {
 		return
 	}
-	g.Contact(g.parts.Config.FirstPeers)
+	g.AddContacts(g.parts.Config.FirstPeers)
 	addresses, err := registry.List(ctx)
 	if err != nil {
 		return
 	}
-	g.Contact(addresses)
-	g.Changed()
+	g.AddContacts(addresses)
+	g.RequestHeartbeat()
 }
--- a/internal/front/gossip/rules.go
+++ b/internal/front/gossip/rules.go
@@ -136,9 +136,11 @@
 	ReadersBefore, Readers int
 }
 
-// Reads reports whether this host is to read the store: the first hosts in the order do, and for each of them
+// IsReader reports whether this host is to read the store: the first hosts in the order do, and for each of them
 // that gets no answers the next one. Hosts whose views differ only read more often than needed.
-func (o Order) Reads() bool { return o.Before < maxReaderRank && o.ReadersBefore < freshness.Readers }
+func (o Order) IsReader() bool {
+	return o.Before < maxReaderRank && o.ReadersBefore < freshness.Readers
+}
 
 // Order returns this host's place in the order.
 func (m *Members) Order() Order {
--- a/internal/front/gossip/share.go
+++ b/internal/front/gossip/share.go
@@ -47,8 +47,8 @@
 	work     Work
 }
 
-// Aggregates reports whether the fleet is so large that hosts share their work through aggregators.
-func (g *Gossip) Aggregates() bool {
+// UsesAggregators reports whether the fleet is so large that hosts share their work through aggregators.
+func (g *Gossip) UsesAggregators() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.aggregates()
@@ -72,7 +72,7 @@
 		if !lifetime.Sleep(ctx, next.Sub(g.parts.Clock())) {
 			return
 		}
-		if g.Aggregates() {
+		if g.UsesAggregators() {
 			g.sendSums(ctx, g.contribute())
 		}
 	}
@@ -99,7 +99,7 @@
 		g.parts.Log.WithFields(logrus.Fields{"peer": primary, "backup": backup, "before": before}).Info("aggregator chosen")
 	}
 	if primary == self || backup == self {
-		g.parts.Host.Contributed(self, &contribution)
+		g.parts.Host.HandleContribution(self, &contribution)
 	}
 	if backupAddress != "" {
 		g.sendDatagram(counters.PeerHeartbeats, &contribution, []string{backupAddress})
@@ -168,27 +168,27 @@
 // contributed handles the work of a host of this zone.
 func (g *Gossip) contributed(c *Contribution) {
 	g.mu.Lock()
-	host, counts := g.members.Contributed(g.parts.Clock(), c)
+	host, counts := g.members.ApplyContribution(g.parts.Clock(), c)
 	g.mu.Unlock()
 	if counts {
-		g.parts.Host.Contributed(host, c)
+		g.parts.Host.HandleContribution(host, c)
 	}
 }
 
 // zoneSummed handles the sum of a zone.
 func (g *Gossip) zoneSummed(s *ZoneSum) {
 	g.mu.Lock()
-	member, known := g.members.ZoneSummed(g.parts.Clock(), s)
+	member, known := g.members.ApplyZoneSum(g.parts.Clock(), s)
 	g.mu.Unlock()
 	if known {
-		g.parts.Host.ZoneSummed(member.Name, member.Zone, s)
+		g.parts.Host.HandleZoneSum(member.Name, member.Zone, s)
 	}
 }
 
 // fleetSummed handles the sum over all hosts from an aggregator.
 func (g *Gossip) fleetSummed(s *FleetSum) {
 	g.mu.Lock()
-	aggregator, counts := g.members.FleetSummed(s)
+	aggregator, counts := g.members.ApplyFleetSum(s)
 	if counts {
 		g.shares.choice.Received(g.parts.Clock(), aggregator)
 	}
@@ -208,5 +208,5 @@
 		}
 	}
 	g.mu.Unlock()
-	g.parts.Host.FleetSummed(s, counted)
+	g.parts.Host.HandleFleetSum(s, counted)
 }
--- a/internal/front/gossip/share_test.go
+++ b/internal/front/gossip/share_test.go
@@ -24,7 +24,7 @@
 	for i := range fullHeartbeats {
 		a := announcement(fmt.Sprintf("far-%d", i), 1)
 		a.Zone, a.Address = "far", "127.0.0.1:9"
-		g.members.Received(time.Now(), &Heartbeat{Incarnation: uint32(i + 1), Sequence: 1, Announcement: a})
+		g.members.ApplyHeartbeat(time.Now(), &Heartbeat{Incarnation: uint32(i + 1), Sequence: 1, Announcement: a})
 	}
 }
 
@@ -92,15 +92,15 @@
 			host := &node{contributed: make(map[string]*Contribution), zoneSums: make(map[string]int)}
 			g := New(Parts{
 				Config: Config{Name: "self", Zone: "z"}, Host: host, Log: logrus.NewEntry(log), Clock: time.Now,
-				Random: rand.Float64, Sent: func(counters.PeerTraffic, int) {},
+				Random: rand.Float64, CountSent: func(counters.PeerTraffic, int) {},
 			})
 			far := announcement("b", 1)
 			far.Zone = "far"
-			g.members.Received(start, &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)})
-			g.members.Received(start, &Heartbeat{Incarnation: 2, Sequence: 1, Announcement: far})
+			g.members.ApplyHeartbeat(start, &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)})
+			g.members.ApplyHeartbeat(start, &Heartbeat{Incarnation: 2, Sequence: 1, Announcement: far})
 			data, err := cbor.Marshal(test.message)
 			c.Assert(err, qt.IsNil)
-			g.Arrived(data, "127.0.0.1:9")
+			g.HandleDatagram(data, "127.0.0.1:9")
 			c.Check(len(host.contributed)+len(host.zoneSums)+host.fleetSums > 0, qt.Equals, test.counts)
 		})
 	}
@@ -111,7 +111,7 @@
 	c := qt.New(t)
 	host := &node{}
 	g := New(Parts{Config: Config{Name: "self", Zone: "z"}, Host: host, Clock: time.Now, Random: rand.Float64})
-	g.members.Received(start, &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)})
+	g.members.ApplyHeartbeat(start, &Heartbeat{Incarnation: 1, Sequence: 1, Announcement: announcement("a", 1)})
 	for _, sequence := range []uint64{2, 1, 2, 3} {
 		g.fleetSummed(&FleetSum{Incarnation: 1, Sequence: sequence, Parts: 2})
 	}
--- a/internal/front/leading.go
+++ b/internal/front/leading.go
@@ -86,7 +86,7 @@
 		parts.OnAnnouncement = l.reporter.HandleAnnouncement
 		p.Gossip.Handle(envelope.KindUsage, l.reporter.HandleCounts)
 		p.Gossip.Handle(envelope.KindFixedReports, l.reporter.HandleFixedReports)
-		p.Gossip.Handle(envelope.KindAskFixed, l.reporter.HandleFixedReportsRequest)
+		p.Gossip.Handle(envelope.KindFixedReportsRequest, l.reporter.HandleFixedReportsRequest)
 	}
 	if provider.Has(hostconfig.TaskAutoscale) {
 		inventory := capacity.NewInventory(p.Directory.IsLeaving)
--- a/internal/front/peersync/engines.go
+++ b/internal/front/peersync/engines.go
@@ -9,8 +9,8 @@
 	"oxbowslip.dev/oxbowslip/internal/front/placement"
 )
 
-// Observed returns what the next report carries.
-func (s *Sync) Observed() []gossip.EngineReport {
+// EngineReports returns what the next report carries.
+func (s *Sync) EngineReports() []gossip.EngineReport {
 	var reports []gossip.EngineReport
 	for service, report := range s.parts.Placer.EngineReports() {
 		reports = append(reports, toEngineReport(service, &report))
@@ -18,8 +18,8 @@
 	return reports
 }
 
-// Reported handles a peer's report.
-func (s *Sync) Reported(peer string, reports []gossip.EngineReport) {
+// HandleReport handles a peer's report.
+func (s *Sync) HandleReport(peer string, reports []gossip.EngineReport) {
 	observed := make(placement.EngineReports, len(reports))
 	for i := range reports {
 		observed[reports[i].Service] = fromEngineReport(&reports[i])
--- a/internal/front/peersync/freshness.go
+++ b/internal/front/peersync/freshness.go
@@ -27,8 +27,8 @@
 	return s.parts.Freshness.MustAsk(topic, before)
 }
 
-// Confirmed handles a peer's confirmations.
-func (s *Sync) Confirmed(topics []gossip.TopicConfirmation) {
+// HandleConfirmations handles a peer's confirmations.
+func (s *Sync) HandleConfirmations(topics []gossip.TopicConfirmation) {
 	for topic := range min(len(topics), int(freshness.Topics)) {
 		c := &topics[topic]
 		s.parts.Freshness.Confirmed(freshness.Topic(topic), freshness.Confirmation{
--- a/internal/front/peersync/peersync.go
+++ b/internal/front/peersync/peersync.go
@@ -97,8 +97,8 @@
 	return gossip.SyncRequest{Settings: s.parts.Holder.Number(), Directory: s.parts.Directory.Revision()}
 }
 
-// Received handles a peer's heartbeat.
-func (s *Sync) Received(peer string, h *gossip.Heartbeat) {
+// HandleHeartbeat handles a peer's heartbeat.
+func (s *Sync) HandleHeartbeat(peer string, h *gossip.Heartbeat) {
 	s.parts.Placer.SetPeer(peer, reportOf(h, s.parts.Clock()))
 	if h.Patch != nil {
 		s.parts.Settings.applyPatch(peer, h.Patch)
@@ -125,8 +125,8 @@
 	return report
 }
 
-// Lost forgets what a peer reported.
-func (s *Sync) Lost(peer string) {
+// HandlePeerLoss forgets what a peer reported.
+func (s *Sync) HandlePeerLoss(peer string) {
 	s.parts.Placer.DropPeer(peer)
 	s.sums.mu.Lock()
 	defer s.sums.mu.Unlock()
--- a/internal/front/peersync/peersync_test.go
+++ b/internal/front/peersync/peersync_test.go
@@ -76,7 +76,7 @@
 
 // deliverHeartbeat carries one host's heartbeat to another.
 func (s *Sync) deliverHeartbeat(peer string, state *gossip.State) {
-	s.Received(peer, &gossip.Heartbeat{Settings: state.Settings, Directory: state.Directory, Delta: state.Delta, Patch: state.Patch})
+	s.HandleHeartbeat(peer, &gossip.Heartbeat{Settings: state.Settings, Directory: state.Directory, Delta: state.Delta, Patch: state.Patch})
 }
 
 // TestAChangeOfTheSettingsGoesWithTheHeartbeats is the sweep at 300 hosts: each fetched the
--- a/internal/front/peersync/sums.go
+++ b/internal/front/peersync/sums.go
@@ -50,8 +50,8 @@
 	return toWork(&work, placement.Part{Of: 1})
 }
 
-// Contributed handles the work of a host of this host's zone.
-func (s *Sync) Contributed(host string, c *gossip.Contribution) {
+// HandleContribution handles the work of a host of this host's zone.
+func (s *Sync) HandleContribution(host string, c *gossip.Contribution) {
 	work := fromWork(&c.Work)
 	s.sums.mu.Lock()
 	defer s.sums.mu.Unlock()
@@ -99,8 +99,8 @@
 	return messages
 }
 
-// ZoneSummed handles a part of the sum over a zone. Of this host's zone only the splits count.
-func (s *Sync) ZoneSummed(peer, zone string, sum *gossip.ZoneSum) {
+// HandleZoneSum handles a part of the sum over a zone. Of this host's zone only the splits count.
+func (s *Sync) HandleZoneSum(peer, zone string, sum *gossip.ZoneSum) {
 	now := s.parts.Clock()
 	s.sums.mu.Lock()
 	defer s.sums.mu.Unlock()
@@ -124,8 +124,8 @@
 	return hosts[0], s.proposals[hosts[0]].splits
 }
 
-// FleetSummed puts a part of the sum over all hosts in force.
-func (s *Sync) FleetSummed(sum *gossip.FleetSum, counted *gossip.Work) {
+// HandleFleetSum puts a part of the sum over all hosts in force.
+func (s *Sync) HandleFleetSum(sum *gossip.FleetSum, counted *gossip.Work) {
 	work := fromWork(&sum.Work)
 	part := placement.Part{Number: sum.Part, Of: sum.Parts}
 	if counted != nil {
--- a/internal/front/poison/detector.go
+++ b/internal/front/poison/detector.go
@@ -30,9 +30,9 @@
 
 // Prober finds out whether endpoints are still there.
 type Prober interface {
-	// Ended reports whether the process at an address has ended: nothing listens there. It blocks until ctx ends at
+	// HasExited reports whether the process at an address has ended: nothing listens there. It blocks until ctx ends at
 	// the latest; the error says that it can't be known.
-	Ended(ctx context.Context, address string) (bool, error)
+	HasExited(ctx context.Context, address string) (bool, error)
 }
 
 // Store keeps verdicts.
--- a/internal/front/poison/detector_test.go
+++ b/internal/front/poison/detector_test.go
@@ -157,8 +157,8 @@
 	return order
 }
 
-// Ended is the prober of all hosts.
-func (f *fleet) Ended(_ context.Context, address string) (bool, error) {
+// HasExited is the prober of all hosts.
+func (f *fleet) HasExited(_ context.Context, address string) (bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.silent[address] {
--- a/internal/front/poison/probe.go
+++ b/internal/front/poison/probe.go
@@ -28,7 +28,7 @@
 func (d *Detector) probe(p *probe, endpoint, address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	ended, err := d.parts.Prober.Ended(ctx, address)
+	ended, err := d.parts.Prober.HasExited(ctx, address)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	p.done, p.ended = true, ended
--- a/internal/front/ratelimit/limiter.go
+++ b/internal/front/ratelimit/limiter.go
@@ -188,7 +188,7 @@
 func (l *Limiter) ask(lender envelope.Sender, ask *Ask) {
 	self := l.parts.Peers.Senders()[0]
 	if lender != self {
-		l.parts.Peers.SendTo(lender.Host, envelope.KindPermitAsk, ask)
+		l.parts.Peers.SendTo(lender.Host, envelope.KindPermitRequest, ask)
 		return
 	}
 	if reply, isReplied := l.parts.Lender.Ask(self.Host, ask, l.passedOver(ask)); isReplied {
--- a/internal/front/ratelimit/limiter_test.go
+++ b/internal/front/ratelimit/limiter_test.go
@@ -109,7 +109,7 @@
 		if other.sender.Host != name || isDown {
 			continue
 		}
-		if kind == envelope.KindPermitAsk {
+		if kind == envelope.KindPermitRequest {
 			other.limiter.ReceivedAsk(h.sender, body)
 		} else {
 			other.limiter.ReceivedReply(h.sender, body)
@@ -207,7 +207,7 @@
 	for _, isSuccessor := range []bool{false, true} {
 		asker := others[0].limiter
 		number, replies := asker.await()
-		others[0].SendTo(others[1].sender.Host, envelope.KindPermitAsk, &Ask{Number: number, Limit: others[0].limits.Notice(limited), IsSuccessor: isSuccessor})
+		others[0].SendTo(others[1].sender.Host, envelope.KindPermitRequest, &Ask{Number: number, Limit: others[0].limits.Notice(limited), IsSuccessor: isSuccessor})
 		c.Check((<-replies).IsGranted, qt.IsFalse)
 		// A new bucket is empty.
 		n.advance(time.Second)
--- a/internal/front/relay/attempt.go
+++ b/internal/front/relay/attempt.go
@@ -69,7 +69,7 @@
 
 // attempt makes one try at an endpoint.
 func (x *exchange) attempt(ctx context.Context, a *owner.Attempt) owner.Result {
-	ctx, watch := httprelay.WatchSilence(ctx, beforeAnswer(&x.policy, a), owner.ErrStalled)
+	ctx, watch := httprelay.WithIdleTimeout(ctx, beforeAnswer(&x.policy, a), owner.ErrStalled)
 	defer watch.Stop()
 	answer, err := x.server.parts.Client.Do(ctx, x.upstreamCall(a))
 	if errors.Is(err, upstream.ErrWithheld) {
@@ -85,7 +85,7 @@
 	}
 	defer answer.Close()
 	x.noteSignal(a, answer)
-	if x.server.parts.Dialect.NotStarted(answer.Status, answer.Header) {
+	if x.server.parts.Dialect.IsNotStarted(answer.Status, answer.Header) {
 		return x.notStarted(a, answer)
 	}
 	if x.policy.Stream && answer.Status == http.StatusOK {
@@ -99,7 +99,7 @@
 // endpoint begins to leave, and the rest of an answer may never come. An answer of another endpoint at its address says
 // nothing of this one.
 func (x *exchange) noteSignal(a *owner.Attempt, answer *upstream.Answer) {
-	if x.server.parts.Dialect.OtherEndpoint(answer.Status) {
+	if x.server.parts.Dialect.IsOtherEndpoint(answer.Status) {
 		return
 	}
 	x.signal = x.server.parts.Dialect.Signal(answer.Status, answer.Header)
@@ -135,16 +135,16 @@
 	// The rest of the answer is read so that the connection can be kept; if that fails, it is
 	// closed.
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxPlainBytes))
-	if x.server.parts.Dialect.OtherEndpoint(answer.Status) {
+	if x.server.parts.Dialect.IsOtherEndpoint(answer.Status) {
 		x.server.parts.Health.RecordFailure(a.EndpointID, false, errors.New("another endpoint has its address"))
 	}
 	return owner.Result{Event: request.EventNotStarted, Err: errors.New("not started: " + strconv.Itoa(answer.Status))}
 }
 
 func (x *exchange) upstreamCall(a *owner.Attempt) *upstream.Call {
-	header := x.server.parts.Dialect.Prepare(x.r.Header, Send{
+	header := x.server.parts.Dialect.EndpointHeader(x.r.Header, Send{
 		EndpointID: a.EndpointID, Workspace: x.workspace, Tier: x.policy.Tier, Urgency: x.policy.Urgency, FetchFrom: a.FetchFrom,
-		Left: x.limit.Sub(x.server.parts.Clock.Now()),
+		TimeLeft: x.limit.Sub(x.server.parts.Clock.Now()),
 	})
 	if x.stream.lastID != "" {
 		header.Set(headerLastID, x.stream.lastID)
--- a/internal/front/relay/dialect.go
+++ b/internal/front/relay/dialect.go
@@ -18,9 +18,9 @@
 	ID string
 	// Key is the caller's key, or empty.
 	Key string
-	// Patience is how long the caller waits for the answer; 0 means that it does not say.
-	Patience time.Duration
-	Model    string
+	// MaxWait is how long the caller waits for the answer; 0 means that it does not say.
+	MaxWait time.Duration
+	Model   string
 	// PromptTokens and MaxTokens are 0 if the caller does not say.
 	PromptTokens int
 	MaxTokens    int
@@ -39,24 +39,24 @@
 	// FetchFrom is the address of another endpoint that should hold a part of the
 	// prompt, or empty.
 	FetchFrom string
-	// Left is the time that remains for the call.
-	Left time.Duration
+	// TimeLeft is the time that remains for the call.
+	TimeLeft time.Duration
 }
 
 // Dialect is how a deployment spells in headers what callers, hosts and endpoints say to each
 // other. It is safe for concurrent use.
 type Dialect interface {
-	// Read returns the call of a request. The text of the error goes to the caller.
-	Read(r *http.Request) (Call, error)
-	// Prepare returns the headers of a call for an endpoint, made from the caller's. What only a
+	// ParseCall returns the call of a request. The text of the error goes to the caller.
+	ParseCall(r *http.Request) (Call, error)
+	// EndpointHeader returns the headers of a call for an endpoint, made from the caller's. What only a
 	// host may say is in them only if the host says it.
-	Prepare(caller http.Header, send Send) http.Header
+	EndpointHeader(caller http.Header, send Send) http.Header
 	// AnswerID returns the ID of the call that an endpoint's answer belongs to.
 	AnswerID(header http.Header) string
-	// NotStarted reports whether an endpoint says that it did not start a call.
-	NotStarted(status int, header http.Header) bool
+	// IsNotStarted reports whether an endpoint says that it did not start a call.
+	IsNotStarted(status int, header http.Header) bool
 	// Signal returns what the head of an answer says of the endpoint that gave it.
 	Signal(status int, header http.Header) pushback.Signal
-	// OtherEndpoint reports whether the answer says that another endpoint has the address now.
-	OtherEndpoint(status int) bool
+	// IsOtherEndpoint reports whether the answer says that another endpoint has the address now.
+	IsOtherEndpoint(status int) bool
 }
--- a/internal/front/relay/exchange.go
+++ b/internal/front/relay/exchange.go
@@ -52,7 +52,7 @@
 // prepare finds out what the request is and whether it may run, and reads its body. It returns
 // the refusal if it may not; nothing was sent then.
 func (x *exchange) prepare() *request.Refusal {
-	call, err := x.server.parts.Dialect.Read(x.r)
+	call, err := x.server.parts.Dialect.ParseCall(x.r)
 	x.call = call
 	if err != nil {
 		return request.Refuse(request.ReasonBadRequest, err.Error())
@@ -68,7 +68,7 @@
 	if refusal := x.classify(current.Tree); refusal != nil {
 		return refusal
 	}
-	x.limit = x.arrived.Add(timeLimit(x.policy.TimeLimit, x.call.Patience))
+	x.limit = x.arrived.Add(timeLimit(x.policy.TimeLimit, x.call.MaxWait))
 	var refusal *request.Refusal
 	x.body, refusal = httprelay.ReadBody(x.w, x.r, int64(x.policy.MaxBodyBytes), x.server.parts.Timeouts.Read)
 	x.key = keys.OfRequest(&keys.Identity{
--- a/internal/front/relay/panic_test.go
+++ b/internal/front/relay/panic_test.go
@@ -19,8 +19,8 @@
 // failing is a dialect in which the program fails for one request.
 type failing struct{ Dialect }
 
-// Read panics for the request with a bad ID.
-func (failing) Read(r *http.Request) (Call, error) {
+// ParseCall panics for the request with a bad ID.
+func (failing) ParseCall(r *http.Request) (Call, error) {
 	if r.Header.Get(headerRequestID) == "bad" {
 		panic("an index out of range")
 	}
--- a/internal/front/relay/stream.go
+++ b/internal/front/relay/stream.go
@@ -48,7 +48,7 @@
 
 // relayStream passes whole events on until the stream ends or breaks. It blocks while the
 // caller does not read.
-func (x *exchange) relayStream(ctx context.Context, a *owner.Attempt, answer *upstream.Answer, watch *httprelay.SilenceWatch) owner.Result {
+func (x *exchange) relayStream(ctx context.Context, a *owner.Attempt, answer *upstream.Answer, watch *httprelay.IdleTimer) owner.Result {
 	scanner := bufio.NewScanner(answer)
 	scanner.Buffer(make([]byte, 0, eventBuffer), maxEventBytes)
 	scanner.Split(splitEvents)
--- a/internal/front/reporter/recovery.go
+++ b/internal/front/reporter/recovery.go
@@ -106,7 +106,7 @@
 	if m.Memo().Era == era.Of(token) {
 		return true
 	}
-	r.parts.Peers.Broadcast(envelope.KindAskFixed, askFixed{})
+	r.parts.Peers.Broadcast(envelope.KindFixedReportsRequest, askFixed{})
 	if !lifetime.Sleep(ctx, askTime) {
 		return false
 	}
--- a/internal/front/reporter/reporter_test.go
+++ b/internal/front/reporter/reporter_test.go
@@ -176,7 +176,7 @@
 		return
 	}
 	handle := map[envelope.Kind]envelope.Handler{
-		envelope.KindUsage: receiver.HandleCounts, envelope.KindFixedReports: receiver.HandleFixedReports, envelope.KindAskFixed: receiver.HandleFixedReportsRequest,
+		envelope.KindUsage: receiver.HandleCounts, envelope.KindFixedReports: receiver.HandleFixedReports, envelope.KindFixedReportsRequest: receiver.HandleFixedReportsRequest,
 	}[kind]
 	handle(envelope.Sender{Host: h.name, Incarnation: 1}, body)
 }
--- a/internal/front/upstream/pool.go
+++ b/internal/front/upstream/pool.go
@@ -48,9 +48,9 @@
 	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, readBufBytes)}, nil
 }
 
-// Ended reports whether the process at an address has ended: the machine is there, and nothing listens. A connection
+// HasExited reports whether the process at an address has ended: the machine is there, and nothing listens. A connection
 // that is made is kept for a later call. It blocks until ctx ends at the latest; the error says that it can't be known.
-func (c *Client) Ended(ctx context.Context, address string) (bool, error) {
+func (c *Client) HasExited(ctx context.Context, address string) (bool, error) {
 	conn, err := c.dial(ctx, &Call{Address: address})
 	switch {
 	case errors.Is(err, unix.ECONNREFUSED):
--- a/internal/httprelay/silence.go
+++ b/internal/httprelay/silence.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// SilenceWatch ends an attempt when its endpoint sends nothing for too long. Its methods
+// IdleTimer ends an attempt when its endpoint sends nothing for too long. Its methods
 // are called from the goroutine of the attempt.
-type SilenceWatch struct {
+type IdleTimer struct {
 	cancel context.CancelCauseFunc
 	cause  error
 	timer  *time.Timer
 	limit  time.Duration
 }
 
-// WatchSilence returns a context for an attempt, which ends with the cause once the
+// WithIdleTimeout returns a context for an attempt, which ends with the cause once the
 // endpoint has been silent for the limit, and the watch. A limit of 0 means that silence
 // is no reason to end the attempt. Stop must be called.
-func WatchSilence(ctx context.Context, limit time.Duration, cause error) (context.Context, *SilenceWatch) {
+func WithIdleTimeout(ctx context.Context, limit time.Duration, cause error) (context.Context, *IdleTimer) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	w := &SilenceWatch{cancel: cancel, cause: cause}
+	w := &IdleTimer{cancel: cancel, cause: cause}
 	w.SetLimit(ctx, limit)
 	return ctx, w
 }
 
 // Reset starts the time again: the endpoint has sent something.
-func (w *SilenceWatch) Reset() {
+func (w *IdleTimer) Reset() {
 	if w.timer != nil {
 		w.timer.Reset(w.limit)
 	}
@@ -33,7 +33,7 @@
 
 // SetLimit replaces the limit from now on; 0 means none. It does nothing once the context
 // of the attempt has ended.
-func (w *SilenceWatch) SetLimit(ctx context.Context, limit time.Duration) {
+func (w *IdleTimer) SetLimit(ctx context.Context, limit time.Duration) {
 	w.stopTimer()
 	w.limit = limit
 	if limit > 0 && ctx.Err() == nil {
@@ -42,12 +42,12 @@
 }
 
 // Stop ends the watch and the context.
-func (w *SilenceWatch) Stop() {
+func (w *IdleTimer) Stop() {
 	w.stopTimer()
 	w.cancel(nil)
 }
 
-func (w *SilenceWatch) stopTimer() {
+func (w *IdleTimer) stopTimer() {
 	if w.timer != nil {
 		w.timer.Stop()
 		w.timer = nil
