--- a/internal/front/aggregate/aggregate.go
+++ b/internal/front/aggregate/aggregate.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// Mark identifies one message of a host with its work.
-type Mark struct {
+// MessageID identifies one message of a host with its work.
+type MessageID struct {
 	// Incarnation is that of the host's start, Sequence counts its messages.
 	Incarnation uint32
 	Sequence    uint64
@@ -64,7 +64,7 @@
 // hostWork is the newest work of a host.
 type hostWork struct {
 	at   time.Time
-	mark Mark
+	mark MessageID
 	work Work
 }
 
@@ -96,7 +96,7 @@
 }
 
 // SetHost replaces the work of a host of this zone. An older message than the last is ignored.
-func (a *Aggregator) SetHost(now time.Time, host string, mark Mark, work Work) {
+func (a *Aggregator) SetHost(now time.Time, host string, mark MessageID, work Work) {
 	known := a.hosts[host]
 	if known.mark.Incarnation == mark.Incarnation && known.mark.Sequence >= mark.Sequence {
 		return
@@ -147,7 +147,7 @@
 type Sums struct {
 	// Zone is the sum over the hosts of this zone, Counted the messages that it counts.
 	Zone    Work
-	Counted []Mark
+	Counted []MessageID
 	// Fleet is the sum over the hosts of all zones, Hosts their number.
 	Fleet Work
 	Hosts int
--- a/internal/front/aggregate/aggregate_test.go
+++ b/internal/front/aggregate/aggregate_test.go
@@ -22,8 +22,8 @@
 
 // TestSumsCountEachHostOnce adds up what hosts and other zones send, with what may go wrong on the way.
 func TestSumsCountEachHostOnce(t *testing.T) {
-	mark := func(incarnation uint32, sequence uint64) Mark {
-		return Mark{Incarnation: incarnation, Sequence: sequence}
+	mark := func(incarnation uint32, sequence uint64) MessageID {
+		return MessageID{Incarnation: incarnation, Sequence: sequence}
 	}
 	tests := map[string]struct {
 		send func(a *Aggregator)
@@ -119,8 +119,8 @@
 		}}}
 	}
 	a := New()
-	a.SetHost(start, "a", Mark{Incarnation: 1, Sequence: 1}, report(20, 10, 3))
-	a.SetHost(start, "b", Mark{Incarnation: 2, Sequence: 1}, report(20, 30, 4))
+	a.SetHost(start, "a", MessageID{Incarnation: 1, Sequence: 1}, report(20, 10, 3))
+	a.SetHost(start, "b", MessageID{Incarnation: 2, Sequence: 1}, report(20, 30, 4))
 	a.SetZone(start, "far", "x", whole, 1, report(-1, 100, 5))
 	sum := a.Sums(start).Fleet
 	c.Check(sum.Engines[1].Traffic[2].Requests, qt.Equals, 12.0)
@@ -160,7 +160,7 @@
 			// Three aggregators can be found silent, one after the other, before the first is tried again.
 			for now := start; now.Before(start.Add(avoidTime / 2)); now = now.Add(Interval) {
 				if primary, backup = choice.Pick(now, "self", test.ranked); !test.silent[primary] {
-					choice.Received(now, primary)
+					choice.RecordSum(now, primary)
 				}
 			}
 			c.Check(primary, qt.Equals, test.primary)
--- a/internal/front/aggregate/choice.go
+++ b/internal/front/aggregate/choice.go
@@ -23,8 +23,8 @@
 // Primary returns the aggregator whose sums this host uses, or nothing if none was chosen.
 func (c *Choice) Primary() string { return c.primary }
 
-// Received notes a sum that an aggregator sent.
-func (c *Choice) Received(now time.Time, aggregator string) {
+// RecordSum notes a sum that an aggregator sent.
+func (c *Choice) RecordSum(now time.Time, aggregator string) {
 	if aggregator == c.primary {
 		c.receivedAt = now
 	}
--- a/internal/front/announce/announce.go
+++ b/internal/front/announce/announce.go
@@ -23,8 +23,8 @@
 	l.items = append(l.items, item[T]{value: value, left: 1 + l.repeats})
 }
 
-// Fresh returns the values that were not announced yet, and counts them as announced once.
-func (l *List[T]) Fresh() []T {
+// Unsent returns the values that were not announced yet, and counts them as announced once.
+func (l *List[T]) Unsent() []T {
 	return l.take(func(i *item[T]) bool { return i.left > l.repeats })
 }
 
--- a/internal/front/fx.go
+++ b/internal/front/fx.go
@@ -238,8 +238,8 @@
 		},
 		Host: sync, Network: p.Network, Log: logging.Part(p.Log, "peers"), Clock: p.Clock, Random: p.Random, CountSent: p.Counters.SentToPeers,
 	})
-	g.Handle(envelope.KindPermitRequest, p.Limiter.ReceivedAsk)
-	g.Handle(envelope.KindPermitReply, p.Limiter.ReceivedReply)
+	g.Handle(envelope.KindPermitRequest, p.Limiter.HandleAsk)
+	g.Handle(envelope.KindPermitReply, p.Limiter.HandleReply)
 	p.Late.gossip.Store(g)
 	p.Late.sync.Store(sync)
 	return g
@@ -306,7 +306,7 @@
 	detector := poison.New(poison.Parts{
 		Peers: p.Gossip, Prober: p.Client, Store: p.Deployment.Poison, StoreTime: storeTime, Era: p.Freshness.Era, Log: logging.Part(p.Log, "poison"), Clock: p.Clock, Random: p.Random,
 	})
-	p.Gossip.Handle(envelope.KindPoison, detector.Received)
+	p.Gossip.Handle(envelope.KindPoison, detector.HandleReport)
 	return detector
 }
 
@@ -330,10 +330,10 @@
 		Directory: p.Directory, Rests: p.Rests, Rejections: p.Rejections, Failures: p.Failures, Limits: p.Limits, Peers: p.Gossip,
 		Log: logging.Part(p.Log, "endpoints"), Clock: p.Clock, Random: p.Random,
 	})
-	p.Gossip.Handle(envelope.KindLeaving, func(from envelope.Sender, body []byte) { tracker.ReceivedLeaving(from.Host, body) })
-	p.Gossip.Handle(envelope.KindRejections, func(from envelope.Sender, body []byte) { tracker.ReceivedRejections(from.Host, body) })
-	p.Gossip.Handle(envelope.KindFailures, func(from envelope.Sender, body []byte) { tracker.ReceivedFailures(from.Host, body) })
-	p.Gossip.Handle(envelope.KindLimits, func(from envelope.Sender, body []byte) { tracker.ReceivedLimits(from.Host, body) })
+	p.Gossip.Handle(envelope.KindLeaving, func(from envelope.Sender, body []byte) { tracker.HandleLeaving(from.Host, body) })
+	p.Gossip.Handle(envelope.KindRejections, func(from envelope.Sender, body []byte) { tracker.HandleRejections(from.Host, body) })
+	p.Gossip.Handle(envelope.KindFailures, func(from envelope.Sender, body []byte) { tracker.HandleFailures(from.Host, body) })
+	p.Gossip.Handle(envelope.KindLimits, func(from envelope.Sender, body []byte) { tracker.HandleLimits(from.Host, body) })
 	p.Gossip.OnJoin(tracker.Joined)
 	return tracker
 }
--- a/internal/front/gossip/share.go
+++ b/internal/front/gossip/share.go
@@ -190,7 +190,7 @@
 	g.mu.Lock()
 	aggregator, counts := g.members.ApplyFleetSum(s)
 	if counts {
-		g.shares.choice.Received(g.parts.Clock(), aggregator)
+		g.shares.choice.RecordSum(g.parts.Clock(), aggregator)
 	}
 	g.mu.Unlock()
 	if counts {
--- a/internal/front/peersync/sums.go
+++ b/internal/front/peersync/sums.go
@@ -55,7 +55,7 @@
 	work := fromWork(&c.Work)
 	s.sums.mu.Lock()
 	defer s.sums.mu.Unlock()
-	s.sums.aggregator.SetHost(s.parts.Clock(), host, aggregate.Mark{Incarnation: c.Incarnation, Sequence: c.Sequence}, work)
+	s.sums.aggregator.SetHost(s.parts.Clock(), host, aggregate.MessageID{Incarnation: c.Incarnation, Sequence: c.Sequence}, work)
 }
 
 // Sums returns the parts of the sum over this host's zone, with the splits that it would decide, and those of the
--- a/internal/front/placement/cost.go
+++ b/internal/front/placement/cost.go
@@ -221,7 +221,7 @@
 func (v *View) weigh(q *query, e *directory.Entry) Choice {
 	choice := Choice{Endpoint: e.ID, Version: e.Endpoint.Version, Slots: e.Endpoint.MaxInFlight, Load: v.loads.Total(e.ID)}
 	choice.RejectionShare = v.rejections.Share(keys.OfEndpoint(e.ID))
-	choice.ExcessFailures = v.failures.Excess(pushback.Work{Endpoint: keys.OfEndpoint(e.ID), Class: keys.OfClass(q.request.Class)}, q.endpoints)
+	choice.ExcessFailures = v.failures.Excess(pushback.EndpointClass{Endpoint: keys.OfEndpoint(e.ID), Class: keys.OfClass(q.request.Class)}, q.endpoints)
 	cost, cached := q.prefixCost(e)
 	choice.Cached = cached
 	choice.Tokens = q.request.PromptTokens - cached
--- a/internal/front/placement/placement.go
+++ b/internal/front/placement/placement.go
@@ -188,7 +188,7 @@
 
 // begin counts a request at the endpoint that was chosen for it. The lock is held.
 func (p *Placer) begin(now time.Time, service string, request *admission.Request, choice *Choice) {
-	p.rests.Granted(choice.Endpoint, choice.Version)
+	p.rests.RecordGrant(choice.Endpoint, choice.Version)
 	p.view.loads.Begin(choice.Endpoint, choice.Tokens)
 	if request.PromptTokens > 0 {
 		p.view.engines.get(keys.OfService(service)).RecordArrival(now, engine.Arrival{
--- a/internal/front/placement/placement_test.go
+++ b/internal/front/placement/placement_test.go
@@ -492,7 +492,7 @@
 			defer close(done)
 			go s.limiter.Run(done)
 			for id, perSecond := range test.limits {
-				limits.Note(pushback.Instance{ID: id}, pushback.Limit{IsSet: true, PerSecond: perSecond}, time.Now())
+				limits.Record(pushback.Instance{ID: id}, pushback.Limit{IsSet: true, PerSecond: perSecond}, time.Now())
 			}
 			if test.ejected != "" {
 				s.RecordFailure(test.ejected, false, errors.New("refused"))
@@ -524,7 +524,7 @@
 	ticket, got, err := s.Ask(context.Background(), "llm", *short())
 	c.Assert(err, qt.IsNil)
 	c.Check(ticket.MaySend(), qt.IsTrue)
-	limits.Note(pushback.Instance{ID: got.Endpoint}, pushback.Limit{IsSet: true, PerSecond: 1}, time.Now())
+	limits.Record(pushback.Instance{ID: got.Endpoint}, pushback.Limit{IsSet: true, PerSecond: 1}, time.Now())
 	c.Check(ticket.MaySend(), qt.IsFalse)
 }
 
@@ -553,7 +553,7 @@
 			c := qt.New(t)
 			s := newPlacer(func() time.Time { return start })
 			for id, failed := range test.failed {
-				s.view.failures.Count(pushback.Work{Endpoint: keys.OfEndpoint(id), Class: keys.OfClass("c")}, failed, 10-failed)
+				s.view.failures.Count(pushback.EndpointClass{Endpoint: keys.OfEndpoint(id), Class: keys.OfClass("c")}, failed, 10-failed)
 			}
 			s.view.loads.Begin("e2", test.ahead)
 			request := short()
--- a/internal/front/poison/blame_test.go
+++ b/internal/front/poison/blame_test.go
@@ -113,7 +113,7 @@
 			left = append(left, r)
 			ended = append(ended, r.endpoint)
 		default:
-			d.table.Answered(d.now, r.request)
+			d.table.RecordAnswer(d.now, r.request)
 		}
 	}
 	d.running = left
@@ -140,7 +140,7 @@
 	}
 	d.running = left
 	for _, r := range broken {
-		d.table.Ended(r.request, End{Endpoint: key, At: d.now, Begun: r.begun <= d.now})
+		d.table.RecordCrash(r.request, Crash{Endpoint: key, At: d.now, Begun: r.begun <= d.now})
 	}
 	for _, r := range broken {
 		d.send(r)
--- a/internal/front/poison/detector.go
+++ b/internal/front/poison/detector.go
@@ -104,8 +104,8 @@
 	return d.table.IsPoison(request)
 }
 
-// Answered is called when an endpoint has answered a request to its end.
-func (d *Detector) Answered(request keys.Request) {
+// RecordAnswer is called when an endpoint has answered a request to its end.
+func (d *Detector) RecordAnswer(request keys.Request) {
 	if d.known.Load() == 0 {
 		return
 	}
@@ -118,7 +118,7 @@
 
 // answered clears a request, and reports whether there was something against it. The lock is held.
 func (d *Detector) answered(request keys.Request) bool {
-	suspected, condemned := d.table.Answered(d.parts.StoreTime(), request)
+	suspected, condemned := d.table.RecordAnswer(d.parts.StoreTime(), request)
 	if condemned {
 		d.parts.Log.WithField("request_key", request.String()).Info("request answered or lifted, it is not given up any more")
 		d.outdated = append(d.outdated, request)
@@ -126,8 +126,8 @@
 	return suspected || condemned
 }
 
-// Broke is called when an endpoint broke a call. Whether it has ended is found out in the background.
-func (d *Detector) Broke(call *Call) {
+// RecordBrokenCall is called when an endpoint broke a call. Whether it has ended is found out in the background.
+func (d *Detector) RecordBrokenCall(call *Call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	p, ok := d.probes[call.Endpoint]
@@ -147,8 +147,8 @@
 
 // ended notes that an endpoint has ended while it had a call. The lock is held.
 func (d *Detector) ended(call *Call) {
-	end := End{Endpoint: keys.OfEndpoint(call.Endpoint), At: d.parts.StoreTime(), Begun: call.Begun}
-	verdict, proved := d.table.Ended(call.Request, end)
+	end := Crash{Endpoint: keys.OfEndpoint(call.Endpoint), At: d.parts.StoreTime(), Begun: call.Begun}
+	verdict, proved := d.table.RecordCrash(call.Request, end)
 	d.outbox.ended(call.Request, end)
 	d.sawEnd = true
 	lifetime.Wake(d.lookUp)
@@ -162,8 +162,8 @@
 	d.changed()
 }
 
-// Received handles a peer's report.
-func (d *Detector) Received(from envelope.Sender, body []byte) {
+// HandleReport handles a peer's report.
+func (d *Detector) HandleReport(from envelope.Sender, body []byte) {
 	var r Report
 	if err := cbor.Unmarshal(body, &r); err != nil {
 		d.parts.Log.WithError(err).WithField("peer", from.Host).Warn("a report can't be read")
@@ -176,7 +176,7 @@
 		d.adopt(r.Verdicts[i].verdict(), from.Host)
 	}
 	for i := range r.Ends {
-		if verdict, proved := d.table.Ended(r.Ends[i].Request, r.Ends[i].end()); proved {
+		if verdict, proved := d.table.RecordCrash(r.Ends[i].Request, r.Ends[i].end()); proved {
 			d.logAdopted(verdict, from.Host)
 			d.saveIfAnnouncer(verdict)
 		}
@@ -233,7 +233,7 @@
 }
 
 // count updates known. The lock is held.
-func (d *Detector) count() { d.known.Store(int64(d.table.Suspects() + len(d.table.verdicts))) }
+func (d *Detector) count() { d.known.Store(int64(d.table.SuspectCount() + len(d.table.verdicts))) }
 
 // Lift clears a request by an operator's word, at all hosts, and reports whether there was a verdict on it.
 func (d *Detector) Lift(request keys.Request) bool {
--- a/internal/front/poison/detector_test.go
+++ b/internal/front/poison/detector_test.go
@@ -122,7 +122,7 @@
 	defer f.mu.Unlock()
 	for _, other := range f.hosts {
 		if other != h && !h.cut && !other.cut && f.random.Float64() >= f.loss {
-			go other.Received(envelope.Sender{Host: fmt.Sprint(h.place)}, body)
+			go other.HandleReport(envelope.Sender{Host: fmt.Sprint(h.place)}, body)
 		}
 	}
 }
@@ -136,7 +136,7 @@
 	defer f.mu.Unlock()
 	for _, other := range f.hosts {
 		if fmt.Sprint(other.place) == name && !h.cut && !other.cut {
-			go other.Received(envelope.Sender{Host: fmt.Sprint(h.place)}, body)
+			go other.HandleReport(envelope.Sender{Host: fmt.Sprint(h.place)}, body)
 		}
 	}
 }
@@ -201,7 +201,7 @@
 
 // ends has an endpoint end while a host has a request there.
 func (f *fleet) ends(h *host, request keys.Request, endpoint string) {
-	h.Broke(&Call{Request: request, Endpoint: endpoint, Address: endpoint, Begun: true})
+	h.RecordBrokenCall(&Call{Request: request, Endpoint: endpoint, Address: endpoint, Begun: true})
 }
 
 // know returns how many of the live hosts know that a request is poison.
@@ -362,7 +362,7 @@
 		for n := range 12 {
 			f.ends(f.hosts[n%4], beside, fmt.Sprint("e", n))
 			time.Sleep(spread)
-			f.hosts[(n+1)%4].Answered(beside)
+			f.hosts[(n+1)%4].RecordAnswer(beside)
 			time.Sleep(spread)
 		}
 		know, _ := f.know(beside)
@@ -375,7 +375,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(qt.New(t), 4)
 		f.condemn()
-		f.hosts[2].Answered(poisonous)
+		f.hosts[2].RecordAnswer(poisonous)
 		time.Sleep(contact)
 		know, _ := f.know(poisonous)
 		f.c.Check(know, qt.Equals, 0)
--- a/internal/front/poison/messages.go
+++ b/internal/front/poison/messages.go
@@ -14,14 +14,14 @@
 type Report struct {
 	_ struct{} `cbor:",toarray"`
 
-	Ends []ReportedEnd
+	Ends []ReportedCrash
 	// Answered are requests that have since been answered whole, or lifted by an operator.
 	Answered []keys.Request
 	Verdicts []ReportedVerdict
 }
 
-// ReportedEnd is an endpoint that ended while it had a request.
-type ReportedEnd struct {
+// ReportedCrash is an endpoint that ended while it had a request.
+type ReportedCrash struct {
 	_ struct{} `cbor:",toarray"`
 
 	Request  keys.Request
@@ -47,8 +47,8 @@
 	return freshness.StoreTime(time.Duration(ms) * time.Millisecond)
 }
 
-func (r *ReportedEnd) end() End {
-	return End{Endpoint: r.Endpoint, At: fromMs(r.AtMs), Begun: r.Begun}
+func (r *ReportedCrash) end() Crash {
+	return Crash{Endpoint: r.Endpoint, At: fromMs(r.AtMs), Begun: r.Begun}
 }
 
 func (r *ReportedVerdict) verdict() Verdict {
--- a/internal/front/poison/messages_test.go
+++ b/internal/front/poison/messages_test.go
@@ -16,7 +16,7 @@
 // TestGoldenReport holds the encoded form of a report: hosts of other versions read it.
 func TestGoldenReport(t *testing.T) {
 	golden.Message(t, "report", &Report{
-		Ends:     []ReportedEnd{{Request: 1, Endpoint: 2, AtMs: 3, Begun: true}},
+		Ends:     []ReportedCrash{{Request: 1, Endpoint: 2, AtMs: 3, Begun: true}},
 		Answered: []keys.Request{4},
 		Verdicts: []ReportedVerdict{{Request: 5, UntilMs: 6, Endpoints: []keys.Endpoint{7}}},
 	})
@@ -31,7 +31,7 @@
 	day := 24 * time.Hour
 	full, announced := new(Report), new(Report)
 	for range mostReported {
-		full.Ends = append(full.Ends, ReportedEnd{Request: math.MaxUint64, Endpoint: math.MaxUint32, AtMs: day.Milliseconds(), Begun: true})
+		full.Ends = append(full.Ends, ReportedCrash{Request: math.MaxUint64, Endpoint: math.MaxUint32, AtMs: day.Milliseconds(), Begun: true})
 	}
 	for range mostAnnounced {
 		announced.Verdicts = append(announced.Verdicts, reportedVerdict(Verdict{
@@ -56,7 +56,7 @@
 // FuzzReceived reads reports of other hosts, which may be any bytes.
 func FuzzReceived(f *testing.F) {
 	for _, report := range []*Report{
-		{Ends: []ReportedEnd{{Request: 1, Endpoint: 2, AtMs: 3, Begun: true}}, Answered: []keys.Request{4}},
+		{Ends: []ReportedCrash{{Request: 1, Endpoint: 2, AtMs: 3, Begun: true}}, Answered: []keys.Request{4}},
 		{Verdicts: []ReportedVerdict{{Request: 5, UntilMs: math.MinInt64, Endpoints: nil}}},
 	} {
 		data, err := cbor.Marshal(report)
@@ -65,9 +65,9 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		d := newTestDetector(t)
-		d.Received(testSender, data)
+		d.HandleReport(testSender, data)
 		d.expire()
-		d.Answered(1)
+		d.RecordAnswer(1)
 		d.report()
 	})
 }
--- a/internal/front/poison/poison.go
+++ b/internal/front/poison/poison.go
@@ -47,8 +47,8 @@
 	maxEnds = 4096
 )
 
-// End is an endpoint that ended while it had a request.
-type End struct {
+// Crash is an endpoint that ended while it had a request.
+type Crash struct {
 	Endpoint keys.Endpoint
 	// At is when that was noticed, by the store's clock; 0 if the host did not know it.
 	At freshness.StoreTime
--- a/internal/front/poison/report.go
+++ b/internal/front/poison/report.go
@@ -11,7 +11,7 @@
 
 // outbox is what the next reports carry, each a number of times.
 type outbox struct {
-	ends     []repeated[ReportedEnd]
+	ends     []repeated[ReportedCrash]
 	cleared  []repeated[keys.Request]
 	verdicts []repeated[ReportedVerdict]
 }
@@ -22,8 +22,8 @@
 	left int
 }
 
-func (o *outbox) ended(request keys.Request, end End) {
-	o.ends = append(o.ends, repeated[ReportedEnd]{ReportedEnd{Request: request, Endpoint: end.Endpoint, AtMs: toMs(end.At), Begun: end.Begun}, reportRepeats})
+func (o *outbox) ended(request keys.Request, end Crash) {
+	o.ends = append(o.ends, repeated[ReportedCrash]{ReportedCrash{Request: request, Endpoint: end.Endpoint, AtMs: toMs(end.At), Begun: end.Begun}, reportRepeats})
 }
 
 func (o *outbox) answered(request keys.Request) {
--- a/internal/front/poison/table.go
+++ b/internal/front/poison/table.go
@@ -12,10 +12,10 @@
 // Table is the evidence that a host knows, and the verdicts. Times are those of the store's clock. It is not safe for
 // concurrent use.
 type Table struct {
-	suspects map[keys.Request][]End
+	suspects map[keys.Request][]Crash
 	verdicts map[keys.Request]Verdict
 	// ends are all that no verdict explains, the oldest first.
-	ends []End
+	ends []Crash
 	// answered is when requests were answered that were suspected or given up.
 	answered map[keys.Request]freshness.StoreTime
 }
@@ -23,13 +23,13 @@
 // NewTable returns a table without evidence.
 func NewTable() *Table {
 	return &Table{
-		suspects: make(map[keys.Request][]End), verdicts: make(map[keys.Request]Verdict),
+		suspects: make(map[keys.Request][]Crash), verdicts: make(map[keys.Request]Verdict),
 		answered: make(map[keys.Request]freshness.StoreTime),
 	}
 }
 
-// Ended notes that an endpoint ended while it had a request. It returns the verdict if this is the end that proves it.
-func (t *Table) Ended(request keys.Request, end End) (Verdict, bool) {
+// RecordCrash notes that an endpoint ended while it had a request. It returns the verdict if this is the end that proves it.
+func (t *Table) RecordCrash(request keys.Request, end Crash) (Verdict, bool) {
 	if _, known := t.verdicts[request]; known {
 		return Verdict{}, false
 	}
@@ -55,14 +55,14 @@
 }
 
 // isSame reports whether another report is of the same end. One of a host that did not know the time may be.
-func (e End) isSame(other End) bool {
+func (e Crash) isSame(other Crash) bool {
 	apart := e.At - other.At
 	isClose := e.At == 0 || other.At == 0 || max(apart, -apart) < freshness.StoreTime(sameEnd)
 	return e.Endpoint == other.Endpoint && isClose
 }
 
 // noteEnd notes the end of an endpoint, whatever ran there, once.
-func (t *Table) noteEnd(end End) {
+func (t *Table) noteEnd(end Crash) {
 	if !slices.ContainsFunc(t.ends, end.isSame) {
 		t.ends = append(t.ends, end)
 		t.ends = t.ends[max(len(t.ends)-maxEnds, 0):]
@@ -70,7 +70,7 @@
 }
 
 // proves reports whether ends are proof enough against a request.
-func (t *Table) proves(ends []End) bool {
+func (t *Table) proves(ends []Crash) bool {
 	begun := 0
 	for _, e := range ends {
 		if e.Begun {
@@ -84,7 +84,7 @@
 }
 
 // endsBetween returns how many endpoints ended between the first and the last of some ends, these included.
-func (t *Table) endsBetween(ends []End) int {
+func (t *Table) endsBetween(ends []Crash) int {
 	first, last := ends[0].At, ends[0].At
 	for _, e := range ends {
 		first, last = min(first, e.At), max(last, e.At)
@@ -115,7 +115,7 @@
 	}
 	t.verdicts[verdict.Request] = verdict
 	delete(t.suspects, verdict.Request)
-	explained := func(e End) bool { return slices.Contains(verdict.Endpoints, e.Endpoint) }
+	explained := func(e Crash) bool { return slices.Contains(verdict.Endpoints, e.Endpoint) }
 	for request, ends := range t.suspects {
 		if slices.ContainsFunc(ends, explained) {
 			t.setSuspect(request, unexplained(ends, explained))
@@ -127,8 +127,8 @@
 }
 
 // unexplained returns the ends that a verdict leaves of those under another request.
-func unexplained(ends []End, explained func(End) bool) []End {
-	var left, gone []End
+func unexplained(ends []Crash, explained func(Crash) bool) []Crash {
+	var left, gone []Crash
 	for _, e := range ends {
 		if explained(e) {
 			gone = append(gone, e)
@@ -142,9 +142,9 @@
 	return left
 }
 
-// Answered notes that an endpoint answered a request to its end: it is not poison, whatever was in its way. It reports
+// RecordAnswer notes that an endpoint answered a request to its end: it is not poison, whatever was in its way. It reports
 // whether the request was suspected, and whether there was a verdict.
-func (t *Table) Answered(now freshness.StoreTime, request keys.Request) (suspected, condemned bool) {
+func (t *Table) RecordAnswer(now freshness.StoreTime, request keys.Request) (suspected, condemned bool) {
 	_, suspected = t.suspects[request]
 	_, condemned = t.verdicts[request]
 	if suspected || condemned {
@@ -168,17 +168,17 @@
 	})
 }
 
-// Suspects returns the number of requests under which endpoints have ended without a verdict.
-func (t *Table) Suspects() int { return len(t.suspects) }
+// SuspectCount returns the number of requests under which endpoints have ended without a verdict.
+func (t *Table) SuspectCount() int { return len(t.suspects) }
 
 // Expire drops evidence and verdicts that are too old. It returns the requests that are poison no longer: of their ends
 // all but one still count, so that the next one renews the verdict.
 func (t *Table) Expire(now freshness.StoreTime) []keys.Request {
 	for request, ends := range t.suspects {
-		ends = slices.DeleteFunc(ends, func(e End) bool { return e.At+freshness.StoreTime(evidenceTime) < now })
+		ends = slices.DeleteFunc(ends, func(e Crash) bool { return e.At+freshness.StoreTime(evidenceTime) < now })
 		t.setSuspect(request, ends)
 	}
-	t.ends = slices.DeleteFunc(t.ends, func(e End) bool { return e.At+freshness.StoreTime(evidenceTime) < now })
+	t.ends = slices.DeleteFunc(t.ends, func(e Crash) bool { return e.At+freshness.StoreTime(evidenceTime) < now })
 	maps.DeleteFunc(t.answered, func(_ keys.Request, at freshness.StoreTime) bool { return at+freshness.StoreTime(answerTime) < now })
 	var over []keys.Request
 	for request, verdict := range t.verdicts {
@@ -192,16 +192,16 @@
 }
 
 // oldEnds returns the evidence that stays of a verdict that is over.
-func oldEnds(verdict Verdict, now freshness.StoreTime) []End {
-	var ends []End
+func oldEnds(verdict Verdict, now freshness.StoreTime) []Crash {
+	var ends []Crash
 	for _, endpoint := range verdict.Endpoints[:min(len(verdict.Endpoints), begunEnds-1)] {
-		ends = append(ends, End{Endpoint: endpoint, At: now, Begun: true})
+		ends = append(ends, Crash{Endpoint: endpoint, At: now, Begun: true})
 	}
 	return ends
 }
 
 // setSuspect replaces the ends under a request.
-func (t *Table) setSuspect(request keys.Request, ends []End) {
+func (t *Table) setSuspect(request keys.Request, ends []Crash) {
 	if len(ends) == 0 {
 		delete(t.suspects, request)
 		return
@@ -227,4 +227,4 @@
 	}
 }
 
-func lastAt(ends []End) freshness.StoreTime { return ends[len(ends)-1].At }
+func lastAt(ends []Crash) freshness.StoreTime { return ends[len(ends)-1].At }
--- a/internal/front/poison/table_test.go
+++ b/internal/front/poison/table_test.go
@@ -17,11 +17,11 @@
 )
 
 // begun and waited are ends of endpoints, some seconds after the start.
-func begun(endpoint keys.Endpoint, seconds float64) End {
-	return End{Endpoint: endpoint, At: freshness.StoreTime(seconds * float64(time.Second)), Begun: true}
+func begun(endpoint keys.Endpoint, seconds float64) Crash {
+	return Crash{Endpoint: endpoint, At: freshness.StoreTime(seconds * float64(time.Second)), Begun: true}
 }
 
-func waited(endpoint keys.Endpoint, seconds float64) End {
+func waited(endpoint keys.Endpoint, seconds float64) Crash {
 	end := begun(endpoint, seconds)
 	end.Begun = false
 	return end
@@ -29,31 +29,31 @@
 
 func TestVerdicts(t *testing.T) {
 	tests := map[string]struct {
-		ends []End
+		ends []Crash
 		// answered is after how many of the ends the request is answered; 0 means never.
 		answered int
 		want     bool
 	}{
-		"two endpoints":                                  {[]End{begun(1, 1), begun(2, 2)}, 0, false},
-		"three endpoints":                                {[]End{begun(1, 1), begun(2, 2), begun(3, 3)}, 0, true},
-		"three endpoints, minutes apart":                 {[]End{begun(1, 0), begun(2, 200), begun(3, 400)}, 0, true},
-		"one end, reported three times":                  {[]End{begun(1, 1), begun(1, 1.1), begun(1, 2.5)}, 0, false},
-		"one end, reported by a host that knows no time": {[]End{begun(1, 1), begun(2, 2), begun(2, 0)}, 0, false},
-		"one endpoint that starts again":                 {[]End{begun(1, 1), begun(1, 6), begun(1, 12)}, 0, true},
-		"three that had not begun":                       {[]End{waited(1, 1), waited(2, 2), waited(3, 3)}, 0, false},
-		"six that had not begun":                         {[]End{waited(1, 1), waited(2, 2), waited(3, 3), waited(4, 4), waited(5, 5), waited(6, 6)}, 0, true},
-		"two that had begun and one that":                {[]End{begun(1, 1), begun(2, 2), waited(3, 3)}, 0, false},
-		"two reports, one knows of a head":               {[]End{begun(1, 1), begun(2, 2), waited(3, 3), begun(3, 3.1)}, 0, true},
-		"answered in between":                            {[]End{begun(1, 1), begun(2, 2), begun(3, 3)}, 2, false},
-		"answered after the verdict":                     {[]End{begun(1, 1), begun(2, 2), begun(3, 3)}, 3, false},
+		"two endpoints":                                  {[]Crash{begun(1, 1), begun(2, 2)}, 0, false},
+		"three endpoints":                                {[]Crash{begun(1, 1), begun(2, 2), begun(3, 3)}, 0, true},
+		"three endpoints, minutes apart":                 {[]Crash{begun(1, 0), begun(2, 200), begun(3, 400)}, 0, true},
+		"one end, reported three times":                  {[]Crash{begun(1, 1), begun(1, 1.1), begun(1, 2.5)}, 0, false},
+		"one end, reported by a host that knows no time": {[]Crash{begun(1, 1), begun(2, 2), begun(2, 0)}, 0, false},
+		"one endpoint that starts again":                 {[]Crash{begun(1, 1), begun(1, 6), begun(1, 12)}, 0, true},
+		"three that had not begun":                       {[]Crash{waited(1, 1), waited(2, 2), waited(3, 3)}, 0, false},
+		"six that had not begun":                         {[]Crash{waited(1, 1), waited(2, 2), waited(3, 3), waited(4, 4), waited(5, 5), waited(6, 6)}, 0, true},
+		"two that had begun and one that":                {[]Crash{begun(1, 1), begun(2, 2), waited(3, 3)}, 0, false},
+		"two reports, one knows of a head":               {[]Crash{begun(1, 1), begun(2, 2), waited(3, 3), begun(3, 3.1)}, 0, true},
+		"answered in between":                            {[]Crash{begun(1, 1), begun(2, 2), begun(3, 3)}, 2, false},
+		"answered after the verdict":                     {[]Crash{begun(1, 1), begun(2, 2), begun(3, 3)}, 3, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			table := NewTable()
 			for n, end := range test.ends {
-				table.Ended(poisonous, end)
+				table.RecordCrash(poisonous, end)
 				if n+1 == test.answered {
-					table.Answered(end.At, poisonous)
+					table.RecordAnswer(end.At, poisonous)
 				}
 			}
 			qt.Check(t, table.IsPoison(poisonous), qt.Equals, test.want)
@@ -67,12 +67,12 @@
 	c := qt.New(t)
 	table := NewTable()
 	for _, endpoint := range []keys.Endpoint{1, 2} {
-		table.Ended(beside, begun(endpoint, 1))
-		table.Ended(poisonous, begun(endpoint, 1))
+		table.RecordCrash(beside, begun(endpoint, 1))
+		table.RecordCrash(poisonous, begun(endpoint, 1))
 	}
-	_, proved := table.Ended(poisonous, begun(3, 2))
+	_, proved := table.RecordCrash(poisonous, begun(3, 2))
 	c.Assert(proved, qt.IsTrue)
-	table.Ended(beside, begun(4, 3))
+	table.RecordCrash(beside, begun(4, 3))
 	c.Check(table.IsPoison(beside), qt.IsFalse)
 }
 
@@ -82,12 +82,12 @@
 	c := qt.New(t)
 	table := NewTable()
 	for n := range keys.Endpoint(begunEnds) {
-		table.Ended(beside, begun(n, 1))
-		table.Ended(poisonous, begun(n, 1))
+		table.RecordCrash(beside, begun(n, 1))
+		table.RecordCrash(poisonous, begun(n, 1))
 	}
 	c.Assert(table.IsPoison(beside), qt.IsTrue)
 	c.Assert(table.IsPoison(poisonous), qt.IsFalse)
-	table.Ended(poisonous, begun(8, 3))
+	table.RecordCrash(poisonous, begun(8, 3))
 	c.Check(table.IsPoison(poisonous), qt.IsTrue)
 }
 
@@ -104,16 +104,16 @@
 			c := qt.New(t)
 			table := NewTable()
 			for n := range keys.Endpoint(begunEnds) {
-				table.Ended(poisonous, begun(n, 1))
+				table.RecordCrash(poisonous, begun(n, 1))
 			}
 			late := 1 + verdictTime.Seconds()
 			c.Check(table.Expire(begun(0, late-1).At), qt.HasLen, 0)
 			c.Check(table.Expire(begun(0, late+1).At), qt.DeepEquals, []keys.Request{poisonous})
 			c.Check(table.IsPoison(poisonous), qt.IsFalse)
 			if test.answered {
-				table.Answered(begun(0, late).At, poisonous)
+				table.RecordAnswer(begun(0, late).At, poisonous)
 			}
-			table.Ended(poisonous, begun(9, late+2))
+			table.RecordCrash(poisonous, begun(9, late+2))
 			c.Check(table.IsPoison(poisonous), qt.Equals, test.want)
 		})
 	}
@@ -121,12 +121,12 @@
 
 func TestEvidenceExpires(t *testing.T) {
 	table := NewTable()
-	table.Ended(poisonous, begun(1, 1))
-	table.Ended(poisonous, begun(2, 1+evidenceTime.Seconds()/2))
+	table.RecordCrash(poisonous, begun(1, 1))
+	table.RecordCrash(poisonous, begun(2, 1+evidenceTime.Seconds()/2))
 	table.Expire(begun(0, 2+evidenceTime.Seconds()).At)
 	qt.Check(t, table.suspects[poisonous], qt.HasLen, 1)
 	table.Expire(begun(0, 2+2*evidenceTime.Seconds()).At)
-	qt.Check(t, table.Suspects(), qt.Equals, 0)
+	qt.Check(t, table.SuspectCount(), qt.Equals, 0)
 }
 
 // TestTheTableIsBounded has more suspects and verdicts than are kept: the newest stay.
@@ -139,9 +139,9 @@
 		table.Adopt(Verdict{Request: keys.Request(many + n), Until: begun(0, at).At})
 	}
 	for n := range many {
-		table.Ended(keys.Request(n), begun(1, float64(n)/1000))
+		table.RecordCrash(keys.Request(n), begun(1, float64(n)/1000))
 	}
-	c.Check(table.Suspects() <= maxSuspects, qt.IsTrue)
+	c.Check(table.SuspectCount() <= maxSuspects, qt.IsTrue)
 	c.Check(len(table.verdicts) <= maxVerdicts, qt.IsTrue)
 	c.Check(table.suspects[many-1], qt.HasLen, 1)
 	c.Check(table.IsPoison(2*many-1), qt.IsTrue)
--- a/internal/front/pushback/failures.go
+++ b/internal/front/pushback/failures.go
@@ -22,8 +22,8 @@
 	usualInterval = 100 * time.Millisecond
 )
 
-// Work is the requests of a class at an endpoint.
-type Work struct {
+// EndpointClass is the requests of a class at an endpoint.
+type EndpointClass struct {
 	_ struct{} `cbor:",toarray"`
 
 	Endpoint keys.Endpoint
@@ -34,7 +34,7 @@
 // What fails everywhere is the requests' own fault, and makes no endpoint worse. It is safe for concurrent use.
 type Failures struct {
 	clock   func() time.Time
-	tallies *tallies[Work]
+	tallies *tallies[EndpointClass]
 
 	// failed holds the shares that endpoints fail of each class, the smallest first, as of failedAt. The lock of the
 	// tallies guards both.
@@ -44,18 +44,18 @@
 
 // NewFailures returns a table in which nothing has failed.
 func NewFailures(clock func() time.Time) *Failures {
-	return &Failures{clock: clock, tallies: newTallies[Work](clock, failureTime)}
+	return &Failures{clock: clock, tallies: newTallies[EndpointClass](clock, failureTime)}
 }
 
 // Count counts requests that an endpoint has failed and answered. It reports whether that is worth knowing: what it answers
 // of which nothing has failed lately is not.
-func (f *Failures) Count(work Work, failed, answered uint) bool {
+func (f *Failures) Count(work EndpointClass, failed, answered uint) bool {
 	return f.tallies.count(work, failed, answered)
 }
 
 // Excess returns which share of the requests of a class an endpoint is expected to fail beyond what is usual at a number of
 // endpoints. What it does to the requests of other classes counts a little.
-func (f *Failures) Excess(work Work, endpoints int) float64 {
+func (f *Failures) Excess(work EndpointClass, endpoints int) float64 {
 	if f.tallies.known.Load() == 0 {
 		return 0
 	}
@@ -65,24 +65,24 @@
 	return f.excess(work, endpoints)
 }
 
-// Worst returns the largest share of the requests of any class that an endpoint is expected to fail beyond what is usual.
-func (f *Failures) Worst(endpoint keys.Endpoint, endpoints int) float64 {
+// WorstExcess returns the largest share of the requests of any class that an endpoint is expected to fail beyond what is usual.
+func (f *Failures) WorstExcess(endpoint keys.Endpoint, endpoints int) float64 {
 	f.tallies.mu.Lock()
 	defer f.tallies.mu.Unlock()
 	f.sortFailed(f.clock())
 	worst := 0.0
 	for class := range f.failed {
-		worst = max(worst, f.excess(Work{Endpoint: endpoint, Class: class}, endpoints))
+		worst = max(worst, f.excess(EndpointClass{Endpoint: endpoint, Class: class}, endpoints))
 	}
 	return worst
 }
 
 // excess is Excess with the lock held.
-func (f *Failures) excess(work Work, endpoints int) float64 {
+func (f *Failures) excess(work EndpointClass, endpoints int) float64 {
 	now := f.clock()
 	var own, ofOwn, all, ofAll float64
 	for class, failed := range f.failed {
-		t, ok := f.tallies.byKey[Work{Endpoint: work.Endpoint, Class: class}]
+		t, ok := f.tallies.byKey[EndpointClass{Endpoint: work.Endpoint, Class: class}]
 		if !ok {
 			continue
 		}
@@ -131,7 +131,7 @@
 
 // Forget forgets an endpoint that has started again.
 func (f *Failures) Forget(endpoint keys.Endpoint) {
-	f.tallies.forget(func(work Work) bool { return work.Endpoint == endpoint })
+	f.tallies.forget(func(work EndpointClass) bool { return work.Endpoint == endpoint })
 }
 
 // Expire forgets what has lost its weight. It is called about once a second.
--- a/internal/front/pushback/failures_test.go
+++ b/internal/front/pushback/failures_test.go
@@ -39,17 +39,17 @@
 			c := qt.New(t)
 			now := time.Unix(1000, 0)
 			f := NewFailures(func() time.Time { return now })
-			c.Check(f.Count(Work{Endpoint: 1}, 0, 5), qt.IsFalse, qt.Commentf("nothing has failed"))
+			c.Check(f.Count(EndpointClass{Endpoint: 1}, 0, 5), qt.IsFalse, qt.Commentf("nothing has failed"))
 			for endpoint, n := range test.endpoints {
-				c.Check(f.Count(Work{Endpoint: endpoint}, n.failed, n.answered), qt.IsTrue)
+				c.Check(f.Count(EndpointClass{Endpoint: endpoint}, n.failed, n.answered), qt.IsTrue)
 			}
 			now = now.Add(test.after)
 			f.Expire()
-			share := f.Excess(Work{Endpoint: 1}, test.of)
+			share := f.Excess(EndpointClass{Endpoint: 1}, test.of)
 			c.Check(share >= test.least && share <= test.most, qt.IsTrue, qt.Commentf("%v", share))
-			c.Check(f.Worst(1, test.of) >= share, qt.IsTrue)
+			c.Check(f.WorstExcess(1, test.of) >= share, qt.IsTrue)
 			f.Forget(1)
-			c.Check(f.Excess(Work{Endpoint: 1}, test.of), qt.Equals, 0.0)
+			c.Check(f.Excess(EndpointClass{Endpoint: 1}, test.of), qt.Equals, 0.0)
 		})
 	}
 }
@@ -59,13 +59,13 @@
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	f := NewFailures(func() time.Time { return now })
-	f.Count(Work{Endpoint: 1, Class: 1}, 20, 0)
-	untried := f.Excess(Work{Endpoint: 1, Class: 2}, 9)
+	f.Count(EndpointClass{Endpoint: 1, Class: 1}, 20, 0)
+	untried := f.Excess(EndpointClass{Endpoint: 1, Class: 2}, 9)
 	c.Check(untried > 0.5, qt.IsTrue, qt.Commentf("%v: what is not known of a class is taken from others", untried))
-	f.Count(Work{Endpoint: 1, Class: 2}, 1, 40)
+	f.Count(EndpointClass{Endpoint: 1, Class: 2}, 1, 40)
 	now = now.Add(usualInterval)
-	c.Check(f.Excess(Work{Endpoint: 1, Class: 2}, 9) < 0.05, qt.IsTrue)
-	c.Check(f.Excess(Work{Endpoint: 1, Class: 1}, 9) > 0.8, qt.IsTrue)
+	c.Check(f.Excess(EndpointClass{Endpoint: 1, Class: 2}, 9) < 0.05, qt.IsTrue)
+	c.Check(f.Excess(EndpointClass{Endpoint: 1, Class: 1}, 9) > 0.8, qt.IsTrue)
 }
 
 // TestFailuresByChance has each endpoint fail one request in seven: few look worse than the others, and little.
@@ -77,12 +77,12 @@
 	sum, looks := 0.0, 0
 	for n := range 20_000 {
 		now = now.Add(75 * time.Millisecond)
-		work := Work{Endpoint: keys.Endpoint(random.IntN(4))}
+		work := EndpointClass{Endpoint: keys.Endpoint(random.IntN(4))}
 		failed, answered := oneOf(random.IntN(7) == 0)
 		f.Count(work, failed, answered)
 		if n%100 == 0 {
 			f.Expire()
-			sum += f.Excess(Work{Endpoint: 1}, 4)
+			sum += f.Excess(EndpointClass{Endpoint: 1}, 4)
 			looks++
 		}
 	}
@@ -94,11 +94,11 @@
 	f := NewFailures(time.Now)
 	for endpoint := range keys.Endpoint(45) {
 		for class := range keys.Class(5) {
-			f.Count(Work{Endpoint: endpoint, Class: class}, 10, 1)
+			f.Count(EndpointClass{Endpoint: endpoint, Class: class}, 10, 1)
 		}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		f.Excess(Work{Endpoint: 7, Class: 1}, 90)
+		f.Excess(EndpointClass{Endpoint: 7, Class: 1}, 90)
 	}
 }
--- a/internal/front/pushback/limits.go
+++ b/internal/front/pushback/limits.go
@@ -86,9 +86,9 @@
 	return &Limits{clock: clock, byID: make(map[string]*knownLimit)}
 }
 
-// Note takes the limit that an answer names, or that it names none. SentAt is when the request was sent that was answered.
+// Record takes the limit that an answer names, or that it names none. SentAt is when the request was sent that was answered.
 // It reports whether that changes what is known.
-func (l *Limits) Note(endpoint Instance, limit Limit, sentAt time.Time) bool {
+func (l *Limits) Record(endpoint Instance, limit Limit, sentAt time.Time) bool {
 	if (!limit.IsSet && !l.Any()) || !limit.isValid() {
 		return false
 	}
--- a/internal/front/pushback/limits_test.go
+++ b/internal/front/pushback/limits_test.go
@@ -85,7 +85,7 @@
 			for _, a := range test.answers {
 				now = at(a.arrived)
 				limits.Expire()
-				limits.Note(instance, a.limit, at(a.sent))
+				limits.Record(instance, a.limit, at(a.sent))
 			}
 			c.Check(limits.Get(instance), qt.Equals, test.want)
 			c.Check(len(limits.All()) == 1, qt.Equals, test.want.IsSet)
@@ -98,10 +98,10 @@
 func TestALimitIsOfOneStart(t *testing.T) {
 	c := qt.New(t)
 	limits := NewLimits(time.Now)
-	limits.Note(instance, perSecond(2), time.Time{})
+	limits.Record(instance, perSecond(2), time.Time{})
 	again := Instance{ID: "a", Version: "v2"}
-	c.Check(limits.Note(again, Limit{}, time.Now()), qt.IsFalse)
-	c.Check(limits.Note(again, perSecond(5), time.Now()), qt.IsTrue)
+	c.Check(limits.Record(again, Limit{}, time.Now()), qt.IsFalse)
+	c.Check(limits.Record(again, perSecond(5), time.Now()), qt.IsTrue)
 	c.Check(limits.Get(again), qt.Equals, perSecond(5))
 	c.Check(limits.Get(instance), qt.Equals, Limit{})
 }
--- a/internal/front/pushback/messages.go
+++ b/internal/front/pushback/messages.go
@@ -59,7 +59,7 @@
 type FailedCount struct {
 	_ struct{} `cbor:",toarray"`
 
-	Work     Work
+	Work     EndpointClass
 	Failed   uint
 	Answered uint
 }
--- a/internal/front/pushback/outbox.go
+++ b/internal/front/pushback/outbox.go
@@ -40,7 +40,7 @@
 	// newcomers are hosts that have joined, and learn all of it.
 	newcomers *announce.List[envelope.Sender]
 	rejected  counts[keys.Endpoint]
-	failed    counts[Work]
+	failed    counts[EndpointClass]
 }
 
 // limitNews is a limit that has changed.
@@ -53,7 +53,7 @@
 func newOutbox() outbox {
 	return outbox{
 		leaving: announce.New[Instance](announceRepeats), limits: announce.New[limitNews](announceRepeats),
-		newcomers: announce.New[envelope.Sender](announceRepeats), rejected: make(counts[keys.Endpoint]), failed: make(counts[Work]),
+		newcomers: announce.New[envelope.Sender](announceRepeats), rejected: make(counts[keys.Endpoint]), failed: make(counts[EndpointClass]),
 	}
 }
 
@@ -122,7 +122,7 @@
 // announceFresh announces what was not announced yet. Newcomers don't know this host yet, and wait.
 func (t *Tracker) announceFresh() {
 	t.mu.Lock()
-	leaving, limits := t.outbox.leaving.Fresh(), t.outbox.limits.Fresh()
+	leaving, limits := t.outbox.leaving.Unsent(), t.outbox.limits.Unsent()
 	t.mu.Unlock()
 	t.send(leaving, t.notices(limits), t.parts.Peers.Broadcast)
 }
--- a/internal/front/pushback/rests.go
+++ b/internal/front/pushback/rests.go
@@ -62,8 +62,8 @@
 	return begins
 }
 
-// Answered ends the trial of an endpoint that has taken a request. A rest goes on: the request may have been sent before.
-func (r *Rests) Answered(endpoint Instance) {
+// EndTrial ends the trial of an endpoint that has taken a request. A rest goes on: the request may have been sent before.
+func (r *Rests) EndTrial(endpoint Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if known, ok := r.get(endpoint); ok && !r.clock().Before(known.until) {
@@ -110,8 +110,8 @@
 	return usable, next
 }
 
-// Granted notes that a request was granted an endpoint: it is the trial of one that has rested.
-func (r *Rests) Granted(id, version string) {
+// RecordGrant notes that a request was granted an endpoint: it is the trial of one that has rested.
+func (r *Rests) RecordGrant(id, version string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if known, ok := r.get(Instance{ID: id, Version: version}); ok {
--- a/internal/front/pushback/rests_test.go
+++ b/internal/front/pushback/rests_test.go
@@ -50,7 +50,7 @@
 	r.now = r.now.Add(time.Second)
 	// A shorter one, and the answer to a request that was sent before, change nothing.
 	c.Check(r.rests.Begin(restful, time.Second), qt.IsFalse)
-	r.rests.Answered(restful)
+	r.rests.EndTrial(restful)
 	r.now = r.now.Add(2*time.Second - 1)
 	c.Check(r.rests.IsResting(restful), qt.IsTrue)
 	alone, next := r.rests.Usable(r.list[:1])
@@ -67,7 +67,7 @@
 		want string
 	}{
 		"its answer is awaited":   {func(*rested) {}, "b"},
-		"it takes it":             {func(r *rested) { r.rests.Answered(restful) }, "ab"},
+		"it takes it":             {func(r *rested) { r.rests.EndTrial(restful) }, "ab"},
 		"it rejects it":           {func(r *rested) { r.rests.Begin(restful, 3*time.Second) }, "b"},
 		"it says nothing":         {func(r *rested) { r.now = r.now.Add(trialTime) }, "ab"},
 		"nobody asks it for long": {func(r *rested) { r.now = r.now.Add(trialLimit + 1); r.rests.Expire() }, "ab"},
@@ -78,7 +78,7 @@
 			c := qt.New(t)
 			r := newRested(c, 0)
 			r.now = r.now.Add(3 * time.Second)
-			r.rests.Granted("a", "v1")
+			r.rests.RecordGrant("a", "v1")
 			c.Check(r.usable(), qt.Equals, "b")
 			c.Check(r.usable(r.list[0]), qt.Equals, "a", qt.Commentf("where there is no other"))
 			test.then(r)
--- a/internal/front/pushback/tracker.go
+++ b/internal/front/pushback/tracker.go
@@ -76,8 +76,8 @@
 	SentAt time.Time
 }
 
-// Received takes what the head of an answer says of its endpoint. It does not block.
-func (t *Tracker) Received(answer *Answer) {
+// HandleAnswer takes what the head of an answer says of its endpoint. It does not block.
+func (t *Tracker) HandleAnswer(answer *Answer) {
 	endpoint, signal := answer.Endpoint, &answer.Signal
 	if signal.Leaving && t.setLeaving(endpoint, "the endpoint") {
 		t.announce(func(o *outbox) { o.leaving.Add(endpoint) })
@@ -91,7 +91,7 @@
 			t.parts.Log.WithFields(logrus.Fields{"endpoint": endpoint.ID, "rest_ms": signal.Rest.Milliseconds()}).Info("endpoint wants rest")
 		}
 	case !signal.Rejected:
-		t.parts.Rests.Answered(endpoint)
+		t.parts.Rests.EndTrial(endpoint)
 	}
 }
 
@@ -104,7 +104,7 @@
 		}
 		return
 	}
-	if !t.parts.Limits.Note(endpoint, signal.Limit, answer.SentAt) {
+	if !t.parts.Limits.Record(endpoint, signal.Limit, answer.SentAt) {
 		return
 	}
 	t.logLimit(endpoint, signal.Limit, "the endpoint")
@@ -135,7 +135,7 @@
 // count counts a request that an endpoint has rejected, failed or answered. A rejected one says nothing of failures.
 func (t *Tracker) count(answer *Answer) {
 	key := keys.OfEndpoint(answer.Endpoint.ID)
-	work := Work{Endpoint: key, Class: answer.Class}
+	work := EndpointClass{Endpoint: key, Class: answer.Class}
 	rejected, taken := oneOf(answer.Signal.Rejected)
 	failed, answered := oneOf(answer.Signal.Failed)
 	isNews := t.parts.Rejections.Count(key, rejected, taken)
@@ -162,8 +162,8 @@
 	return 0, 1
 }
 
-// ReceivedLeaving handles a peer's Leaving, in CBOR.
-func (t *Tracker) ReceivedLeaving(peer string, body []byte) {
+// HandleLeaving handles a peer's Leaving, in CBOR.
+func (t *Tracker) HandleLeaving(peer string, body []byte) {
 	var message Leaving
 	if !t.decode(peer, body, &message) {
 		return
@@ -173,15 +173,15 @@
 	}
 }
 
-// ReceivedLimits handles a peer's Limited, in CBOR.
-func (t *Tracker) ReceivedLimits(peer string, body []byte) {
+// HandleLimits handles a peer's Limited, in CBOR.
+func (t *Tracker) HandleLimits(peer string, body []byte) {
 	var message Limited
 	if !t.decode(peer, body, &message) {
 		return
 	}
 	now := t.parts.Clock()
 	for _, notice := range message.Notices {
-		if t.parts.Limits.Note(notice.Endpoint, notice.Limit, now.Add(-notice.Age)) {
+		if t.parts.Limits.Record(notice.Endpoint, notice.Limit, now.Add(-notice.Age)) {
 			t.logLimit(notice.Endpoint, notice.Limit, peer)
 		}
 	}
@@ -221,8 +221,8 @@
 	return true
 }
 
-// ReceivedRejections handles a peer's Rejected, in CBOR.
-func (t *Tracker) ReceivedRejections(peer string, body []byte) {
+// HandleRejections handles a peer's Rejected, in CBOR.
+func (t *Tracker) HandleRejections(peer string, body []byte) {
 	var message Rejected
 	if !t.decode(peer, body, &message) {
 		return
@@ -232,8 +232,8 @@
 	}
 }
 
-// ReceivedFailures handles a peer's Failed, in CBOR.
-func (t *Tracker) ReceivedFailures(peer string, body []byte) {
+// HandleFailures handles a peer's Failed, in CBOR.
+func (t *Tracker) HandleFailures(peer string, body []byte) {
 	var message Failed
 	if !t.decode(peer, body, &message) {
 		return
--- a/internal/front/pushback/tracker_test.go
+++ b/internal/front/pushback/tracker_test.go
@@ -96,18 +96,18 @@
 	first, known := newTracker(c, p)
 	second, knownToo := newTracker(c, newPeers())
 	run(c, first)
-	first.Received(&Answer{Endpoint: instance, Signal: Signal{Leaving: true}, SentAt: time.Time{}})
+	first.HandleAnswer(&Answer{Endpoint: instance, Signal: Signal{Leaving: true}, SentAt: time.Time{}})
 	c.Check(known.Serving("llm"), qt.HasLen, 1)
 	for range 1 + announceRepeats {
 		message := <-p.leaving
 		c.Check(message.Endpoints, qt.DeepEquals, []Instance{instance})
-		second.ReceivedLeaving("first", encode(c, message))
+		second.HandleLeaving("first", encode(c, message))
 	}
-	first.Received(&Answer{Endpoint: instance, Signal: Signal{Leaving: true}, SentAt: time.Time{}})
+	first.HandleAnswer(&Answer{Endpoint: instance, Signal: Signal{Leaving: true}, SentAt: time.Time{}})
 	c.Check(knownToo.Leaving("llm"), qt.HasLen, 1)
 	c.Check(first.outbox.leaving.IsEmpty(), qt.IsTrue)
 	c.Check(second.outbox.leaving.IsEmpty(), qt.IsTrue)
-	second.ReceivedLeaving("first", []byte("no message"))
+	second.HandleLeaving("first", []byte("no message"))
 	c.Check(knownToo.Serving("llm"), qt.HasLen, 1)
 }
 
@@ -117,25 +117,25 @@
 	p := newPeers()
 	first, _ := newTracker(c, p)
 	second, _ := newTracker(c, newPeers())
-	first.Received(&Answer{Endpoint: instance, Signal: Signal{}, SentAt: time.Time{}})
+	first.HandleAnswer(&Answer{Endpoint: instance, Signal: Signal{}, SentAt: time.Time{}})
 	c.Check(first.outbox.rejected, qt.HasLen, 0, qt.Commentf("what takes all is no news"))
 	for range 3 {
-		first.Received(&Answer{Endpoint: instance, Signal: Signal{Rejected: true}, SentAt: time.Time{}})
+		first.HandleAnswer(&Answer{Endpoint: instance, Signal: Signal{Rejected: true}, SentAt: time.Time{}})
 	}
-	first.Received(&Answer{Endpoint: instance, Signal: Signal{}, SentAt: time.Time{}})
+	first.HandleAnswer(&Answer{Endpoint: instance, Signal: Signal{}, SentAt: time.Time{}})
 	run(c, first)
 	message := <-p.rejected
 	c.Check(message.Endpoints, qt.DeepEquals, []RejectedCount{{Endpoint: keys.OfEndpoint("a"), Rejected: 3, Taken: 1}})
-	second.ReceivedRejections("first", encode(c, message))
+	second.HandleRejections("first", encode(c, message))
 	c.Check(second.parts.Rejections.Shares(), qt.DeepEquals, first.parts.Rejections.Shares())
 	c.Check(second.outbox.rejected, qt.HasLen, 0)
-	first.Received(&Answer{Endpoint: instance, Signal: Signal{}, SentAt: time.Time{}})
+	first.HandleAnswer(&Answer{Endpoint: instance, Signal: Signal{}, SentAt: time.Time{}})
 	c.Check((<-p.rejected).Endpoints, qt.DeepEquals, []RejectedCount{{Endpoint: keys.OfEndpoint("a"), Taken: 1}})
 	// A message that is faulty weighs no more than many requests.
-	second.ReceivedRejections("first", encode(c, &Rejected{Endpoints: []RejectedCount{{Endpoint: 7, Rejected: math.MaxUint}}}))
-	second.ReceivedRejections("first", encode(c, &Rejected{Endpoints: []RejectedCount{{Endpoint: 7, Taken: mostCounted}}}))
+	second.HandleRejections("first", encode(c, &Rejected{Endpoints: []RejectedCount{{Endpoint: 7, Rejected: math.MaxUint}}}))
+	second.HandleRejections("first", encode(c, &Rejected{Endpoints: []RejectedCount{{Endpoint: 7, Taken: mostCounted}}}))
 	c.Check(second.parts.Rejections.Shares()[7] < 0.51, qt.IsTrue)
-	second.ReceivedRejections("first", []byte("no message"))
+	second.HandleRejections("first", []byte("no message"))
 }
 
 // TestPeersLearnWhatAnEndpointFails has hosts count what an endpoint fails and answers of a class at the other, once.
@@ -144,26 +144,26 @@
 	p := newPeers()
 	first, _ := newTracker(c, p)
 	second, _ := newTracker(c, newPeers())
-	work := Work{Endpoint: keys.OfEndpoint("a"), Class: 7}
+	work := EndpointClass{Endpoint: keys.OfEndpoint("a"), Class: 7}
 	for range 3 {
-		first.Received(&Answer{Endpoint: instance, Class: 7, Signal: Signal{Failed: true}})
+		first.HandleAnswer(&Answer{Endpoint: instance, Class: 7, Signal: Signal{Failed: true}})
 	}
-	first.Received(&Answer{Endpoint: instance, Class: 7})
-	first.Received(&Answer{Endpoint: instance, Class: 7, Signal: Signal{Rejected: true}})
-	first.Received(&Answer{Endpoint: instance, Class: 8})
+	first.HandleAnswer(&Answer{Endpoint: instance, Class: 7})
+	first.HandleAnswer(&Answer{Endpoint: instance, Class: 7, Signal: Signal{Rejected: true}})
+	first.HandleAnswer(&Answer{Endpoint: instance, Class: 8})
 	run(c, first)
 	<-p.rejected
 	message := <-p.failed
 	c.Check(message.Counts, qt.DeepEquals, []FailedCount{{Work: work, Failed: 3, Answered: 1}})
-	second.ReceivedFailures("first", encode(c, message))
-	c.Check(second.parts.Failures.Worst(work.Endpoint, 9) > 0.2, qt.IsTrue)
+	second.HandleFailures("first", encode(c, message))
+	c.Check(second.parts.Failures.WorstExcess(work.Endpoint, 9) > 0.2, qt.IsTrue)
 	c.Check(second.outbox.failed, qt.HasLen, 0)
-	second.ReceivedFailures("first", []byte("no message"))
+	second.HandleFailures("first", []byte("no message"))
 }
 
 // TestGoldenFailed holds the encoded form of failures.
 func TestGoldenFailed(t *testing.T) {
-	golden.Message(t, "failed", &Failed{Counts: []FailedCount{{Work: Work{Endpoint: 1, Class: 2}, Failed: 3, Answered: 4}}})
+	golden.Message(t, "failed", &Failed{Counts: []FailedCount{{Work: EndpointClass{Endpoint: 1, Class: 2}, Failed: 3, Answered: 4}}})
 }
 
 // TestGoldenLeaving holds the encoded form of the message: hosts of other versions read it.
@@ -180,16 +180,16 @@
 	second, _ := newTracker(c, newPeers())
 	run(c, first)
 	for _, limit := range []Limit{perSecond(2), {}} {
-		first.Received(&Answer{Endpoint: instance, Signal: Signal{Limit: limit}, SentAt: time.Now()})
+		first.HandleAnswer(&Answer{Endpoint: instance, Signal: Signal{Limit: limit}, SentAt: time.Now()})
 		for range 1 + announceRepeats {
-			second.ReceivedLimits("first", encode(c, <-p.limited))
+			second.HandleLimits("first", encode(c, <-p.limited))
 			c.Check(second.parts.Limits.Get(instance), qt.Equals, limit)
 		}
 	}
 	c.Check(second.outbox.isEmpty(), qt.IsTrue)
-	first.Received(&Answer{Endpoint: instance, Signal: Signal{MalformedLimit: "few"}, SentAt: time.Now()})
+	first.HandleAnswer(&Answer{Endpoint: instance, Signal: Signal{MalformedLimit: "few"}, SentAt: time.Now()})
 	c.Check(first.parts.Limits.Any(), qt.IsTrue, qt.Commentf("the end of the limit is kept"))
-	second.ReceivedLimits("first", []byte("no message"))
+	second.HandleLimits("first", []byte("no message"))
 }
 
 // TestANewcomerLearnsWhatEndpointsHaveSaid has a host join after endpoints have said that they leave, or named a limit.
@@ -198,7 +198,7 @@
 	p := newPeers()
 	first, known := newTracker(c, p)
 	known.SetLeaving("b", "v1")
-	first.parts.Limits.Note(instance, perSecond(2), time.Now())
+	first.parts.Limits.Record(instance, perSecond(2), time.Now())
 	run(c, first)
 	first.Joined(envelope.Sender{Host: "newcomer"})
 	for range 1 + announceRepeats {
@@ -267,7 +267,7 @@
 	}
 	var failed Failed
 	for range mostFailures {
-		failed.Counts = append(failed.Counts, FailedCount{Work: Work{Endpoint: math.MaxUint32, Class: math.MaxUint32}, Failed: mostCounted, Answered: mostCounted})
+		failed.Counts = append(failed.Counts, FailedCount{Work: EndpointClass{Endpoint: math.MaxUint32, Class: math.MaxUint32}, Failed: mostCounted, Answered: mostCounted})
 	}
 	for name, message := range map[string]any{"failed": &failed, "leaving": &leaving, "rejected": &rejected, "limited": &limited} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/front/ratelimit/lender.go
+++ b/internal/front/ratelimit/lender.go
@@ -95,7 +95,7 @@
 	defer l.mu.Unlock()
 	now := l.clock()
 	endpoint := ask.Limit.Endpoint
-	l.limits.Note(endpoint, ask.Limit.Limit, now.Add(-ask.Limit.Age))
+	l.limits.Record(endpoint, ask.Limit.Limit, now.Add(-ask.Limit.Age))
 	limit := l.limits.Get(endpoint)
 	if !limit.IsSet {
 		return Reply{Number: ask.Number, IsGranted: true}, true
--- a/internal/front/ratelimit/limiter.go
+++ b/internal/front/ratelimit/limiter.go
@@ -296,8 +296,8 @@
 	l.silent[lender] = s
 }
 
-// ReceivedAsk handles a peer's Ask, in CBOR.
-func (l *Limiter) ReceivedAsk(from envelope.Sender, body []byte) {
+// HandleAsk handles a peer's Ask, in CBOR.
+func (l *Limiter) HandleAsk(from envelope.Sender, body []byte) {
 	var ask Ask
 	if !l.decode(from, body, &ask) {
 		return
@@ -319,8 +319,8 @@
 	l.parts.Peers.SendTo(host, envelope.KindPermitReply, reply)
 }
 
-// ReceivedReply handles a peer's Reply, in CBOR.
-func (l *Limiter) ReceivedReply(from envelope.Sender, body []byte) {
+// HandleReply handles a peer's Reply, in CBOR.
+func (l *Limiter) HandleReply(from envelope.Sender, body []byte) {
 	var reply Reply
 	if l.decode(from, body, &reply) {
 		l.receivedReply(&reply)
--- a/internal/front/ratelimit/limiter_test.go
+++ b/internal/front/ratelimit/limiter_test.go
@@ -83,7 +83,7 @@
 // nameAll lets all hosts know of a limit.
 func (n *network) nameAll(perSecond float64) {
 	for _, h := range n.hosts {
-		h.limits.Note(limited, notice(perSecond).Limit, n.clock())
+		h.limits.Record(limited, notice(perSecond).Limit, n.clock())
 	}
 }
 
@@ -110,9 +110,9 @@
 			continue
 		}
 		if kind == envelope.KindPermitRequest {
-			other.limiter.ReceivedAsk(h.sender, body)
+			other.limiter.HandleAsk(h.sender, body)
 		} else {
-			other.limiter.ReceivedReply(h.sender, body)
+			other.limiter.HandleReply(h.sender, body)
 		}
 	}
 }
@@ -308,7 +308,7 @@
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		n := newNetwork(qt.New(t), "a", "b")
-		n.hosts[0].limiter.ReceivedAsk(n.hosts[1].sender, body)
-		n.hosts[0].limiter.ReceivedReply(n.hosts[1].sender, body)
+		n.hosts[0].limiter.HandleAsk(n.hosts[1].sender, body)
+		n.hosts[0].limiter.HandleReply(n.hosts[1].sender, body)
 	})
 }
--- a/internal/front/relay/attempt.go
+++ b/internal/front/relay/attempt.go
@@ -104,7 +104,7 @@
 	}
 	x.signal = x.server.parts.Dialect.Signal(answer.Status, answer.Header)
 	x.server.parts.Counters.Signalled(x.signal.Kinds()...)
-	x.server.parts.Signals.Received(&pushback.Answer{
+	x.server.parts.Signals.HandleAnswer(&pushback.Answer{
 		Endpoint: pushback.Instance{ID: a.EndpointID, Version: a.Endpoint.Version}, Class: keys.OfClass(x.route.Class), Signal: x.signal, SentAt: x.sentAt,
 	})
 }
@@ -121,14 +121,14 @@
 // endpoint had begun to answer, or would not have said so. A call that was ended from here proves nothing.
 func (x *exchange) broke(ctx context.Context, a *owner.Attempt, begun bool) {
 	if ctx.Err() == nil {
-		x.server.parts.Poison.Broke(&poison.Call{Request: x.key, Endpoint: a.EndpointID, Address: a.Endpoint.Address, Begun: begun})
+		x.server.parts.Poison.RecordBrokenCall(&poison.Call{Request: x.key, Endpoint: a.EndpointID, Address: a.Endpoint.Address, Begun: begun})
 	}
 }
 
 // answered reports that an endpoint answered to the end.
 func (x *exchange) answered(a *owner.Attempt) {
 	x.server.parts.Health.RecordSuccess(a.EndpointID)
-	x.server.parts.Poison.Answered(x.key)
+	x.server.parts.Poison.RecordAnswer(x.key)
 }
 
 func (x *exchange) notStarted(a *owner.Attempt, answer *upstream.Answer) owner.Result {
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -54,16 +54,16 @@
 type Poison interface {
 	// IsPoison reports whether a request must not be sent.
 	IsPoison(request keys.Request) bool
-	// Broke is called when an endpoint broke a call.
-	Broke(call *poison.Call)
-	// Answered is called when an endpoint gave a whole answer.
-	Answered(request keys.Request)
+	// RecordBrokenCall is called when an endpoint broke a call.
+	RecordBrokenCall(call *poison.Call)
+	// RecordAnswer is called when an endpoint gave a whole answer.
+	RecordAnswer(request keys.Request)
 }
 
 // Signals takes what endpoints say of themselves. Its methods must not block.
 type Signals interface {
-	// Received is called with what the head of an answer says.
-	Received(answer *pushback.Answer)
+	// HandleAnswer is called with what the head of an answer says.
+	HandleAnswer(answer *pushback.Answer)
 }
 
 // Clock is the host's clock.
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -122,7 +122,7 @@
 	for _, service := range h.parts.Directory.Services() {
 		endpoints := h.parts.Directory.Serving(service)
 		for _, e := range endpoints {
-			failing[e.ID] = h.parts.Failures.Worst(keys.OfEndpoint(e.ID), len(endpoints))
+			failing[e.ID] = h.parts.Failures.WorstExcess(keys.OfEndpoint(e.ID), len(endpoints))
 		}
 	}
 	return failing
