--- a/internal/front/directory/lapse.go
+++ b/internal/front/directory/lapse.go
@@ -59,8 +59,8 @@
 	d.removed.add(entry.ID, entry.Endpoint.Version)
 }
 
-// Lapsed returns the number of entries that are kept although they went at a revision.
-func (d *Directory) Lapsed(revision uint64) int {
+// CountLapsed returns the number of entries that are kept although they went at a revision.
+func (d *Directory) CountLapsed(revision uint64) int {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.lapsed.count(revision)
--- a/internal/front/directory/lapse_test.go
+++ b/internal/front/directory/lapse_test.go
@@ -46,7 +46,7 @@
 			d := fill()
 			c.Assert(d.Apply(7, test.changes), qt.IsTrue)
 			c.Check(ids(d.Serving("s")), qt.DeepEquals, test.now)
-			c.Check(d.Lapsed(7), qt.Equals, len(test.now)-len(test.later))
+			c.Check(d.CountLapsed(7), qt.Equals, len(test.now)-len(test.later))
 			// What has lapsed is not handed on, and a host that reads all comes to the same.
 			whole := fill()
 			whole.Replace(d.Snapshot())
@@ -55,7 +55,7 @@
 				c.Check(each.DropLapsed(6), qt.HasLen, 0, qt.Commentf("an older lapse"))
 				each.DropLapsed(7)
 				c.Check(ids(each.Serving("s")), qt.DeepEquals, test.later)
-				c.Check(each.Lapsed(7), qt.Equals, 0)
+				c.Check(each.CountLapsed(7), qt.Equals, 0)
 			}
 		})
 	}
--- a/internal/front/directory/leaving.go
+++ b/internal/front/directory/leaving.go
@@ -84,8 +84,8 @@
 	return doubted || e.Endpoint.State == settings.StateOut || d.announced.has(e.ID, e.Endpoint.Version)
 }
 
-// SaidLeaving returns the starts of endpoints that have said themselves that they leave, the version by ID.
-func (d *Directory) SaidLeaving() map[string]string {
+// ReportedLeaving returns the starts of endpoints that have said themselves that they leave, the version by ID.
+func (d *Directory) ReportedLeaving() map[string]string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	said := make(map[string]string)
--- a/internal/front/directory/restore_test.go
+++ b/internal/front/directory/restore_test.go
@@ -95,10 +95,10 @@
 			d.Replace(Snapshot{Revision: inEra(1, 4), Entries: []Entry{in, other}})
 			d.DropLapsed(inEra(1, 4))
 			c.Check(ids(d.Serving("s")), qt.DeepEquals, []string{"b"})
-			c.Check(d.Doubted(inEra(1, 4)), qt.Equals, 1)
+			c.Check(d.CountReturned(inEra(1, 4)), qt.Equals, 1)
 			d.Apply(inEra(1, 5), test.after)
 			c.Check(ids(d.Serving("s")), qt.DeepEquals, test.now)
-			d.Trust(inEra(1, 4))
+			d.AcceptReturned(inEra(1, 4))
 			c.Check(ids(d.Serving("s")), qt.DeepEquals, test.later)
 		})
 	}
@@ -115,7 +115,7 @@
 	c.Check(d.DropLapsed(9), qt.DeepEquals, []string{"a", "b"})
 	d.Replace(Snapshot{Revision: inEra(1, 4), Entries: all})
 	c.Check(ids(d.Serving("s")), qt.DeepEquals, []string{"c"})
-	d.Trust(inEra(1, 4))
+	d.AcceptReturned(inEra(1, 4))
 	c.Check(ids(d.Serving("s")), qt.DeepEquals, []string{"a", "b", "c"})
 }
 
--- a/internal/front/directory/returned.go
+++ b/internal/front/directory/returned.go
@@ -17,16 +17,16 @@
 	}
 }
 
-// Doubted returns the number of entries that an older copy of the store has brought back at a revision.
-func (d *Directory) Doubted(revision uint64) int {
+// CountReturned returns the number of entries that an older copy of the store has brought back at a revision.
+func (d *Directory) CountReturned(revision uint64) int {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.doubted.count(revision)
 }
 
-// Trust has the endpoints take new work whose entries were brought back at a revision or before and are still there. It returns
+// AcceptReturned has the endpoints take new work whose entries were brought back at a revision or before and are still there. It returns
 // their IDs.
-func (d *Directory) Trust(revision uint64) []string {
+func (d *Directory) AcceptReturned(revision uint64) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	trusted := d.doubted.take(revision)
--- a/internal/front/follow/follow.go
+++ b/internal/front/follow/follow.go
@@ -119,8 +119,8 @@
 	// Spacing is the least time between a change and the next call: changes that come close together are read in one
 	// call.
 	Spacing = 250 * time.Millisecond
-	// DutyCheck is the time between two looks at the duty of a host that has none.
-	DutyCheck = 100 * time.Millisecond
+	// DutyCheckInterval is the time between two looks at the duty of a host that has none.
+	DutyCheckInterval = 100 * time.Millisecond
 )
 
 // Parts are what a follower works with.
@@ -136,10 +136,10 @@
 	// Position returns the revision up to which this host knows the table, from the store or
 	// from peers, or 0 if it has to be read whole.
 	Position func() uint64
-	// Called counts a call and why it is made.
-	Called func(counters.StoreCall)
-	// Answered is called when the store has answered and the sink has what it brought.
-	Answered func(freshness.Answer)
+	// CountCall counts a call and why it is made.
+	CountCall func(counters.StoreCall)
+	// OnAnswer is called when the store has answered and the sink has what it brought.
+	OnAnswer func(freshness.Answer)
 }
 
 // Follower keeps a sink up to date.
@@ -171,9 +171,9 @@
 // New returns a follower that has read nothing.
 func New[T any](parts Parts[T]) *Follower[T] { return &Follower[T]{parts: parts} }
 
-// Reads reports whether the host reads the table for others and gets answers: its last call brought one,
+// IsReading reports whether the host reads the table for others and gets answers: its last call brought one,
 // and the call under way is not silent for too long.
-func (f *Follower[T]) Reads() bool {
+func (f *Follower[T]) IsReading() bool {
 	silentAt := f.silentAt.Load()
 	return f.reading.Load() && silentAt != nil && f.parts.Clock().Before(*silentAt)
 }
@@ -188,7 +188,7 @@
 			f.stopReading()
 		}
 		if !f.isDue(duty) {
-			lifetime.Sleep(ctx, DutyCheck)
+			lifetime.Sleep(ctx, DutyCheckInterval)
 			continue
 		}
 		isLast, err := f.step(ctx, duty)
@@ -223,7 +223,7 @@
 	if f.gone || (position == 0 && !f.loaded) {
 		return false, f.load(ctx, position)
 	}
-	f.parts.Called(reasonOf(duty))
+	f.parts.CountCall(reasonOf(duty))
 	held := heldFor(duty, f.failures)
 	sent := f.begin(held)
 	batch, err := f.wait(ctx, position, held)
@@ -287,7 +287,7 @@
 
 // load reads the table whole. The position is what is known before.
 func (f *Follower[T]) load(ctx context.Context, position uint64) error {
-	f.parts.Called(counters.StoreLoads)
+	f.parts.CountCall(counters.StoreLoads)
 	sent := f.begin(0)
 	batch, err := f.parts.Source.Load(ctx)
 	if err == nil {
@@ -305,7 +305,7 @@
 // answered reports an answer whose call was sent at a time.
 func (f *Follower[T]) answered(sent time.Time, revision uint64, at freshness.StoreTime) {
 	f.answeredAt = f.parts.Clock()
-	f.parts.Answered(freshness.Answer{Revision: revision, At: at, Sent: sent, Received: f.answeredAt})
+	f.parts.OnAnswer(freshness.Answer{Revision: revision, At: at, Sent: sent, Received: f.answeredAt})
 }
 
 // note logs the loss and the return of the store, once each.
--- a/internal/front/follow/follow_test.go
+++ b/internal/front/follow/follow_test.go
@@ -70,8 +70,8 @@
 	sink = &recorder{taken: make(chan string, 9)}
 	f = New(Parts[string]{
 		Source: source, Sink: sink, Log: logrus.NewEntry(log), Clock: time.Now, Random: func() float64 { return 0 }, Duty: duty,
-		Position: sink.position.Load, Called: func(counters.StoreCall) {},
-		Answered: func(a freshness.Answer) { sink.answers = append(sink.answers, a) },
+		Position: sink.position.Load, CountCall: func(counters.StoreCall) {},
+		OnAnswer: func(a freshness.Answer) { sink.answers = append(sink.answers, a) },
 	})
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -188,16 +188,16 @@
 		})
 		time.Sleep(time.Minute)
 		c.Check(source.loads, qt.HasLen, 1, qt.Commentf("nothing is read"))
-		c.Check(follower.Reads(), qt.IsFalse)
+		c.Check(follower.IsReading(), qt.IsFalse)
 		reads.Store(true)
 		c.Check(<-sink.taken, qt.Equals, "whole a")
 		synctest.Wait()
-		c.Check(follower.Reads(), qt.IsTrue)
+		c.Check(follower.IsReading(), qt.IsTrue)
 		c.Check(<-source.after, qt.Equals, uint64(3))
 		reads.Store(false)
 		source.waits <- batch(4)
 		time.Sleep(time.Second)
-		c.Check(follower.Reads(), qt.IsFalse)
+		c.Check(follower.IsReading(), qt.IsFalse)
 		sink.position.Store(9)
 		reads.Store(true)
 		c.Check(<-source.after, qt.Equals, uint64(9), qt.Commentf("the position that peers brought"))
@@ -216,16 +216,16 @@
 		c.Check(<-sink.taken, qt.Equals, "whole a")
 		c.Check(<-source.held, qt.Equals, hold)
 		time.Sleep(hold + HeldTimeout - time.Millisecond)
-		c.Check(follower.Reads(), qt.IsTrue)
+		c.Check(follower.IsReading(), qt.IsTrue)
 		time.Sleep(2 * time.Millisecond)
-		c.Check(follower.Reads(), qt.IsFalse)
+		c.Check(follower.IsReading(), qt.IsFalse)
 		c.Check(source.held, qt.HasLen, 0)
 		time.Sleep(storeBackoff.First)
 		c.Check(<-source.held, qt.Equals, time.Duration(0))
 		source.waits <- batch(4, "b")
 		c.Check(<-sink.taken, qt.Equals, "change b")
 		synctest.Wait()
-		c.Check(follower.Reads(), qt.IsTrue)
+		c.Check(follower.IsReading(), qt.IsTrue)
 		stop()
 	})
 }
@@ -308,7 +308,7 @@
 		time.Sleep(time.Minute)
 		calls := len(source.held)
 		c.Check(calls >= 9 && calls <= 10, qt.IsTrue, qt.Commentf("%d calls of 1.5 s, at least 5 s apart", calls))
-		c.Check(follower.Reads(), qt.IsFalse)
+		c.Check(follower.IsReading(), qt.IsFalse)
 		stop()
 	})
 }
--- a/internal/front/followers.go
+++ b/internal/front/followers.go
@@ -41,7 +41,7 @@
 // answered returns what notes an answer for a topic and confirms it to peers.
 func (p *followerParts) answered(topic freshness.Topic) func(freshness.Answer) {
 	return func(answer freshness.Answer) {
-		p.Freshness.Answered(topic, answer)
+		p.Freshness.RecordAnswer(topic, answer)
 		p.Late.confirm()
 	}
 }
@@ -62,7 +62,7 @@
 	}
 	before := order.Before
 	if !g.Settled() {
-		if state.Age(topic) == freshness.Unknown {
+		if state.Age(topic) == freshness.UnknownAge {
 			return follow.Duty{Call: true}
 		}
 		before = order.Hosts
@@ -74,13 +74,13 @@
 	f := &followers{
 		settings: follow.New(follow.Parts[settings.Raw]{
 			Source: p.Deployment.Settings, Sink: p.Settings, Log: logging.Part(p.Log, "settings"), Clock: p.Clock, Random: p.Random,
-			Duty: p.duty(freshness.Settings), Answered: p.answered(freshness.Settings),
-			Position: func() uint64 { return p.Freshness.Revision(freshness.Settings) }, Called: p.Counters.CalledStore,
+			Duty: p.duty(freshness.Settings), OnAnswer: p.answered(freshness.Settings),
+			Position: func() uint64 { return p.Freshness.Revision(freshness.Settings) }, CountCall: p.Counters.CalledStore,
 		}),
 		endpoints: follow.New(follow.Parts[directory.Change]{
 			Source: p.Deployment.Endpoints, Sink: p.Endpoints, Log: logging.Part(p.Log, "endpoints"), Clock: p.Clock, Random: p.Random,
-			Duty: p.duty(freshness.Endpoints), Answered: p.answered(freshness.Endpoints),
-			Called: p.Counters.CalledStore,
+			Duty: p.duty(freshness.Endpoints), OnAnswer: p.answered(freshness.Endpoints),
+			CountCall: p.Counters.CalledStore,
 			// A change that came from a peer may be ahead of what is confirmed.
 			Position: func() uint64 { return max(p.Freshness.Revision(freshness.Endpoints), p.Directory.Revision()) },
 		}),
@@ -90,7 +90,7 @@
 }
 
 // read reports whether the host reads the store for others and gets answers.
-func (f *followers) read() bool { return f.settings.Reads() && f.endpoints.Reads() }
+func (f *followers) read() bool { return f.settings.IsReading() && f.endpoints.IsReading() }
 
 // run starts both followers; they end when done is closed.
 func (f *followers) run(done <-chan struct{}) {
--- a/internal/front/freshness/freshness.go
+++ b/internal/front/freshness/freshness.go
@@ -24,7 +24,7 @@
 const (
 	Settings Topic = iota
 	Endpoints
-	Topics
+	NumTopics
 )
 
 // String returns the topic's name in logs and metrics.
@@ -66,9 +66,9 @@
 // Parts are what a State works with.
 type Parts struct {
 	Clock func() time.Time
-	// Has returns what this host has of a topic, to compare with Confirmation.Newest: the number of its
+	// KnownRevision returns what this host has of a topic, to compare with Confirmation.Newest: the number of its
 	// settings, or the revision up to which it knows the directory.
-	Has func(Topic) uint64
+	KnownRevision func(Topic) uint64
 	// Newest returns what the host's own confirmations carry as Newest.
 	Newest func(Topic) uint64
 }
@@ -82,7 +82,7 @@
 	// era is the newest era of the store that is known, store its clock.
 	era    uint64
 	store  storeClock
-	topics [Topics]topicState
+	topics [NumTopics]topicState
 }
 
 // topicState is up to when a topic is confirmed.
@@ -105,9 +105,9 @@
 	return &State{parts: parts, started: now, store: storeClock{epoch: now}}
 }
 
-// Answered notes that the store has answered this host's call for a topic, and that the host has
+// RecordAnswer notes that the store has answered this host's call for a topic, and that the host has
 // put in force what the answer brought. An answer of an earlier era than is known counts for nothing.
-func (s *State) Answered(topic Topic, answer Answer) {
+func (s *State) RecordAnswer(topic Topic, answer Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.enter(era.Of(answer.Revision))
@@ -125,16 +125,16 @@
 		return
 	}
 	now := s.parts.Clock()
-	for topic := range Topics {
+	for topic := range NumTopics {
 		t := &s.topics[topic]
 		t.staleAge, t.staleAt = s.ageOf(t, now), now
 	}
 	s.era, s.store = newest, storeClock{epoch: s.store.epoch}
 }
 
-// Confirmed notes the confirmation of a peer, which arrived just now. What the host lacks of it is confirmed once
+// RecordConfirmation notes the confirmation of a peer, which arrived just now. What the host lacks of it is confirmed once
 // the host has it.
-func (s *State) Confirmed(topic Topic, c Confirmation) {
+func (s *State) RecordConfirmation(topic Topic, c Confirmation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.enter(era.Of(c.Revision))
@@ -144,7 +144,7 @@
 	s.store.sample(c.AsOf, s.parts.Clock())
 	t := &s.topics[topic]
 	switch {
-	case s.parts.Has(topic) >= c.Newest:
+	case s.parts.KnownRevision(topic) >= c.Newest:
 		t.raise(c.Revision, c.AsOf)
 	case era.Of(c.Revision) > era.Of(t.ahead.Revision) || c.AsOf > t.ahead.AsOf:
 		t.ahead = c
@@ -155,7 +155,7 @@
 // is held.
 func (s *State) settle(topic Topic) {
 	t := &s.topics[topic]
-	if t.ahead.AsOf > 0 && s.parts.Has(topic) >= t.ahead.Newest {
+	if t.ahead.AsOf > 0 && s.parts.KnownRevision(topic) >= t.ahead.Newest {
 		t.raise(t.ahead.Revision, t.ahead.AsOf)
 		t.ahead = Confirmation{}
 	}
@@ -172,8 +172,8 @@
 	t.revision = max(t.revision, revision)
 }
 
-// Own returns what this host can confirm to others of a topic, or false if it knows of no confirmation.
-func (s *State) Own(topic Topic) (Confirmation, bool) {
+// OwnConfirmation returns what this host can confirm to others of a topic, or false if it knows of no confirmation.
+func (s *State) OwnConfirmation(topic Topic) (Confirmation, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := &s.topics[topic]
@@ -188,8 +188,8 @@
 	return s.topics[topic].revision
 }
 
-// Unknown is the age of what the store has not confirmed since the host's start.
-const Unknown time.Duration = -time.Millisecond
+// UnknownAge is the age of what the store has not confirmed since the host's start.
+const UnknownAge time.Duration = -time.Millisecond
 
 // Age returns how long ago a topic was last known to be complete, or Unknown.
 func (s *State) Age(topic Topic) time.Duration {
@@ -203,7 +203,7 @@
 func (s *State) ageOf(t *topicState, now time.Time) time.Duration {
 	switch {
 	case !t.known:
-		return Unknown
+		return UnknownAge
 	case era.Of(t.revision) < s.era:
 		return t.staleAge + now.Sub(t.staleAt)
 	}
@@ -228,7 +228,7 @@
 // unconfirmed returns how long a topic has not been confirmed: since its last confirmation or the
 // host's start.
 func (s *State) unconfirmed(topic Topic) time.Duration {
-	if age := s.Age(topic); age != Unknown {
+	if age := s.Age(topic); age != UnknownAge {
 		return age
 	}
 	return s.parts.Clock().Sub(s.started)
--- a/internal/front/freshness/freshness_test.go
+++ b/internal/front/freshness/freshness_test.go
@@ -18,7 +18,7 @@
 func newState() (*State, *time.Time) {
 	now := began
 	has := func(Topic) uint64 { return 5 }
-	return New(Parts{Clock: func() time.Time { return now }, Has: has, Newest: has}), &now
+	return New(Parts{Clock: func() time.Time { return now }, KnownRevision: has, Newest: has}), &now
 }
 
 // answer is one of a store whose clock showed at, sent for and received some time after the start.
@@ -33,7 +33,7 @@
 		at   time.Duration
 		want time.Duration
 	}{
-		"nothing is confirmed": {nil, time.Second, Unknown},
+		"nothing is confirmed": {nil, time.Second, UnknownAge},
 		"an answer that was on its way for no time": {
 			[]Answer{answer(70*time.Second, 0, 0)}, time.Second, time.Second,
 		},
@@ -61,11 +61,11 @@
 		t.Run(name, func(t *testing.T) {
 			state, now := newState()
 			for _, a := range test.answers {
-				state.Answered(Settings, a)
+				state.RecordAnswer(Settings, a)
 			}
 			*now = began.Add(test.at)
 			qt.Check(t, state.Age(Settings), qt.Equals, test.want)
-			qt.Check(t, state.Age(Endpoints), qt.Equals, Unknown, qt.Commentf("nothing was said of the other topic"))
+			qt.Check(t, state.Age(Endpoints), qt.Equals, UnknownAge, qt.Commentf("nothing was said of the other topic"))
 		})
 	}
 }
@@ -76,7 +76,7 @@
 	state, now := newState()
 	for second := range 600 {
 		at := time.Duration(second) * time.Second
-		state.Answered(Settings, Answer{At: StoreTime(at), Sent: began.Add(at + at/1000 - 2*time.Second), Received: began.Add(at + at/1000)})
+		state.RecordAnswer(Settings, Answer{At: StoreTime(at), Sent: began.Add(at + at/1000 - 2*time.Second), Received: began.Add(at + at/1000)})
 		*now = began.Add(at + at/1000)
 		qt.Assert(t, state.Age(Settings) <= 2*clockWindow/1000, qt.IsTrue, qt.Commentf("%s after %s", state.Age(Settings), at))
 	}
@@ -93,7 +93,7 @@
 	now := began
 	h := &host{now: &now, has: has}
 	own := func(Topic) uint64 { return h.has }
-	h.State = New(Parts{Clock: func() time.Time { return now }, Has: own, Newest: own})
+	h.State = New(Parts{Clock: func() time.Time { return now }, KnownRevision: own, Newest: own})
 	return h
 }
 
@@ -102,7 +102,7 @@
 
 // hear takes a peer's confirmation of the settings.
 func (h *host) confirm(newest uint64, asOf time.Duration) {
-	h.Confirmed(Settings, Confirmation{Newest: newest, Revision: newest * 10, AsOf: StoreTime(asOf)})
+	h.RecordConfirmation(Settings, Confirmation{Newest: newest, Revision: newest * 10, AsOf: StoreTime(asOf)})
 }
 
 // TestAgesAcrossARestoreOfTheStore has the store come back with a clock of its own, which says less than before.
@@ -111,18 +111,18 @@
 	restored, err := era.Revision(1, 4)
 	c.Assert(err, qt.IsNil)
 	h := newHost(50)
-	for topic := range Topics {
-		h.Answered(topic, Answer{Revision: 50, At: StoreTime(70 * time.Second), Sent: began, Received: began})
+	for topic := range NumTopics {
+		h.RecordAnswer(topic, Answer{Revision: 50, At: StoreTime(70 * time.Second), Sent: began, Received: began})
 	}
 	h.at(2 * time.Second)
-	h.Answered(Settings, Answer{Revision: restored, At: StoreTime(time.Second), Sent: *h.now, Received: *h.now})
+	h.RecordAnswer(Settings, Answer{Revision: restored, At: StoreTime(time.Second), Sent: *h.now, Received: *h.now})
 	h.at(3 * time.Second)
 	c.Check(h.Age(Settings), qt.Equals, time.Second)
 	c.Check(h.Age(Endpoints), qt.Equals, 3*time.Second, qt.Commentf("nothing is confirmed in the new era"))
-	h.Confirmed(Endpoints, Confirmation{Newest: 50, Revision: 60, AsOf: StoreTime(73 * time.Second)})
+	h.RecordConfirmation(Endpoints, Confirmation{Newest: 50, Revision: 60, AsOf: StoreTime(73 * time.Second)})
 	c.Check(h.Age(Endpoints), qt.Equals, 3*time.Second, qt.Commentf("a confirmation of before does not count"))
 	c.Check(h.MustAsk(Endpoints, 0), qt.IsTrue)
-	h.Confirmed(Endpoints, Confirmation{Newest: 50, Revision: restored, AsOf: StoreTime(2 * time.Second)})
+	h.RecordConfirmation(Endpoints, Confirmation{Newest: 50, Revision: restored, AsOf: StoreTime(2 * time.Second)})
 	c.Check(h.Age(Endpoints), qt.Equals, time.Duration(0))
 	c.Check(h.Revision(Endpoints), qt.Equals, restored)
 }
@@ -134,11 +134,11 @@
 	c.Assert(err, qt.IsNil)
 	h := newHost(50)
 	h.at(2 * time.Second)
-	h.Confirmed(Settings, Confirmation{Newest: 50, Revision: restored, AsOf: StoreTime(time.Second)})
-	h.Answered(Settings, Answer{Revision: 50, At: StoreTime(time.Hour), Sent: began, Received: *h.now})
+	h.RecordConfirmation(Settings, Confirmation{Newest: 50, Revision: restored, AsOf: StoreTime(time.Second)})
+	h.RecordAnswer(Settings, Answer{Revision: 50, At: StoreTime(time.Hour), Sent: began, Received: *h.now})
 	h.at(3 * time.Second)
 	c.Check(h.Age(Settings), qt.Equals, time.Second)
-	c.Check(h.Age(Endpoints), qt.Equals, Unknown)
+	c.Check(h.Age(Endpoints), qt.Equals, UnknownAge)
 }
 
 func TestConfirmationsOfPeers(t *testing.T) {
@@ -184,7 +184,7 @@
 			h.confirm(5, 71*time.Second)
 			h.confirm(5, 72*time.Second)
 		}, 8 * time.Second, 50},
-		"none at all": {func(h *host) { h.at(time.Minute) }, Unknown, 0},
+		"none at all": {func(h *host) { h.at(time.Minute) }, UnknownAge, 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -192,8 +192,8 @@
 			test.play(h)
 			qt.Check(t, h.Age(Settings), qt.Equals, test.age)
 			qt.Check(t, h.Revision(Settings), qt.Equals, test.revision)
-			own, known := h.Own(Settings)
-			qt.Check(t, known, qt.Equals, test.age != Unknown)
+			own, known := h.OwnConfirmation(Settings)
+			qt.Check(t, known, qt.Equals, test.age != UnknownAge)
 			qt.Check(t, own.Newest, qt.Equals, h.has)
 			qt.Check(t, own.Revision, qt.Equals, test.revision)
 		})
@@ -235,7 +235,7 @@
 				h := newHost(5)
 				since := time.Duration(begins) * 50 * ms
 				h.at(since)
-				h.Answered(Settings, answer(70*time.Second+since, since, since))
+				h.RecordAnswer(Settings, answer(70*time.Second+since, since, since))
 				hold := h.Hold(before, readers)
 				qt.Check(t, hold >= leastHold && hold < period+leastHold, qt.IsTrue, qt.Commentf("%s", hold))
 				qt.Check(t, (70*time.Second+since+hold)%period, qt.Equals, time.Duration(before%Readers)*Phase%period)
--- a/internal/front/fx.go
+++ b/internal/front/fx.go
@@ -158,7 +158,7 @@
 func newFreshness(holder *settings.Holder, d *directory.Directory, clock func() time.Time) *freshness.State {
 	return freshness.New(freshness.Parts{
 		Clock: clock,
-		Has: func(topic freshness.Topic) uint64 {
+		KnownRevision: func(topic freshness.Topic) uint64 {
 			if topic == freshness.Settings {
 				return holder.Number()
 			}
@@ -189,15 +189,15 @@
 func newSettingsSink(p settingsParts) *peersync.Settings {
 	return peersync.NewSettings(peersync.SettingsParts{
 		Decode: p.Deployment.Decode, Holder: p.Holder, Counters: p.Counters, Log: logging.Part(p.Log, "settings"),
-		InForce: p.Placer.SetSettings,
-		Changed: p.Late.revisionChanged, ReadsStore: p.Late.readsStore,
+		InForce:     p.Placer.SetSettings,
+		NotifyPeers: p.Late.revisionChanged, ReadsStore: p.Late.readsStore,
 		Age: func() time.Duration { return p.Freshness.Age(freshness.Settings) }, After: afterFunc,
 	})
 }
 
 func newEndpointsSink(d *directory.Directory, log *logrus.Logger, l *late) *peersync.Endpoints {
 	return peersync.NewEndpoints(peersync.EndpointsParts{
-		Directory: d, Log: logging.Part(log, "endpoints"), Changed: l.revisionChanged, After: afterFunc,
+		Directory: d, Log: logging.Part(log, "endpoints"), NotifyPeers: l.revisionChanged, After: afterFunc,
 	})
 }
 
--- a/internal/front/gossip/bounds_test.go
+++ b/internal/front/gossip/bounds_test.go
@@ -33,7 +33,7 @@
 
 // silentReadersAge: all readers fall silent, and of all other hosts only the last to ask is answered.
 func silentReadersAge(hosts int) time.Duration {
-	return freshness.AskAfter + freshness.AskDelay(hosts-1) + follow.DutyCheck + usualAnswer + usualLink
+	return freshness.AskAfter + freshness.AskDelay(hosts-1) + follow.DutyCheckInterval + usualAnswer + usualLink
 }
 
 // silentConnectionsAge: all connections to the store fall silent, and new ones work. The first reader whose
--- a/internal/front/gossip/fetch.go
+++ b/internal/front/gossip/fetch.go
@@ -17,7 +17,7 @@
 // syncWith fetches what a member has newer, unless it comes by itself first.
 func (g *Gossip) syncWith(member Member) {
 	own := g.parts.Host.Revisions()
-	for t := range freshness.Topics {
+	for t := range freshness.NumTopics {
 		if isBehind(t, own, &member) && g.beginFetch(t) {
 			go g.sync(t, member, own)
 		}
@@ -73,7 +73,7 @@
 func (g *Gossip) pollWhenOld(done <-chan struct{}) {
 	ticker := time.NewTicker(pollCheck)
 	defer ticker.Stop()
-	var polledAt [freshness.Topics]time.Time
+	var polledAt [freshness.NumTopics]time.Time
 	for {
 		select {
 		case <-ticker.C:
@@ -82,7 +82,7 @@
 		}
 		before := g.Order().Before
 		now := g.parts.Clock()
-		for t := range freshness.Topics {
+		for t := range freshness.NumTopics {
 			if now.Sub(polledAt[t]) >= pollInterval && g.parts.Host.MustAsk(t, before) && g.beginFetch(t) {
 				polledAt[t] = now
 				go g.poll(t)
--- a/internal/front/gossip/gossip.go
+++ b/internal/front/gossip/gossip.go
@@ -149,7 +149,7 @@
 	reports  uint64
 	leaving  bool
 	// fetching is which topics are being fetched.
-	fetching [freshness.Topics]bool
+	fetching [freshness.NumTopics]bool
 	shares   shares
 }
 
--- a/internal/front/leading.go
+++ b/internal/front/leading.go
@@ -112,7 +112,7 @@
 			leads := l.leader.Leads()
 			return follow.Duty{Call: leads, Reads: leads, Hold: inventoryHold}
 		},
-		Position: inventory.Revision, Called: p.Counters.CalledStore, Answered: func(freshness.Answer) {},
+		Position: inventory.Revision, CountCall: p.Counters.CalledStore, OnAnswer: func(freshness.Answer) {},
 	})
 }
 
--- a/internal/front/pack/pack.go
+++ b/internal/front/pack/pack.go
@@ -21,8 +21,8 @@
 	maxDocument = 64 << 20
 )
 
-// Patch packs a document for those that hold base. An empty base packs it by itself.
-func Patch(base, document []byte) ([]byte, error) {
+// Compress packs a document for those that hold base. An empty base packs it by itself.
+func Compress(base, document []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(window(len(base) + len(document))), zstd.WithLowerEncoderMem(true),
 	}
@@ -37,9 +37,9 @@
 	return encoder.EncodeAll(document, nil), nil
 }
 
-// Apply returns the document that was packed on the same base. The frame carries a
+// Decompress returns the document that was packed on the same base. The frame carries a
 // checksum, so that a wrong base is found.
-func Apply(base, patch []byte) ([]byte, error) {
+func Decompress(base, patch []byte) ([]byte, error) {
 	options := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDocument), zstd.WithDecoderLowmem(true),
 	}
--- a/internal/front/pack/pack_test.go
+++ b/internal/front/pack/pack_test.go
@@ -35,10 +35,10 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			patch, err := Patch(test.base, test.document)
+			patch, err := Compress(test.base, test.document)
 			c.Assert(err, qt.IsNil)
 			c.Check(len(patch) <= test.most, qt.IsTrue, qt.Commentf("%d bytes", len(patch)))
-			got, err := Apply(test.base, patch)
+			got, err := Decompress(test.base, patch)
 			c.Assert(err, qt.IsNil)
 			c.Check(bytes.Equal(got, test.document), qt.IsTrue)
 		})
@@ -46,7 +46,7 @@
 }
 
 func TestAWrongBaseIsFound(t *testing.T) {
-	patch, err := Patch(document(1000, "a"), document(1000, "b"))
+	patch, err := Compress(document(1000, "a"), document(1000, "b"))
 	qt.Assert(t, err, qt.IsNil)
 	tests := map[string]struct{ base, patch []byte }{
 		"an older base":   {document(999, "a"), patch},
@@ -56,7 +56,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			_, err := Apply(test.base, test.patch)
+			_, err := Decompress(test.base, test.patch)
 			qt.Check(t, err, qt.ErrorIs, ErrDamaged)
 		})
 	}
--- a/internal/front/peersync/documents.go
+++ b/internal/front/peersync/documents.go
@@ -98,7 +98,7 @@
 		return d.patch, d.beforeRevision, err
 	}
 	if d.whole == nil {
-		d.whole, err = pack.Patch(nil, d.newest)
+		d.whole, err = pack.Compress(nil, d.newest)
 	}
 	return d.whole, 0, err
 }
@@ -114,14 +114,14 @@
 	} else if base != revision {
 		return nil, false, nil
 	}
-	document, err := pack.Apply(newest, data)
+	document, err := pack.Decompress(newest, data)
 	return document, err == nil, err
 }
 
 // makePatch compresses the newest configuration against the one before. The lock is held.
 func (d *documents) makePatch() (err error) {
 	if d.patch == nil {
-		d.patch, err = pack.Patch(d.before, d.newest)
+		d.patch, err = pack.Compress(d.before, d.newest)
 	}
 	return err
 }
--- a/internal/front/peersync/endpoints.go
+++ b/internal/front/peersync/endpoints.go
@@ -44,8 +44,8 @@
 type EndpointsParts struct {
 	Directory *directory.Directory
 	Log       *logrus.Entry
-	// Changed is called when a change should reach peers at once.
-	Changed func()
+	// NotifyPeers is called when a change should reach peers at once.
+	NotifyPeers func()
 	// After runs a function once a time has passed.
 	After func(wait time.Duration, run func())
 }
@@ -82,7 +82,7 @@
 	}
 	if len(batch.Items) > 0 {
 		s.sendDelta(from, batch.Revision, batch.Items)
-		s.parts.Changed()
+		s.parts.NotifyPeers()
 	}
 	s.applied(batch.Revision, fromStore, batch.Items)
 }
@@ -263,14 +263,14 @@
 
 // watchReturned has endpoints take new work whose entries an older copy of the store has brought back, if those last.
 func (s *Endpoints) watchReturned(revision uint64) {
-	doubted := s.parts.Directory.Doubted(revision)
+	doubted := s.parts.Directory.CountReturned(revision)
 	if doubted == 0 {
 		return
 	}
 	log := era.Log(s.parts.Log, revision)
 	log.WithField("doubted", doubted).Warn("entries that had gone are back, they are not used for a while")
 	s.parts.After(directory.ReturnGrace, func() {
-		if trusted := s.parts.Directory.Trust(revision); len(trusted) > 0 {
+		if trusted := s.parts.Directory.AcceptReturned(revision); len(trusted) > 0 {
 			log.WithField("endpoints", trusted).Info("entries that had gone have lasted")
 		}
 	})
@@ -279,7 +279,7 @@
 // watchLapse removes the entries that lapsed at a revision if they have not come back after a
 // while. The directory may have moved on since.
 func (s *Endpoints) watchLapse(revision uint64) {
-	lapsed := s.parts.Directory.Lapsed(revision)
+	lapsed := s.parts.Directory.CountLapsed(revision)
 	if lapsed == 0 {
 		return
 	}
@@ -325,7 +325,7 @@
 	if err != nil {
 		return nil, merry.Wrap(err)
 	}
-	return pack.Patch(nil, data)
+	return pack.Compress(nil, data)
 }
 
 func decompressEntries(compressed []byte) ([]directory.Entry, error) {
@@ -342,7 +342,7 @@
 
 // decompressChanges returns the changes that compressChanges has compressed.
 func decompressChanges(compressed []byte) ([]directory.Change, error) {
-	data, err := pack.Apply(nil, compressed)
+	data, err := pack.Decompress(nil, compressed)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/front/peersync/freshness.go
+++ b/internal/front/peersync/freshness.go
@@ -9,9 +9,9 @@
 
 // Confirmations returns what this host can confirm to others, or nothing if that is not all topics.
 func (s *Sync) Confirmations() []gossip.TopicConfirmation {
-	confirmations := make([]gossip.TopicConfirmation, freshness.Topics)
-	for topic := range freshness.Topics {
-		own, ok := s.parts.Freshness.Own(topic)
+	confirmations := make([]gossip.TopicConfirmation, freshness.NumTopics)
+	for topic := range freshness.NumTopics {
+		own, ok := s.parts.Freshness.OwnConfirmation(topic)
 		if !ok {
 			return nil
 		}
@@ -29,9 +29,9 @@
 
 // HandleConfirmations handles a peer's confirmations.
 func (s *Sync) HandleConfirmations(topics []gossip.TopicConfirmation) {
-	for topic := range min(len(topics), int(freshness.Topics)) {
+	for topic := range min(len(topics), int(freshness.NumTopics)) {
 		c := &topics[topic]
-		s.parts.Freshness.Confirmed(freshness.Topic(topic), freshness.Confirmation{
+		s.parts.Freshness.RecordConfirmation(freshness.Topic(topic), freshness.Confirmation{
 			Newest: c.Newest, Revision: c.Revision, AsOf: freshness.StoreTime(time.Duration(c.AsOf) * time.Millisecond),
 		})
 	}
--- a/internal/front/peersync/peersync_test.go
+++ b/internal/front/peersync/peersync_test.go
@@ -59,11 +59,11 @@
 	}
 	return New(Parts{
 		Placer: placement.New(d, pushback.NewRests(time.Now, func() float64 { return 0 }), pushback.NewRejections(time.Now), pushback.NewFailures(time.Now), nil, entry, time.Now, func() float64 { return 0 }, func() {}), Holder: holder, Directory: d, ReadsStore: reads,
-		Freshness: freshness.New(freshness.Parts{Clock: time.Now, Has: has, Newest: has}), Log: entry, Clock: time.Now,
-		Endpoints: NewEndpoints(EndpointsParts{Directory: d, Log: entry, Changed: changed, After: func(time.Duration, func()) {}}),
+		Freshness: freshness.New(freshness.Parts{Clock: time.Now, KnownRevision: has, Newest: has}), Log: entry, Clock: time.Now,
+		Endpoints: NewEndpoints(EndpointsParts{Directory: d, Log: entry, NotifyPeers: changed, After: func(time.Duration, func()) {}}),
 		Settings: NewSettings(SettingsParts{
 			Decode: decodeConfiguration, Holder: holder, Counters: counters.New(), Log: entry, InForce: func(*settings.Tree) {},
-			Changed: changed, ReadsStore: reads, Age: func() time.Duration { return 0 }, After: func(time.Duration, func()) {},
+			NotifyPeers: changed, ReadsStore: reads, Age: func() time.Duration { return 0 }, After: func(time.Duration, func()) {},
 		}),
 	}), sent
 }
--- a/internal/front/peersync/settings.go
+++ b/internal/front/peersync/settings.go
@@ -43,8 +43,8 @@
 	Log      *logrus.Entry
 	// InForce is called with each tree that comes into force.
 	InForce func(*settings.Tree)
-	// Changed is called when something newer is in force that peers should have at once.
-	Changed func()
+	// NotifyPeers is called when something newer is in force that peers should have at once.
+	NotifyPeers func()
 	// ReadsStore reports whether this host reads the store and gets answers.
 	ReadsStore func() bool
 	// Age returns how long ago the settings were last known to be complete.
@@ -198,7 +198,7 @@
 	if err := s.documents.sendPatch(); err != nil {
 		s.parts.Log.WithError(err).Error("a change of the settings can't be compressed, peers fetch it whole")
 	}
-	s.parts.Changed()
+	s.parts.NotifyPeers()
 }
 
 // applyPatch applies a peer's change of the settings.
--- a/internal/front/pushback/outbox.go
+++ b/internal/front/pushback/outbox.go
@@ -143,7 +143,7 @@
 // greet sends a host that has joined what endpoints have said.
 func (t *Tracker) greet(newcomer envelope.Sender) {
 	var leaving []Instance
-	for id, version := range t.parts.Directory.SaidLeaving() {
+	for id, version := range t.parts.Directory.ReportedLeaving() {
 		leaving = append(leaving, Instance{ID: id, Version: version})
 	}
 	var limits []LimitNotice
--- a/internal/front/pushback/tracker.go
+++ b/internal/front/pushback/tracker.go
@@ -18,8 +18,8 @@
 type Directory interface {
 	// SetLeaving notes that an endpoint has said that it leaves, and reports whether that was not known.
 	SetLeaving(id, version string) bool
-	// SaidLeaving returns the starts of endpoints that have said that they leave, the version by ID.
-	SaidLeaving() map[string]string
+	// ReportedLeaving returns the starts of endpoints that have said that they leave, the version by ID.
+	ReportedLeaving() map[string]string
 }
 
 // Peers are the other hosts. A message to them may be lost.
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -129,7 +129,7 @@
 
 // ServeHTTP answers one request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	x := &exchange{server: s, w: w, r: r, arrived: s.parts.Clock.Now(), age: freshness.Unknown}
+	x := &exchange{server: s, w: w, r: r, arrived: s.parts.Clock.Now(), age: freshness.UnknownAge}
 	defer x.recover()
 	if refusal := x.prepare(); refusal != nil {
 		s.parts.Counters.Refused(refusal.Reason)
