--- a/internal/daemon/change/capacity_test.go
+++ b/internal/daemon/change/capacity_test.go
@@ -47,7 +47,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		canonical, err := change.Canonical(data)
+		canonical, err := change.Canonicalize(data)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/daemon/change/change.go
+++ b/internal/daemon/change/change.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return Document{}, merry.Wrap(ErrBadPatch, merry.WithCause(err))
 	}
-	canonical, err := Canonical(data)
+	canonical, err := Canonicalize(data)
 	if err != nil {
 		return Document{}, err
 	}
@@ -44,8 +44,8 @@
 	return settings.Decode("settings", d.Data)
 }
 
-// Canonical sorts the members of all objects and drops white space.
-func Canonical(data []byte) ([]byte, error) {
+// Canonicalize sorts the members of all objects and drops white space.
+func Canonicalize(data []byte) ([]byte, error) {
 	value := jsontext.Value(bytes.Clone(data))
 	if err := value.Canonicalize(); err != nil {
 		return nil, merry.Wrap(ErrBadPatch, merry.WithCause(err))
@@ -53,8 +53,8 @@
 	return value, nil
 }
 
-// Touched lists the paths that a patch sets or removes, sorted.
-func Touched(patch []byte) ([]string, error) {
+// TouchedPaths lists the paths that a patch sets or removes, sorted.
+func TouchedPaths(patch []byte) ([]string, error) {
 	var paths []string
 	if err := touched(patch, "", &paths); err != nil {
 		return nil, err
@@ -84,9 +84,9 @@
 	return nil
 }
 
-// Overlap lists the paths of a that b also touches: the same value, or one
+// OverlappingPaths lists the paths of a that b also touches: the same value, or one
 // inside the other.
-func Overlap(a, b []string) []string {
+func OverlappingPaths(a, b []string) []string {
 	var both []string
 	for _, p := range a {
 		for _, q := range b {
--- a/internal/daemon/claims/claims.go
+++ b/internal/daemon/claims/claims.go
@@ -137,9 +137,9 @@
 		case first := <-t.queue:
 			t.take(ctx, t.batch(first))
 		case <-ticker.C:
-			t.GiveBack(ctx)
+			t.ReleaseOrphans(ctx)
 		case <-t.released:
-			t.GiveBack(ctx)
+			t.ReleaseOrphans(ctx)
 		case <-ctx.Done():
 			return
 		}
@@ -284,9 +284,9 @@
 	}
 }
 
-// GiveBack deletes the rows of orphaned claims, so that their callers can come
+// ReleaseOrphans deletes the rows of orphaned claims, so that their callers can come
 // back with the same key.
-func (t *Table) GiveBack(ctx context.Context) {
+func (t *Table) ReleaseOrphans(ctx context.Context) {
 	t.mu.Lock()
 	orphans := t.orphans
 	t.orphans = make(map[string]orphan)
--- a/internal/daemon/claims/claims_test.go
+++ b/internal/daemon/claims/claims_test.go
@@ -82,7 +82,7 @@
 	// The claim's caller is gone; its transaction is on its way. Each round looks
 	// for the row, and one of the first two finds it.
 	for range 2 {
-		tables[0].GiveBack(context.Background())
+		tables[0].ReleaseOrphans(context.Background())
 	}
 	won, err := tables[1].Claim(context.Background(), "w", "k", "2")
 	c.Assert(err, qt.IsNil)
--- a/internal/daemon/commit/commit.go
+++ b/internal/daemon/commit/commit.go
@@ -24,9 +24,9 @@
 // again with the same ID is safe.
 var ErrUnknown = merry.Sentinel("it is not known whether the change was accepted; send it again with the same ID")
 
-// ErrAway means that the platform can't be reached and the change was not
+// ErrUnavailable means that the platform can't be reached and the change was not
 // accepted.
-var ErrAway = merry.Sentinel("the platform is away; the change was not accepted")
+var ErrUnavailable = merry.Sentinel("the platform is away; the change was not accepted")
 
 // Conflict is a change that was accepted after the base of another and touches
 // the same paths.
@@ -68,7 +68,7 @@
 // Commit stores a change whose ID, base, patch and operator are set, and returns
 // its revision. A change with an ID that was accepted before returns that revision
 // again. The error is a *Conflict, a *strictjson.Error if the tree would not be
-// valid, ErrAway or ErrUnknown.
+// valid, ErrUnavailable or ErrUnknown.
 func (a *Committer) Commit(ctx context.Context, c settings.Change) (uint64, error) {
 	if revision, err := a.find(ctx, c.ID); err != nil || revision > 0 {
 		return revision, away(err)
@@ -88,7 +88,7 @@
 			return 0, away(err)
 		}
 	}
-	return 0, merry.Wrap(ErrAway, merry.AppendMessage("too many operators at once"))
+	return 0, merry.Wrap(ErrUnavailable, merry.AppendMessage("too many operators at once"))
 }
 
 // errLost reports that the answer to the transaction was lost.
@@ -96,7 +96,7 @@
 
 func away(err error) error {
 	if errors.Is(err, tableclient.ErrUnavailable) {
-		return merry.Wrap(ErrAway, merry.WithCause(err))
+		return merry.Wrap(ErrUnavailable, merry.WithCause(err))
 	}
 	return err
 }
@@ -168,7 +168,7 @@
 
 // checkConflict compares a change with all that were accepted since its base.
 func (a *Committer) checkConflict(ctx context.Context, c *settings.Change, head uint64) error {
-	mine, err := change.Touched(c.Patch)
+	mine, err := change.TouchedPaths(c.Patch)
 	if err != nil {
 		return err
 	}
@@ -177,11 +177,11 @@
 		if err != nil {
 			return err
 		}
-		theirs, err := change.Touched(other.Patch)
+		theirs, err := change.TouchedPaths(other.Patch)
 		if err != nil {
 			return err
 		}
-		if both := change.Overlap(mine, theirs); len(both) > 0 {
+		if both := change.OverlappingPaths(mine, theirs); len(both) > 0 {
 			return &Conflict{Other: other, Paths: both}
 		}
 	}
--- a/internal/daemon/commit/commit_test.go
+++ b/internal/daemon/commit/commit_test.go
@@ -80,7 +80,7 @@
 				c.Assert(revision, qt.Equals, s.revision, note)
 				c.Assert(errors.As(err, &conflict), qt.Equals, s.conflict, note)
 				c.Assert(errors.As(err, &faults), qt.Equals, s.invalid, note)
-				c.Assert(errors.Is(err, commit.ErrAway), qt.Equals, s.away, note)
+				c.Assert(errors.Is(err, commit.ErrUnavailable), qt.Equals, s.away, note)
 				c.Assert(errors.Is(err, change.ErrBadPatch), qt.Equals, s.bad, note)
 			}
 		})
@@ -123,7 +123,7 @@
 					// with the same ID is what an operator does then.
 					var err error
 					revision, err = acceptor.Commit(ctx, patch(id, 1, text))
-					if err != nil && !errors.Is(err, commit.ErrAway) {
+					if err != nil && !errors.Is(err, commit.ErrUnavailable) {
 						c.Errorf("%s: %v", id, err)
 						return
 					}
@@ -164,12 +164,12 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			a, err := change.Touched([]byte(test.a))
+			a, err := change.TouchedPaths([]byte(test.a))
 			c.Assert(err, qt.IsNil)
-			b, err := change.Touched([]byte(test.b))
+			b, err := change.TouchedPaths([]byte(test.b))
 			c.Assert(err, qt.IsNil)
-			c.Assert(len(change.Overlap(a, b)) > 0, qt.Equals, test.want)
-			c.Assert(len(change.Overlap(b, a)) > 0, qt.Equals, test.want)
+			c.Assert(len(change.OverlappingPaths(a, b)) > 0, qt.Equals, test.want)
+			c.Assert(len(change.OverlappingPaths(b, a)) > 0, qt.Equals, test.want)
 		})
 	}
 }
--- a/internal/daemon/dispatch/dispatch.go
+++ b/internal/daemon/dispatch/dispatch.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// Move hands over the requests of a shard to its new scheduler.
-func (d *Dispatcher) Move(shardName string) {
+// MoveShard hands over the requests of a shard to its new scheduler.
+func (d *Dispatcher) MoveShard(shardName string) {
 	to := d.router.Scheduler(shardName)
 	for _, t := range d.pick(func(t *Ticket) bool { return t.shard == shardName && t.scheduler != to }) {
 		from, open := d.hand(t, to)
@@ -143,9 +143,9 @@
 // isOpen reports whether a ticket has not ended. The lock is held.
 func (d *Dispatcher) isOpen(t *Ticket) bool { return d.tickets[t.request.ID] == t }
 
-// Announce submits to a scheduler all requests that are its own, after its link
+// AnnounceTo submits to a scheduler all requests that are its own, after its link
 // was opened. What it knows already it ignores.
-func (d *Dispatcher) Announce(host string) {
+func (d *Dispatcher) AnnounceTo(host string) {
 	for _, t := range d.pick(func(t *Ticket) bool { return t.scheduler == host }) {
 		d.announce(t, host)
 	}
@@ -171,11 +171,11 @@
 	}
 }
 
-// Repeat submits again what has waited through the last call, at the scheduler
+// ResubmitWaiting submits again what has waited through the last call, at the scheduler
 // that has the shard now. A scheduler ignores what it knows. So a request gets
 // its decision even if a message was lost, or a grant was void before it came:
 // the scheduler has forgotten the request then.
-func (d *Dispatcher) Repeat() {
+func (d *Dispatcher) ResubmitWaiting() {
 	for _, t := range d.pick(func(t *Ticket) bool { return t.endpoint == "" }) {
 		d.repeat(t, d.router.Scheduler(t.shard))
 	}
--- a/internal/daemon/dispatch/dispatch_test.go
+++ b/internal/daemon/dispatch/dispatch_test.go
@@ -57,20 +57,20 @@
 		lost = router.lose == 0
 		router.mu.Unlock()
 	}
-	d.Repeat()
+	d.ResubmitWaiting()
 	c.Assert(router.arrived, qt.HasLen, 0)
-	d.Repeat()
+	d.ResubmitWaiting()
 	c.Assert((<-router.arrived).Kind, qt.Equals, shard.Submit)
 	// A decision of a host that does not have the request is dropped.
 	d.Deliver("b", "s", admission.Decision{ID: "1", Endpoint: "e", Until: time.Unix(0, 0)})
 	router.mu.Lock()
 	router.scheduler = "b"
 	router.mu.Unlock()
-	d.Repeat()
+	d.ResubmitWaiting()
 	c.Assert((<-router.arrived).Kind, qt.Equals, shard.Submit)
 	d.Deliver("b", "s", admission.Decision{ID: "1", Endpoint: "f"})
 	c.Assert((<-granted).Endpoint, qt.Equals, "f")
-	d.Repeat()
+	d.ResubmitWaiting()
 	c.Assert(router.arrived, qt.HasLen, 0)
 }
 
@@ -99,7 +99,7 @@
 	router := &endingRouter{end: func() { ticket.Finished(admission.Answered, 5) }}
 	d.Connect(router)
 	d.tickets["1"] = ticket
-	d.Move("s")
+	d.MoveShard("s")
 	c.Assert(router.kinds, qt.DeepEquals, []shard.Kind{shard.Withdraw, shard.Finished, shard.Adopt, shard.Withdraw})
 }
 
--- a/internal/daemon/fleet/fleet.go
+++ b/internal/daemon/fleet/fleet.go
@@ -165,7 +165,7 @@
 // Run reads the platform's list of hosts until done is closed. While the
 // platform is away, the last list stays.
 func (f *Fleet) Run(done <-chan struct{}) {
-	go lifetime.Every(done, repeatInterval, f.parts.Random, func(context.Context) { f.parts.Dispatcher.Repeat() })
+	go lifetime.Every(done, repeatInterval, f.parts.Random, func(context.Context) { f.parts.Dispatcher.ResubmitWaiting() })
 	lifetime.Every(done, listInterval, f.parts.Random, f.readList)
 }
 
@@ -211,7 +211,7 @@
 // Leave hands this host's shards over: it schedules no more.
 func (f *Fleet) Leave() {
 	f.mu.Lock()
-	f.view.Leave(f.parts.Config.Self.Name)
+	f.view.MarkLeaving(f.parts.Config.Self.Name)
 	f.mu.Unlock()
 	f.server.Leave()
 	f.reassign()
@@ -294,7 +294,7 @@
 		f.takeovers++
 		f.parts.Log.WithField("shard", shardName).Info("took over")
 	}
-	if f.view.Others() > 0 {
+	if f.view.NumOthers() > 0 {
 		f.shards.Hold(shardName, takeoverHold)
 	}
 }
@@ -317,7 +317,7 @@
 	idle := f.idleLinks()
 	f.mu.Unlock()
 	for _, shardName := range moved {
-		f.parts.Dispatcher.Move(shardName)
+		f.parts.Dispatcher.MoveShard(shardName)
 	}
 	for _, link := range idle {
 		// In the background: a link's own goroutine may have called.
--- a/internal/daemon/fleet/links.go
+++ b/internal/daemon/fleet/links.go
@@ -22,17 +22,17 @@
 // linkUp announces to a scheduler all requests that are its own.
 func (f *Fleet) linkUp(host string) {
 	f.mu.Lock()
-	changed := f.view.Suspect(host, false)
+	changed := f.view.SetSuspected(host, false)
 	f.mu.Unlock()
 	if changed {
 		f.reassign()
 	}
-	f.parts.Dispatcher.Announce(host)
+	f.parts.Dispatcher.AnnounceTo(host)
 }
 
 func (f *Fleet) linkDown(host string) {
 	f.mu.Lock()
-	changed := f.view.Suspect(host, true)
+	changed := f.view.SetSuspected(host, true)
 	f.mu.Unlock()
 	if changed {
 		f.parts.Log.WithField("peer", host).Warn("lost")
@@ -42,7 +42,7 @@
 
 func (f *Fleet) linkLeaving(host string) {
 	f.mu.Lock()
-	f.view.Leave(host)
+	f.view.MarkLeaving(host)
 	f.mu.Unlock()
 	f.reassign()
 }
--- a/internal/daemon/membership/membership.go
+++ b/internal/daemon/membership/membership.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// Suspect notes whether a peer can't be reached, and reports whether that has
+// SetSuspected notes whether a peer can't be reached, and reports whether that has
 // changed.
-func (v *View) Suspect(name string, suspect bool) bool {
+func (v *View) SetSuspected(name string, suspect bool) bool {
 	if v.suspects[name] == suspect {
 		return false
 	}
@@ -67,8 +67,8 @@
 	return true
 }
 
-// Leave notes that a host, perhaps this one, said itself that it is leaving.
-func (v *View) Leave(name string) {
+// MarkLeaving notes that a host, perhaps this one, said itself that it is leaving.
+func (v *View) MarkLeaving(name string) {
 	v.leaving[name] = true
 	v.candidates = nil
 }
@@ -86,8 +86,8 @@
 	return best
 }
 
-// Others counts the usable hosts besides this one.
-func (v *View) Others() int {
+// NumOthers counts the usable hosts besides this one.
+func (v *View) NumOthers() int {
 	n := 0
 	for _, h := range v.usable() {
 		if h.Name != v.self.Name {
--- a/internal/daemon/membership/membership_test.go
+++ b/internal/daemon/membership/membership_test.go
@@ -21,7 +21,7 @@
 	full := New(Host{Name: "a"})
 	full.SetList(hosts("a", "b", "c"))
 	first := full.Scheduler(shard).Name
-	full.Suspect(first, true)
+	full.SetSuspected(first, true)
 	second := full.Scheduler(shard).Name
 	tests := map[string]struct {
 		self string
@@ -31,12 +31,12 @@
 	}{
 		"the first in rank":                  {self: "a", list: hosts("a", "b", "c"), want: first},
 		"the same on every host":             {self: "c", list: hosts("c", "b", "a"), want: first},
-		"the next when it is lost":           {self: "c", list: hosts("a", "b", "c"), edit: func(v *View) { v.Suspect(first, true) }, want: second},
-		"the first again when it is back":    {self: "c", list: hosts("a", "b", "c"), edit: func(v *View) { v.Suspect(first, true); v.Suspect(first, false) }, want: first},
-		"the next when it says it is going":  {self: "c", list: hosts("a", "b", "c"), edit: func(v *View) { v.Leave(first) }, want: second},
+		"the next when it is lost":           {self: "c", list: hosts("a", "b", "c"), edit: func(v *View) { v.SetSuspected(first, true) }, want: second},
+		"the first again when it is back":    {self: "c", list: hosts("a", "b", "c"), edit: func(v *View) { v.SetSuspected(first, true); v.SetSuspected(first, false) }, want: first},
+		"the next when it says it is going":  {self: "c", list: hosts("a", "b", "c"), edit: func(v *View) { v.MarkLeaving(first) }, want: second},
 		"a leaving host of the list is none": {self: "x", list: []Host{{Name: "a", Leaving: true}, {Name: "b"}}, want: "b"},
 		"alone":                              {self: "x", want: "x"},
-		"all others lost":                    {self: "x", list: hosts("a"), edit: func(v *View) { v.Suspect("a", true) }, want: "x"},
+		"all others lost":                    {self: "x", list: hosts("a"), edit: func(v *View) { v.SetSuspected("a", true) }, want: "x"},
 		"not in the list yet":                {self: "x", list: hosts("a"), want: "a"},
 	}
 	for name, test := range tests {
@@ -71,7 +71,7 @@
 	for _, name := range names {
 		c.Assert(count[name] > 60 && count[name] < 140, qt.IsTrue, qt.Commentf("%s has %d of 800", name, count[name]))
 	}
-	v.Suspect("h3", true)
+	v.SetSuspected("h3", true)
 	for shard, was := range before {
 		if was != "h3" {
 			c.Assert(v.Scheduler(shard).Name, qt.Equals, was)
--- a/internal/daemon/poller/poller.go
+++ b/internal/daemon/poller/poller.go
@@ -218,7 +218,7 @@
 		if err != nil {
 			return document, merry.Prepend(err, "settings snapshot")
 		}
-		canonical, err := change.Canonical(data)
+		canonical, err := change.Canonicalize(data)
 		if err != nil {
 			return document, err
 		}
--- a/internal/daemon/schedule/dispatch.go
+++ b/internal/daemon/schedule/dispatch.go
@@ -118,7 +118,7 @@
 	it.shared = reason == admission.ReasonShare
 	s.endpoints.take(now, it, e)
 	s.prefixes.granted(r, e)
-	it.due = now.Add(s.options.GrantTime)
+	it.due = now.Add(s.options.GrantTimeout)
 	s.expiry.put(it)
 	s.decisions = append(s.decisions, admission.Decision{
 		Kind:     admission.Grant,
--- a/internal/daemon/schedule/endpoint.go
+++ b/internal/daemon/schedule/endpoint.go
@@ -139,7 +139,7 @@
 	if !e.hasRoomFor(tier) || now.Before(e.health.noWorkUntil) {
 		return false
 	}
-	return len(e.running) == 0 || e.prefillUntil.Sub(now) <= o.PrefillAhead
+	return len(e.running) == 0 || e.prefillUntil.Sub(now) <= o.MaxPrefillAhead
 }
 
 // fits reports whether there is cache memory for a prompt and its predicted
--- a/internal/daemon/schedule/health.go
+++ b/internal/daemon/schedule/health.go
@@ -54,9 +54,9 @@
 
 // The reasons for an ejection.
 const (
-	EjectFailing EjectReason = "failing"
-	EjectSlow    EjectReason = "slow"
-	EjectSilent  EjectReason = "silent"
+	EjectFailing      EjectReason = "failing"
+	EjectSlow         EjectReason = "slow"
+	EjectUnresponsive EjectReason = "silent"
 )
 
 // finished counts an end of a request at the endpoint.
@@ -130,7 +130,7 @@
 			s.readmit(now, e)
 		}
 		if e.silent(now) {
-			s.eject(now, e, EjectSilent)
+			s.eject(now, e, EjectUnresponsive)
 		}
 	}
 }
@@ -185,8 +185,8 @@
 	ID       string
 	InFlight int
 	Limit    float64
-	// Between is the mean time between tokens.
-	Between time.Duration
+	// BetweenTokens is the mean time between tokens.
+	BetweenTokens time.Duration
 	// Ejected is why the endpoint gets no work now, or empty.
 	Ejected EjectReason
 	// Probing is set while one request tests whether the endpoint works again.
@@ -198,7 +198,7 @@
 func (s *Scheduler) Endpoints() []EndpointState {
 	states := make([]EndpointState, 0, len(s.endpoints.order))
 	for _, e := range s.endpoints.order {
-		state := EndpointState{ID: e.ID, InFlight: e.inFlight(), Limit: e.bound(), Between: e.between, Probing: e.health.probing}
+		state := EndpointState{ID: e.ID, InFlight: e.inFlight(), Limit: e.bound(), BetweenTokens: e.between, Probing: e.health.probing}
 		if e.health.ejected {
 			state.Ejected = e.health.reason
 		}
--- a/internal/daemon/schedule/options.go
+++ b/internal/daemon/schedule/options.go
@@ -6,10 +6,10 @@
 type Options struct {
 	// MaxWaiting bounds the waiting requests of the shard.
 	MaxWaiting int
-	// GrantTime is how long a grant may stay unused.
-	GrantTime time.Duration
-	// PrefillAhead bounds the prefill work queued at an engine.
-	PrefillAhead time.Duration
+	// GrantTimeout is how long a grant may stay unused.
+	GrantTimeout time.Duration
+	// MaxPrefillAhead bounds the prefill work queued at an engine.
+	MaxPrefillAhead time.Duration
 	// ZoneCost is the time that a request to another zone is taken to lose.
 	ZoneCost time.Duration
 }
@@ -32,11 +32,11 @@
 	if o.MaxWaiting == 0 {
 		o.MaxWaiting = defaultMaxWaiting
 	}
-	if o.GrantTime == 0 {
-		o.GrantTime = defaultGrantTime
+	if o.GrantTimeout == 0 {
+		o.GrantTimeout = defaultGrantTime
 	}
-	if o.PrefillAhead == 0 {
-		o.PrefillAhead = defaultPrefillAhead
+	if o.MaxPrefillAhead == 0 {
+		o.MaxPrefillAhead = defaultPrefillAhead
 	}
 	if o.ZoneCost == 0 {
 		o.ZoneCost = defaultZoneCost
--- a/internal/daemon/schedule/schedule.go
+++ b/internal/daemon/schedule/schedule.go
@@ -75,19 +75,19 @@
 	return s
 }
 
-// Take returns the decisions since the last Take. The slice is valid until the
+// TakeDecisions returns the decisions since the last Take. The slice is valid until the
 // next call of any method.
-func (s *Scheduler) Take() []admission.Decision {
+func (s *Scheduler) TakeDecisions() []admission.Decision {
 	taken := s.decisions
 	s.decisions = s.decisions[:0]
 	return taken
 }
 
-// Waiting counts the requests that wait.
-func (s *Scheduler) Waiting() int { return s.waiting }
+// NumWaiting counts the requests that wait.
+func (s *Scheduler) NumWaiting() int { return s.waiting }
 
-// Running counts the open grants.
-func (s *Scheduler) Running() int { return len(s.items) - s.waiting }
+// NumRunning counts the open grants.
+func (s *Scheduler) NumRunning() int { return len(s.items) - s.waiting }
 
 // SetEndpoints replaces the endpoints of the shard. One that is gone gets no
 // new grants; its open grants run out.
@@ -169,15 +169,15 @@
 		return
 	}
 	if it.endpoint != nil {
-		s.Finished(now, id, admission.Cancelled, it.tokens)
+		s.RecordEnd(now, id, admission.Cancelled, it.tokens)
 		return
 	}
 	s.removeWaiting(it)
 	delete(s.items, id)
 }
 
-// Started reports that the owner has used a grant.
-func (s *Scheduler) Started(now time.Time, id string) {
+// RecordStart reports that the owner has used a grant.
+func (s *Scheduler) RecordStart(now time.Time, id string) {
 	it, ok := s.items[id]
 	if !ok || it.endpoint == nil || it.started {
 		return
@@ -187,8 +187,8 @@
 	s.expiry.remove(it)
 }
 
-// FirstToken reports that the first token of a request has come.
-func (s *Scheduler) FirstToken(now time.Time, id string) {
+// RecordFirstToken reports that the first token of a request has come.
+func (s *Scheduler) RecordFirstToken(now time.Time, id string) {
 	it, ok := s.items[id]
 	if !ok || it.endpoint == nil || it.firstToken {
 		return
@@ -201,8 +201,8 @@
 	s.dispatch(now)
 }
 
-// Progress is how many tokens of the answer have come so far.
-func (s *Scheduler) Progress(now time.Time, id string, tokens int) {
+// RecordProgress is how many tokens of the answer have come so far.
+func (s *Scheduler) RecordProgress(now time.Time, id string, tokens int) {
 	it, ok := s.items[id]
 	if !ok || it.endpoint == nil || !it.firstToken || tokens <= it.measuredTokens {
 		return
@@ -214,9 +214,9 @@
 	s.dispatch(now)
 }
 
-// Finished reports that a granted request has ended at its endpoint, and with how
+// RecordEnd reports that a granted request has ended at its endpoint, and with how
 // many tokens.
-func (s *Scheduler) Finished(now time.Time, id string, result admission.Result, tokens int) {
+func (s *Scheduler) RecordEnd(now time.Time, id string, result admission.Result, tokens int) {
 	it, ok := s.items[id]
 	if !ok || it.endpoint == nil {
 		return
@@ -245,8 +245,8 @@
 	idleTickInterval = time.Second
 )
 
-// Next returns when Tick is due next. It is never in the past.
-func (s *Scheduler) Next(now time.Time) time.Time {
+// NextTick returns when Tick is due next. It is never in the past.
+func (s *Scheduler) NextTick(now time.Time) time.Time {
 	next := now.Add(tickInterval)
 	if s.waiting == 0 {
 		next = now.Add(idleTickInterval)
--- a/internal/daemon/schedule/schedule_test.go
+++ b/internal/daemon/schedule/schedule_test.go
@@ -26,7 +26,7 @@
 // grants gives the IDs granted by the decisions so far.
 func grants(s *Scheduler) []string {
 	var ids []string
-	for _, d := range s.Take() {
+	for _, d := range s.TakeDecisions() {
 		if d.Kind == admission.Grant {
 			ids = append(ids, d.ID)
 		}
@@ -97,8 +97,8 @@
 			now, running := start, "first"
 			for _, want := range test.want {
 				now = now.Add(time.Millisecond)
-				s.Started(now, running)
-				s.Finished(now, running, admission.Answered, 0)
+				s.RecordStart(now, running)
+				s.RecordEnd(now, running, admission.Answered, 0)
 				c.Assert(grants(s), qt.DeepEquals, []string{want})
 				running = want
 			}
@@ -152,7 +152,7 @@
 			if !test.none {
 				s.SetEndpoints(start, endpoints(1, 1))
 				s.Submit(start, admission.Request{ID: "first", Workspace: "z", Arrived: start})
-				s.Started(start, "first")
+				s.RecordStart(start, "first")
 				c.Assert(grants(s), qt.DeepEquals, []string{"first"})
 			} else {
 				s.SetEndpoints(start, nil)
@@ -163,7 +163,7 @@
 				s.Submit(start, r)
 			}
 			s.Tick(start.Add(test.after))
-			for _, d := range s.Take() {
+			for _, d := range s.TakeDecisions() {
 				c.Assert(d.Kind, qt.Equals, admission.Refuse)
 				c.Assert(d.RetryAfter >= minRetryAfter, qt.IsTrue)
 				got = append(got, d.ID+" "+string(d.Reason))
@@ -176,7 +176,7 @@
 // TestUnusedGrant lets a grant run out: its place goes to the next.
 func TestUnusedGrant(t *testing.T) {
 	c := qt.New(t)
-	s := New(Options{GrantTime: time.Second})
+	s := New(Options{GrantTimeout: time.Second})
 	s.SetEndpoints(start, endpoints(1, 1))
 	s.Submit(start, admission.Request{ID: "1", Arrived: start})
 	s.Submit(start, admission.Request{ID: "2", Arrived: start})
@@ -192,7 +192,7 @@
 	c := qt.New(t)
 	s := New(Options{})
 	s.Submit(start, admission.Request{ID: "1", Arrived: start})
-	c.Assert(s.Take(), qt.HasLen, 0)
+	c.Assert(s.TakeDecisions(), qt.HasLen, 0)
 	s.SetEndpoints(start, endpoints(1, 1))
 	c.Assert(grants(s), qt.DeepEquals, []string{"1"})
 }
@@ -206,7 +206,7 @@
 	s.Submit(start, admission.Request{ID: "1", Arrived: start})
 	now := start.Add(time.Hour)
 	s.Submit(now, admission.Request{ID: "2", Arrived: start, MaxWait: time.Second, Retry: true})
-	c.Assert(s.Next(now), qt.Equals, now)
+	c.Assert(s.NextTick(now), qt.Equals, now)
 }
 
 // TestLimits holds a workspace to its own limits without stopping others.
@@ -219,8 +219,8 @@
 	}
 	s.Submit(start, admission.Request{ID: "b", Workspace: "b", Class: "x", Arrived: start})
 	c.Assert(grants(s), qt.DeepEquals, []string{"a0", "a1", "b"})
-	s.Started(start, "a0")
-	s.Finished(start, "a0", admission.Answered, 10)
+	s.RecordStart(start, "a0")
+	s.RecordEnd(start, "a0", admission.Answered, 10)
 	c.Assert(grants(s), qt.DeepEquals, []string{"a2"})
 }
 
@@ -232,8 +232,8 @@
 		s.Submit(start, admission.Request{ID: fmt.Sprint(i), Workspace: "a", Class: "x", TokensPerMinute: 300, MaxTokens: 200, Arrived: start})
 	}
 	c.Assert(grants(s), qt.DeepEquals, []string{"0", "1"})
-	s.Started(start, "0")
-	s.Started(start, "1")
+	s.RecordStart(start, "0")
+	s.RecordStart(start, "1")
 	s.Tick(start.Add(10 * time.Second))
 	c.Assert(grants(s), qt.HasLen, 0)
 	s.Tick(start.Add(30 * time.Second))
@@ -263,16 +263,16 @@
 				s.Submit(now, r)
 			case 2:
 				if len(running) > 0 {
-					s.Finished(now, running[0], admission.Answered, 10)
+					s.RecordEnd(now, running[0], admission.Answered, 10)
 					running = running[1:]
 				}
 			}
 			s.Tick(now)
-			for _, d := range s.Take() {
+			for _, d := range s.TakeDecisions() {
 				r := arrived[d.ID]
 				switch {
 				case d.Kind == admission.Grant:
-					s.Started(now, d.ID)
+					s.RecordStart(now, d.ID)
 					running = append(running, d.ID)
 					if d.Reason == admission.ReasonShare {
 						shareAt[r.Tier] = now
@@ -326,7 +326,7 @@
 	}
 	running := grants(s)
 	for _, id := range running {
-		s.Started(start, id)
+		s.RecordStart(start, id)
 	}
 	return s, running
 }
@@ -351,11 +351,11 @@
 // cycle ends the oldest running request and starts what is granted for it.
 func cycle(s *Scheduler, running []string, i int) []string {
 	now := start.Add(time.Duration(i) * time.Millisecond)
-	s.Finished(now, running[0], admission.Answered, 20)
+	s.RecordEnd(now, running[0], admission.Answered, 20)
 	running = running[1:]
-	for _, d := range s.Take() {
+	for _, d := range s.TakeDecisions() {
 		if d.Kind == admission.Grant {
-			s.Started(now, d.ID)
+			s.RecordStart(now, d.ID)
 			running = append(running, d.ID)
 		}
 	}
@@ -404,11 +404,11 @@
 		b.Run(fmt.Sprintf("endpoints=%d", engines), func(b *testing.B) {
 			s, running := loaded(5000, engines)
 			for _, id := range running {
-				s.FirstToken(start, id)
+				s.RecordFirstToken(start, id)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				s.Progress(start.Add(time.Duration(i)*time.Millisecond), running[i%len(running)], 1+i)
+				s.RecordProgress(start.Add(time.Duration(i)*time.Millisecond), running[i%len(running)], 1+i)
 			}
 		})
 	}
--- a/internal/daemon/schedule/takeover_test.go
+++ b/internal/daemon/schedule/takeover_test.go
@@ -23,12 +23,12 @@
 	s.Adopt(start, admission.Request{ID: "running", Owner: "b", Arrived: start}, "e0", 7)
 	s.Adopt(start, admission.Request{ID: "running", Owner: "b", Arrived: start}, "e0", 7)
 	c.Assert(grants(s), qt.HasLen, 0)
-	c.Assert(s.Next(start), qt.Equals, start.Add(tickInterval))
+	c.Assert(s.NextTick(start), qt.Equals, start.Add(tickInterval))
 	s.Tick(hold)
 	c.Assert(grants(s), qt.DeepEquals, []string{"waiting"})
 	s.Submit(hold, admission.Request{ID: "next", Owner: "a", Arrived: hold})
 	c.Assert(grants(s), qt.HasLen, 0)
-	s.Finished(hold, "running", admission.Answered, 9)
+	s.RecordEnd(hold, "running", admission.Answered, 9)
 	c.Assert(grants(s), qt.DeepEquals, []string{"next"})
 }
 
@@ -43,7 +43,7 @@
 		s.Submit(start, admission.Request{ID: fmt.Sprint(i), Tier: tier, Arrived: start})
 	}
 	var refused []string
-	for _, d := range s.Take() {
+	for _, d := range s.TakeDecisions() {
 		c.Assert(d.Kind, qt.Equals, admission.Refuse)
 		refused = append(refused, d.ID)
 	}
@@ -60,8 +60,8 @@
 	c.Assert(grants(s), qt.DeepEquals, []string{"a1"})
 	s.DropOwner(start, "a")
 	c.Assert(grants(s), qt.DeepEquals, []string{"b1"})
-	c.Assert(s.Waiting(), qt.Equals, 0)
-	c.Assert(s.Running(), qt.Equals, 1)
+	c.Assert(s.NumWaiting(), qt.Equals, 0)
+	c.Assert(s.NumRunning(), qt.Equals, 1)
 }
 
 // book is an owner's books in TestHandover.
@@ -108,14 +108,14 @@
 				t.Fatalf("%d wait and %d run for ever", len(b.waiting), len(b.running))
 			}
 		}
-		if s := schedulers[in]; s.Waiting() != 0 || s.Running() != 0 {
-			t.Fatalf("leaked: %d waiting, %d running", s.Waiting(), s.Running())
+		if s := schedulers[in]; s.NumWaiting() != 0 || s.NumRunning() != 0 {
+			t.Fatalf("leaked: %d waiting, %d running", s.NumWaiting(), s.NumRunning())
 		}
 	})
 }
 
 func (b *book) take(now time.Time, s *Scheduler) {
-	for _, d := range s.Take() {
+	for _, d := range s.TakeDecisions() {
 		r, ok := b.waiting[d.ID]
 		if !ok || d.Kind != admission.Grant {
 			continue
@@ -123,7 +123,7 @@
 		delete(b.waiting, d.ID)
 		b.running[d.ID] = r
 		b.at[d.ID] = d.Endpoint
-		s.Started(now, d.ID)
+		s.RecordStart(now, d.ID)
 	}
 }
 
@@ -136,7 +136,7 @@
 	}
 	if least != "" {
 		delete(b.running, least)
-		s.Finished(now, least, admission.Answered, 5)
+		s.RecordEnd(now, least, admission.Answered, 5)
 	}
 }
 
--- a/internal/daemon/shard/shard.go
+++ b/internal/daemon/shard/shard.go
@@ -141,15 +141,15 @@
 	case Withdraw:
 		core.Withdraw(now, m.ID)
 	case Started:
-		core.Started(now, m.ID)
+		core.RecordStart(now, m.ID)
 	case FirstToken:
-		core.FirstToken(now, m.ID)
+		core.RecordFirstToken(now, m.ID)
 	case Progress:
-		core.Progress(now, m.ID, m.Tokens)
+		core.RecordProgress(now, m.ID, m.Tokens)
 	case Adopt:
 		core.Adopt(now, m.Request, m.Endpoint, m.Tokens)
 	case Finished:
-		core.Finished(now, m.ID, m.Result, m.Tokens)
+		core.RecordEnd(now, m.ID, m.Result, m.Tokens)
 	}
 }
 
@@ -185,10 +185,10 @@
 }
 
 func (h *Host) settle(r *runner, now time.Time) {
-	for _, decision := range r.core.Take() {
+	for _, decision := range r.core.TakeDecisions() {
 		h.deliver(r.name, decision)
 	}
-	next := r.core.Next(now)
+	next := r.core.NextTick(now)
 	if r.due.After(now) && !next.Before(r.due) {
 		return
 	}
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -48,10 +48,10 @@
 	}
 	for _, name := range d.shards.Names() {
 		d.shards.Inspect(name, func(core *schedule.Scheduler) {
-			shard := operator.ShardStatus{Name: name, Waiting: core.Waiting(), Running: core.Running()}
+			shard := operator.ShardStatus{Name: name, Waiting: core.NumWaiting(), Running: core.NumRunning()}
 			for _, e := range core.Endpoints() {
 				shard.Endpoints = append(shard.Endpoints, operator.EndpointStatus{
-					ID: e.ID, InFlight: e.InFlight, Limit: e.Limit, Between: e.Between, Ejected: string(e.Ejected), Probing: e.Probing,
+					ID: e.ID, InFlight: e.InFlight, Limit: e.Limit, Between: e.BetweenTokens, Ejected: string(e.Ejected), Probing: e.Probing,
 				})
 			}
 			status.Shards = append(status.Shards, shard)
--- a/internal/proof/replay/invariant.go
+++ b/internal/proof/replay/invariant.go
@@ -112,8 +112,8 @@
 		}
 	}
 	for _, s := range sim.shardList() {
-		if s.policy.Waiting() != 0 || s.policy.Running() != 0 {
-			sim.violate(NothingLeaks, fmt.Sprintf("%s: %d waiting and %d running at the end", s.model, s.policy.Waiting(), s.policy.Running()))
+		if s.policy.NumWaiting() != 0 || s.policy.NumRunning() != 0 {
+			sim.violate(NothingLeaks, fmt.Sprintf("%s: %d waiting and %d running at the end", s.model, s.policy.NumWaiting(), s.policy.NumRunning()))
 		}
 	}
 }
--- a/internal/proof/replay/owner.go
+++ b/internal/proof/replay/owner.go
@@ -92,7 +92,7 @@
 // settle carries out what a policy decided and sets its timer.
 func (sim *simulation) settle(now time.Time, s *simulatedShard) {
 	for {
-		decisions := slices.Clone(s.policy.Take())
+		decisions := slices.Clone(s.policy.TakeDecisions())
 		if len(decisions) == 0 {
 			break
 		}
@@ -100,7 +100,7 @@
 			sim.decide(now, s, &decisions[i])
 		}
 	}
-	next := s.policy.Next(now)
+	next := s.policy.NextTick(now)
 	if s.due.After(now) && !next.Before(s.due) {
 		return
 	}
@@ -150,7 +150,7 @@
 		j.granted = now
 	}
 	attempt := j.attempt
-	j.shard.policy.Started(now, j.id)
+	j.shard.policy.RecordStart(now, j.id)
 	sim.after(networkDelay, func(now time.Time) {
 		if j.attempt != attempt || j.state != stateSent {
 			return
@@ -206,7 +206,7 @@
 	if event.Kind == emulator.Last {
 		j.state, j.ended = stateAnswered, now
 		if !j.event.Outside {
-			policy.Finished(now, j.id, admission.Answered, j.tokens-j.base)
+			policy.RecordEnd(now, j.id, admission.Answered, j.tokens-j.base)
 			sim.settle(now, j.shard)
 		}
 		return
@@ -216,12 +216,12 @@
 	}
 	switch {
 	case j.reported == 0:
-		policy.FirstToken(now, j.id)
+		policy.RecordFirstToken(now, j.id)
 		j.reported = 1
 		sim.settle(now, j.shard)
 	case j.tokens-j.base-j.reported >= progressBy:
 		j.reported = j.tokens - j.base
-		policy.Progress(now, j.id, j.reported)
+		policy.RecordProgress(now, j.id, j.reported)
 		sim.settle(now, j.shard)
 	}
 }
@@ -269,7 +269,7 @@
 	j.state = stateWaiting
 	j.endpoint = nil
 	j.attempt++
-	j.shard.policy.Finished(now, j.id, result, j.tokens-j.base)
+	j.shard.policy.RecordEnd(now, j.id, result, j.tokens-j.base)
 	sim.settle(now, j.shard)
 }
 
--- a/internal/proof/replay/policy.go
+++ b/internal/proof/replay/policy.go
@@ -17,15 +17,15 @@
 	SetEndpoints(now time.Time, endpoints []schedule.Endpoint)
 	Submit(now time.Time, request admission.Request)
 	Withdraw(now time.Time, id string)
-	Started(now time.Time, id string)
-	FirstToken(now time.Time, id string)
-	Progress(now time.Time, id string, tokens int)
-	Finished(now time.Time, id string, result admission.Result, tokens int)
+	RecordStart(now time.Time, id string)
+	RecordFirstToken(now time.Time, id string)
+	RecordProgress(now time.Time, id string, tokens int)
+	RecordEnd(now time.Time, id string, result admission.Result, tokens int)
 	Tick(now time.Time)
-	Next(now time.Time) time.Time
-	Take() []admission.Decision
-	Waiting() int
-	Running() int
+	NextTick(now time.Time) time.Time
+	TakeDecisions() []admission.Decision
+	NumWaiting() int
+	NumRunning() int
 }
 
 // reported is a policy that receives the engines' load reports.
@@ -145,8 +145,8 @@
 	}
 }
 
-// Finished frees a place.
-func (d *direct) Finished(_ time.Time, id string, _ admission.Result, _ int) {
+// RecordEnd frees a place.
+func (d *direct) RecordEnd(_ time.Time, id string, _ admission.Result, _ int) {
 	if e, ok := d.open[id]; ok {
 		e.inFlight--
 		delete(d.open, id)
@@ -154,10 +154,10 @@
 }
 
 // Withdraw frees a place.
-func (d *direct) Withdraw(now time.Time, id string) { d.Finished(now, id, admission.Cancelled, 0) }
+func (d *direct) Withdraw(now time.Time, id string) { d.RecordEnd(now, id, admission.Cancelled, 0) }
 
-// Take returns the decisions.
-func (d *direct) Take() []admission.Decision {
+// TakeDecisions returns the decisions.
+func (d *direct) TakeDecisions() []admission.Decision {
 	taken := d.decisions
 	d.decisions = nil
 	return taken
@@ -165,23 +165,23 @@
 
 // The rest does not matter to a policy that never waits.
 
-// Started does nothing.
-func (d *direct) Started(time.Time, string) {}
+// RecordStart does nothing.
+func (d *direct) RecordStart(time.Time, string) {}
 
-// FirstToken does nothing.
-func (d *direct) FirstToken(time.Time, string) {}
+// RecordFirstToken does nothing.
+func (d *direct) RecordFirstToken(time.Time, string) {}
 
-// Progress does nothing.
-func (d *direct) Progress(time.Time, string, int) {}
+// RecordProgress does nothing.
+func (d *direct) RecordProgress(time.Time, string, int) {}
 
 // Tick does nothing.
 func (d *direct) Tick(time.Time) {}
 
-// Next is far away.
-func (d *direct) Next(now time.Time) time.Time { return now.Add(time.Hour) }
+// NextTick is far away.
+func (d *direct) NextTick(now time.Time) time.Time { return now.Add(time.Hour) }
 
-// Waiting is always 0.
-func (d *direct) Waiting() int { return 0 }
+// NumWaiting is always 0.
+func (d *direct) NumWaiting() int { return 0 }
 
-// Running counts the open requests.
-func (d *direct) Running() int { return len(d.open) }
+// NumRunning counts the open requests.
+func (d *direct) NumRunning() int { return len(d.open) }
