--- a/cmd/oxbowslipd/main.go
+++ b/cmd/oxbowslipd/main.go
@@ -68,13 +68,13 @@
 	<-signals
 	go func() {
 		<-signals
-		d.CutShort()
+		d.AbortDrain()
 	}()
 	if err := app.Stop(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, "oxbowslipd:", err)
 		return exitFailed
 	}
-	if d.Cut() > 0 {
+	if d.NumAborted() > 0 {
 		return exitFailed
 	}
 	return 0
--- a/internal/daemon/api/api.go
+++ b/internal/daemon/api/api.go
@@ -70,8 +70,8 @@
 	Recorded *record.Ring
 	Clock    func() time.Time
 	Timeouts httprelay.Timeouts
-	// Ready returns the refusal for a host that can't take requests yet, or nil.
-	Ready func() *request.Refusal
+	// CheckReady returns the refusal for a host that can't take requests yet, or nil.
+	CheckReady func() *request.Refusal
 }
 
 // Server answers callers.
@@ -154,7 +154,7 @@
 }
 
 func (s *Server) identify(r *http.Request, c *caller) *fault {
-	if refusal := s.parts.Ready(); refusal != nil {
+	if refusal := s.parts.CheckReady(); refusal != nil {
 		return faultOf(refusal)
 	}
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
--- a/internal/daemon/commit/commit_test.go
+++ b/internal/daemon/commit/commit_test.go
@@ -101,7 +101,7 @@
 		holder := settings.NewHolder()
 		return poller.New(poller.Parts{
 			Client: client, Holder: holder, Counters: counters.New(), Log: logrus.NewEntry(log), Interval: time.Second,
-			Random: func() float64 { return 0 }, Peers: noPeers, Clock: time.Now,
+			Random: func() float64 { return 0 }, FetchFromPeers: noPeers, Clock: time.Now,
 		}), holder
 	}
 	early, holder := follow()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -89,7 +89,7 @@
 	d.callers = api.New(api.Parts{
 		Host: p.Config.Name, Zone: p.Config.Zone, Settings: p.Holder, Owner: p.Owner, Client: p.Client, Counters: p.Counters,
 		Claims: p.Claims, Recorded: p.Recorded, Clock: p.Clock,
-		Timeouts: httprelay.Timeouts{Read: p.Config.ReadTimeout, Write: p.Config.WriteTimeout}, Ready: d.notReady,
+		Timeouts: httprelay.Timeouts{Read: p.Config.ReadTimeout, Write: p.Config.WriteTimeout}, CheckReady: d.notReady,
 	}).HTTP()
 	d.callers.Handler = lifetime.CloseWhen(&d.draining, d.callers.Handler)
 	d.operators = operator.New(operator.Parts{
@@ -183,12 +183,12 @@
 	return nil
 }
 
-// CutShort ends the wait of a planned stop: what is still in flight is told that
+// AbortDrain ends the wait of a planned stop: what is still in flight is told that
 // the host stops.
-func (d *Daemon) CutShort() { d.cutShortOnce.Do(func() { close(d.cutShort) }) }
+func (d *Daemon) AbortDrain() { d.cutShortOnce.Do(func() { close(d.cutShort) }) }
 
-// Cut counts the requests that a stop did not let finish.
-func (d *Daemon) Cut() int { return int(d.cut.Load()) }
+// NumAborted counts the requests that a stop did not let finish.
+func (d *Daemon) NumAborted() int { return int(d.cut.Load()) }
 
 // Kill ends the host at once, as a crash would: no one is notified.
 func (d *Daemon) Kill() {
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -424,7 +424,7 @@
 			}
 			if test.cutShort {
 				engine.SetFaults(standin.EngineFaults{Stall: true})
-				cluster.Hosts()[0].Daemon.CutShort()
+				cluster.Hosts()[0].Daemon.AbortDrain()
 			}
 			c.Assert(stop(c, cluster), qt.Equals, test.cut)
 			got := <-answers
--- a/internal/daemon/fleet/fleet.go
+++ b/internal/daemon/fleet/fleet.go
@@ -78,9 +78,9 @@
 	// Options are those of this host's schedulers.
 	Options schedule.Options
 	// Settings returns the settings in force, Newer is called with a peer's revision of them.
-	Settings func() change.Document
-	Newer    func(revision uint64)
-	Clock    func() time.Time
+	Settings   func() change.Document
+	OnRevision func(revision uint64)
+	Clock      func() time.Time
 	// Random returns numbers from 0 up to 1.
 	Random func() float64
 }
@@ -92,8 +92,8 @@
 	}
 	f.shards = shard.New(parts.Clock, parts.Options, f.deliver)
 	f.server = peer.NewServer(peer.ServerParts{
-		Self: parts.Config.Self.Name, Key: parts.Config.Key, Clock: parts.Clock, Apply: f.shards.Apply, Drop: f.shards.DropOwner,
-		Settings: parts.Settings, Newer: parts.Newer,
+		Self: parts.Config.Self.Name, Key: parts.Config.Key, Clock: parts.Clock, Apply: f.shards.Apply, DropOwner: f.shards.DropOwner,
+		Settings: parts.Settings, OnRevision: parts.OnRevision,
 	})
 	parts.Dispatcher.Connect(f)
 	return f
@@ -103,9 +103,9 @@
 // host ask every other.
 const maxAsked = 3
 
-// Settings asks a few peers, picked at random, for settings newer than a
+// FetchSettings asks a few peers, picked at random, for settings newer than a
 // revision. It returns the newest, and whether any peer answered.
-func (f *Fleet) Settings(ctx context.Context, newer uint64) (change.Document, bool) {
+func (f *Fleet) FetchSettings(ctx context.Context, newer uint64) (change.Document, bool) {
 	var newest change.Document
 	answered := false
 	for _, address := range f.someAddresses() {
@@ -187,9 +187,9 @@
 	f.reassign()
 }
 
-// Expect replaces the shards of the settings. Those that fall to this host are
+// SetShards replaces the shards of the settings. Those that fall to this host are
 // taken up before their first request, which then need not wait for the hold.
-func (f *Fleet) Expect(shards []string) {
+func (f *Fleet) SetShards(shards []string) {
 	f.mu.Lock()
 	f.expected = shards
 	f.takeUp()
@@ -213,7 +213,7 @@
 	f.mu.Lock()
 	f.view.MarkLeaving(f.parts.Config.Self.Name)
 	f.mu.Unlock()
-	f.server.Leave()
+	f.server.AnnounceLeaving()
 	f.reassign()
 }
 
--- a/internal/daemon/fleet/links.go
+++ b/internal/daemon/fleet/links.go
@@ -13,8 +13,8 @@
 	f.links[host.Name] = peer.Dial(peer.LinkParts{
 		Self: f.parts.Config.Self.Name, Host: host.Name, Address: host.Address, Key: f.parts.Config.Key, Clock: f.parts.Clock,
 		Events: peer.Events{
-			Up: f.linkUp, Down: f.linkDown, Leaving: f.linkLeaving, Decision: f.parts.Dispatcher.Deliver,
-			Revision: func() uint64 { return f.parts.Settings().Revision }, Newer: f.parts.Newer,
+			OnUp: f.linkUp, OnDown: f.linkDown, OnLeaving: f.linkLeaving, OnDecision: f.parts.Dispatcher.Deliver,
+			Revision: func() uint64 { return f.parts.Settings().Revision }, OnRevision: f.parts.OnRevision,
 		},
 	})
 }
--- a/internal/daemon/fx.go
+++ b/internal/daemon/fx.go
@@ -80,7 +80,7 @@
 			Listen: p.Config.Peers, Key: p.Config.PeerKey, FirstPeers: p.Config.FirstPeers,
 		},
 		Dispatcher: p.Dispatcher, Platform: p.Client, Log: logging.Part(p.Log, "fleet"), Settings: p.Document.get,
-		Newer: p.Document.newer, Clock: p.Clock, Random: p.Random,
+		OnRevision: p.Document.newer, Clock: p.Clock, Random: p.Random,
 	})
 }
 
@@ -106,7 +106,7 @@
 func newFollower(p followerParts) *poller.Follower {
 	follower := poller.New(poller.Parts{
 		Client: p.Client, Holder: p.Holder, Counters: p.Counters, Log: logging.Part(p.Log, "settings"),
-		Interval: p.Config.Platform.Poll, Peers: p.Fleet.Settings, Clock: p.Clock, Random: p.Random,
+		Interval: p.Config.Platform.Poll, FetchFromPeers: p.Fleet.FetchSettings, Clock: p.Clock, Random: p.Random,
 	})
 	p.Document.follower.Store(follower)
 	return follower
@@ -163,6 +163,6 @@
 
 func (s *documentSource) newer(revision uint64) {
 	if follower := s.follower.Load(); follower != nil {
-		follower.Nudge(revision)
+		follower.HandlePeerRevision(revision)
 	}
 }
--- a/internal/daemon/peer/link.go
+++ b/internal/daemon/peer/link.go
@@ -40,17 +40,17 @@
 // Events are what a link reports to the host that it belongs to. The functions must
 // not block.
 type Events struct {
-	// Up is called when a link is open, Down when it is lost or can't be opened.
-	Up   func(host string)
-	Down func(host string)
-	// Leaving is called when the peer says that it schedules no more.
-	Leaving func(host string)
+	// OnUp is called when a link is open, Down when it is lost or can't be opened.
+	OnUp   func(host string)
+	OnDown func(host string)
+	// OnLeaving is called when the peer says that it schedules no more.
+	OnLeaving func(host string)
 	// Revision returns this host's revision of the settings, Newer hands over the
 	// peer's.
-	Revision func() uint64
-	Newer    func(revision uint64)
-	// Decision hands over a decision of the peer's scheduler.
-	Decision func(host, shard string, decision admission.Decision)
+	Revision   func() uint64
+	OnRevision func(revision uint64)
+	// OnDecision hands over a decision of the peer's scheduler.
+	OnDecision func(host, shard string, decision admission.Decision)
 }
 
 // LinkParts are what a link works with.
@@ -118,7 +118,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		l.parts.Events.Down(l.parts.Host)
+		l.parts.Events.OnDown(l.parts.Host)
 		if time.Since(begun) > steadyTime {
 			failures = 0
 		}
@@ -158,7 +158,7 @@
 	l.mu.Lock()
 	l.queue, l.open = queue, true
 	l.mu.Unlock()
-	l.parts.Events.Up(l.parts.Host)
+	l.parts.Events.OnUp(l.parts.Host)
 	go l.write(stream, raw, queue)
 	return l.read(stream, watch)
 }
@@ -230,12 +230,12 @@
 		switch f.Kind {
 		case kindDecisions:
 			for i := range f.Decisions {
-				l.parts.Events.Decision(l.parts.Host, f.Decisions[i].Shard, f.Decisions[i].decision(now))
+				l.parts.Events.OnDecision(l.parts.Host, f.Decisions[i].Shard, f.Decisions[i].decision(now))
 			}
 		case kindLeaving:
-			l.parts.Events.Leaving(l.parts.Host)
+			l.parts.Events.OnLeaving(l.parts.Host)
 		case kindHeartbeat:
-			l.parts.Events.Newer(f.Revision)
+			l.parts.Events.OnRevision(f.Revision)
 		}
 	}
 }
--- a/internal/daemon/peer/server.go
+++ b/internal/daemon/peer/server.go
@@ -51,11 +51,11 @@
 	Key   string
 	Clock func() time.Time
 	// Apply hands an owner's message to a scheduler, Drop the end of an owner.
-	Apply func(shard string, m *shard.Message)
-	Drop  func(owner string)
+	Apply     func(shard string, m *shard.Message)
+	DropOwner func(owner string)
 	// Settings returns the settings in force, Newer is called with an owner's revision.
-	Settings func() change.Document
-	Newer    func(revision uint64)
+	Settings   func() change.Document
+	OnRevision func(revision uint64)
 }
 
 // NewServer returns a server that does not listen yet.
@@ -80,8 +80,8 @@
 	<-s.ended
 }
 
-// Leave informs all owners that this host schedules no more.
-func (s *Server) Leave() {
+// AnnounceLeaving informs all owners that this host schedules no more.
+func (s *Server) AnnounceLeaving() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
@@ -134,7 +134,7 @@
 	}
 	// The owner announces all it has on a new link. What is held of it from
 	// before is dropped first: it may have ended while no link was there.
-	s.parts.Drop(owner)
+	s.parts.DropOwner(owner)
 	go s.write(stream, session)
 	err = s.read(stream, owner)
 	close(session.ended)
@@ -196,7 +196,7 @@
 		_, back := s.sessions[ended.owner]
 		s.mu.Unlock()
 		if !back {
-			s.parts.Drop(ended.owner)
+			s.parts.DropOwner(ended.owner)
 			s.renew(ended.owner)
 		}
 	})
@@ -247,7 +247,7 @@
 			return merry.Wrap(err)
 		}
 		if f.Kind == kindHeartbeat {
-			s.parts.Newer(f.Revision)
+			s.parts.OnRevision(f.Revision)
 		}
 		now := s.parts.Clock()
 		for i := range f.Messages {
--- a/internal/daemon/peer/server_test.go
+++ b/internal/daemon/peer/server_test.go
@@ -29,7 +29,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			s := NewServer(ServerParts{Self: "self", Clock: time.Now, Drop: func(string) {}})
+			s := NewServer(ServerParts{Self: "self", Clock: time.Now, DropOwner: func(string) {}})
 			first, old := s.enter("owner")
 			c.Assert(old, qt.IsNil)
 			test.end(s, first)
@@ -51,7 +51,7 @@
 func TestAnOwnerThatFellBehindIsDropped(t *testing.T) {
 	c := qt.New(t)
 	dropped := make(chan string, 1)
-	s := NewServer(ServerParts{Self: "self", Clock: time.Now, Drop: func(owner string) { dropped <- owner }})
+	s := NewServer(ServerParts{Self: "self", Clock: time.Now, DropOwner: func(owner string) { dropped <- owner }})
 	session, _ := s.enter("owner")
 	overflow(s, session)
 	s.leave(session)
--- a/internal/daemon/poller/poller.go
+++ b/internal/daemon/poller/poller.go
@@ -68,10 +68,10 @@
 	currentAt time.Time
 }
 
-// Peers asks other hosts for their settings while the platform is away. It
+// FetchFromPeers asks other hosts for their settings while the platform is away. It
 // returns the newest document that is newer than the revision, if any, and whether
 // any peer answered.
-type Peers func(ctx context.Context, newer uint64) (document change.Document, answered bool)
+type FetchFromPeers func(ctx context.Context, newer uint64) (document change.Document, answered bool)
 
 // grace is how long a host that reaches neither the platform nor a peer trusts its settings. The same as maxIsolation
 // of package front.
@@ -85,9 +85,9 @@
 	Log      *logrus.Entry
 	// Interval is the mean time between two reads of the head row.
 	Interval time.Duration
-	// Peers are asked while the platform is away.
-	Peers Peers
-	Clock func() time.Time
+	// FetchFromPeers are asked while the platform is away.
+	FetchFromPeers FetchFromPeers
+	Clock          func() time.Time
 	// Random returns numbers from 0 up to 1.
 	Random func() float64
 }
@@ -98,9 +98,9 @@
 	return &Follower{parts: p, ctx: ctx, cancel: cancel, currentAt: p.Clock()}
 }
 
-// Stale reports whether the host has been cut off for so long, from the platform
+// IsStale reports whether the host has been cut off for so long, from the platform
 // and from all peers, that it can't know whether its settings are current.
-func (f *Follower) Stale() bool {
+func (f *Follower) IsStale() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.parts.Clock().Sub(f.currentAt) > grace
@@ -129,9 +129,9 @@
 // nudgeSpread is the time over which hosts that learn of a newer revision at once spread their reads.
 const nudgeSpread = 200 * time.Millisecond
 
-// Nudge reports that a peer has a revision. If it is newer, the platform is asked
+// HandlePeerRevision reports that a peer has a revision. If it is newer, the platform is asked
 // soon.
-func (f *Follower) Nudge(revision uint64) {
+func (f *Follower) HandlePeerRevision(revision uint64) {
 	current := f.parts.Holder.Current()
 	if current == nil || revision <= current.Number || !f.nudged.CompareAndSwap(false, true) {
 		return
@@ -167,7 +167,7 @@
 // askPeers adopts newer settings of a peer: one that started earlier, or that
 // still reaches the platform.
 func (f *Follower) askPeers(ctx context.Context) {
-	document, answered := f.parts.Peers(ctx, f.document.Revision)
+	document, answered := f.parts.FetchFromPeers(ctx, f.document.Revision)
 	if !answered {
 		return
 	}
--- a/internal/daemon/poller/poller_test.go
+++ b/internal/daemon/poller/poller_test.go
@@ -36,7 +36,7 @@
 	holder := settings.NewHolder()
 	f := poller.New(poller.Parts{
 		Client: tableclient.New(p.Address(), time.Minute, nil), Holder: holder, Counters: counters.New(), Log: logrus.NewEntry(log),
-		Interval: time.Second, Peers: peers, Clock: func() time.Time { return now }, Random: func() float64 { return 0 },
+		Interval: time.Second, FetchFromPeers: peers, Clock: func() time.Time { return now }, Random: func() float64 { return 0 },
 	})
 	steps := []struct {
 		name     string
@@ -60,6 +60,6 @@
 		now = now.Add(time.Minute)
 		f.Poll(context.Background())
 		c.Assert(holder.Current().Number, qt.Equals, s.revision, qt.Commentf(s.name))
-		c.Assert(f.Stale(), qt.Equals, s.stale, qt.Commentf(s.name))
+		c.Assert(f.IsStale(), qt.Equals, s.stale, qt.Commentf(s.name))
 	}
 }
--- a/internal/daemon/shards.go
+++ b/internal/daemon/shards.go
@@ -14,7 +14,7 @@
 		changed := d.parts.Holder.Changed()
 		if revision := d.parts.Holder.Current(); revision != nil {
 			d.shards.Configure(shardConfigs(revision.Tree))
-			d.parts.Fleet.Expect(d.shards.Names())
+			d.parts.Fleet.SetShards(d.shards.Names())
 			d.configured.Store(revision.Number)
 		}
 		select {
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -32,7 +32,7 @@
 		return "no settings yet: " + d.parts.Follower.Problem().Error()
 	case d.configured.Load() == 0:
 		return "no settings yet"
-	case d.parts.Follower.Stale():
+	case d.parts.Follower.IsStale():
 		return "cut off from the platform and from all peers: the settings may be old"
 	}
 	return ""
--- a/internal/proof/demo/cluster.go
+++ b/internal/proof/demo/cluster.go
@@ -289,7 +289,7 @@
 	err := host.app.Stop(ctx)
 	c.mark(host)
 	c.relist()
-	cut := host.Daemon.Cut()
+	cut := host.Daemon.NumAborted()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cut += cut
