--- a/cmd/oxbowslip-replay/main.go
+++ b/cmd/oxbowslip-replay/main.go
@@ -136,7 +136,7 @@
 }
 
 func writeJSON(path string, results []*replay.Result) error {
-	data, err := json.Marshal(results, strictjson.DurationTexts, json.Deterministic(true), jsontext.WithIndent("  "))
+	data, err := json.Marshal(results, strictjson.DurationMarshaler, json.Deterministic(true), jsontext.WithIndent("  "))
 	if err != nil {
 		return err
 	}
--- a/cmd/oxbowslip/logs.go
+++ b/cmd/oxbowslip/logs.go
@@ -18,7 +18,7 @@
 		return err
 	}
 	defer closeAll()
-	story, err := logread.Read(reader, id)
+	story, err := logread.FindRequest(reader, id)
 	if err != nil {
 		return err
 	}
@@ -50,7 +50,7 @@
 
 const logTime = "15:04:05.000"
 
-func printStory(w *tabwriter.Writer, story *logread.Story) {
+func printStory(w *tabwriter.Writer, story *logread.RequestHistory) {
 	for i := range story.Request {
 		r := &story.Request[i]
 		fmt.Fprintf(w, "request %s of %s, class %s, service %s, settings revision %d (%s)\n", r.ID, r.Workspace, r.Class, r.Service, r.Revision, r.Source)
--- a/cmd/oxbowslip/main.go
+++ b/cmd/oxbowslip/main.go
@@ -179,7 +179,7 @@
 	case p.List != nil:
 		return func(ctx context.Context, t *tool) error { return t.poison(ctx) }
 	case p.Lift != nil:
-		return func(ctx context.Context, t *tool) error { return t.client.Lift(ctx, p.Lift.Key) }
+		return func(ctx context.Context, t *tool) error { return t.client.LiftPoison(ctx, p.Lift.Key) }
 	}
 	return nil
 }
@@ -201,7 +201,7 @@
 		return 0
 	}
 	fmt.Fprintln(os.Stderr, "oxbowslip:", err)
-	var refused *operator.Refused
+	var refused *operator.RefusedError
 	if !errors.As(err, &refused) {
 		return exitFailed
 	}
--- a/cmd/oxbowslip/tool.go
+++ b/cmd/oxbowslip/tool.go
@@ -38,7 +38,7 @@
 }
 
 func printJSON(value any) error {
-	data, err := json.Marshal(value, strictjson.DurationTexts, json.Deterministic(true), jsontext.WithIndent("  "))
+	data, err := json.Marshal(value, strictjson.DurationMarshaler, json.Deterministic(true), jsontext.WithIndent("  "))
 	if err != nil {
 		return err
 	}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -93,13 +93,13 @@
 	}
 }
 
-// Look finds out whether the machine was suspended while its time of day was set back by as much.
-func (c *Clock) Look() {
+// DetectSuspension finds out whether the machine was suspended while its time of day was set back by as much.
+func (c *Clock) DetectSuspension() {
 	c.look(c.source.Now())
 }
 
 // TimeOfDay returns the time of day at a time of this clock.
-func (c *Clock) TimeOfDay(at time.Time) time.Time { return at.Add(-c.Slept()) }
+func (c *Clock) TimeOfDay(at time.Time) time.Time { return at.Add(-c.SuspendedTime()) }
 
-// Slept returns how long the machine was suspended since the clock was made, as far as has been noticed.
-func (c *Clock) Slept() time.Duration { return time.Duration(c.slept.Load()) }
+// SuspendedTime returns how long the machine was suspended since the clock was made, as far as has been noticed.
+func (c *Clock) SuspendedTime() time.Duration { return time.Duration(c.slept.Load()) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -138,9 +138,9 @@
 	clock := New(NewSystem(), logrus.NewEntry(log))
 	c.Check(clock.failed, qt.IsFalse)
 	before := clock.Now()
-	clock.Look()
+	clock.DetectSuspension()
 	c.Check(clock.Now().Before(before), qt.IsFalse)
-	c.Check(clock.Slept(), qt.Equals, time.Duration(0))
+	c.Check(clock.SuspendedTime(), qt.Equals, time.Duration(0))
 }
 
 // BenchmarkNow is what each look at the time costs.
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -13,20 +13,20 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// Waste is why generated tokens were of no use. The set is closed.
-type Waste string
+// WasteCause is why generated tokens were of no use. The set is closed.
+type WasteCause string
 
 // The causes of wasted tokens.
 const (
-	WasteCallerGone Waste = "caller_gone"
-	WasteBroken     Waste = "broken"
-	WastePreempted  Waste = "preempted"
-	WasteStopped    Waste = "stopped"
-	WasteTimeLimit  Waste = "time_limit"
+	WasteCallerGone WasteCause = "caller_gone"
+	WasteBroken     WasteCause = "broken"
+	WastePreempted  WasteCause = "preempted"
+	WasteStopped    WasteCause = "stopped"
+	WasteTimeLimit  WasteCause = "time_limit"
 )
 
-// Wastes lists every cause.
-var Wastes = []Waste{WasteCallerGone, WasteBroken, WastePreempted, WasteStopped, WasteTimeLimit}
+// WasteCauses lists every cause.
+var WasteCauses = []WasteCause{WasteCallerGone, WasteBroken, WastePreempted, WasteStopped, WasteTimeLimit}
 
 // PeerTraffic is what a host sends to its peers. The set is closed.
 type PeerTraffic string
@@ -40,23 +40,23 @@
 	PeerMessages      PeerTraffic = "messages"
 )
 
-// PeerTraffics lists every kind.
-var PeerTraffics = []PeerTraffic{PeerHeartbeats, PeerAnnouncements, PeerSyncs, PeerMessages}
+// PeerTrafficKinds lists every kind.
+var PeerTrafficKinds = []PeerTraffic{PeerHeartbeats, PeerAnnouncements, PeerSyncs, PeerMessages}
 
-// StoreCall is why a host calls the deployment's store.
-type StoreCall string
+// StoreCallReason is why a host calls the deployment's store.
+type StoreCallReason string
 
 // The reasons.
 const (
-	// StoreLoads reads a table whole, StoreReads waits for its changes for all hosts, StoreAsks asks for
+	// StoreCallLoad reads a table whole, StoreCallRead waits for its changes for all hosts, StoreCallAsk asks for
 	// them because nobody has confirmed for too long what the host knows.
-	StoreLoads StoreCall = "load"
-	StoreReads StoreCall = "read"
-	StoreAsks  StoreCall = "ask"
+	StoreCallLoad StoreCallReason = "load"
+	StoreCallRead StoreCallReason = "read"
+	StoreCallAsk  StoreCallReason = "ask"
 )
 
-// StoreCalls lists all reasons.
-var StoreCalls = []StoreCall{StoreLoads, StoreReads, StoreAsks}
+// StoreCallReasons lists all reasons.
+var StoreCallReasons = []StoreCallReason{StoreCallLoad, StoreCallRead, StoreCallAsk}
 
 // Signal is what an answer says of its endpoint. The set is closed.
 type Signal string
@@ -75,30 +75,30 @@
 // Signals lists all signals.
 var Signals = []Signal{SignalLeaving, SignalRejected, SignalRest, SignalFailed, SignalLimit, SignalMalformedLimit}
 
-// Permit is how a question for a permit to send a request to a limited endpoint ends. The set is closed.
-type Permit string
+// PermitResult is how a question for a permit to send a request to a limited endpoint ends. The set is closed.
+type PermitResult string
 
 // The ends.
 const (
-	PermitGranted Permit = "granted"
-	PermitDenied  Permit = "denied"
+	PermitGranted PermitResult = "granted"
+	PermitDenied  PermitResult = "denied"
 	// PermitUnanswered: the host that lends permits did not reply.
-	PermitUnanswered Permit = "unanswered"
+	PermitUnanswered PermitResult = "unanswered"
 )
 
-// Permits lists all ends.
-var Permits = []Permit{PermitGranted, PermitDenied, PermitUnanswered}
+// PermitResults lists all ends.
+var PermitResults = []PermitResult{PermitGranted, PermitDenied, PermitUnanswered}
 
 // Counters are the metrics of one daemon.
 type Counters struct {
 	set      *metrics.Set
 	refusals map[request.Reason]*metrics.Counter
 	retries  map[request.RetryReason]*metrics.Counter
-	wasted   map[Waste]*metrics.Counter
+	wasted   map[WasteCause]*metrics.Counter
 	peers    map[PeerTraffic]*metrics.Counter
-	store    map[StoreCall]*metrics.Counter
+	store    map[StoreCallReason]*metrics.Counter
 	signals  map[Signal]*metrics.Counter
-	permits  map[Permit]*metrics.Counter
+	permits  map[PermitResult]*metrics.Counter
 	// Goodput counts tokens of answers that met their class's targets.
 	Goodput *metrics.Counter
 	// Tokens counts all tokens relayed.
@@ -121,11 +121,11 @@
 		set:              set,
 		refusals:         make(map[request.Reason]*metrics.Counter),
 		retries:          make(map[request.RetryReason]*metrics.Counter),
-		wasted:           make(map[Waste]*metrics.Counter),
+		wasted:           make(map[WasteCause]*metrics.Counter),
 		peers:            make(map[PeerTraffic]*metrics.Counter),
-		store:            make(map[StoreCall]*metrics.Counter),
+		store:            make(map[StoreCallReason]*metrics.Counter),
 		signals:          make(map[Signal]*metrics.Counter),
-		permits:          make(map[Permit]*metrics.Counter),
+		permits:          make(map[PermitResult]*metrics.Counter),
 		Goodput:          set.NewCounter("oxbowslip_goodput_tokens_total"),
 		Tokens:           set.NewCounter("oxbowslip_tokens_total"),
 		Resends:          set.NewCounter("oxbowslip_forbidden_resends_total"),
@@ -139,43 +139,43 @@
 	for _, reason := range request.RetryReasons {
 		c.retries[reason] = set.NewCounter(fmt.Sprintf(`oxbowslip_retries_total{reason=%q}`, reason))
 	}
-	for _, cause := range Wastes {
+	for _, cause := range WasteCauses {
 		c.wasted[cause] = set.NewCounter(fmt.Sprintf(`oxbowslip_wasted_tokens_total{cause=%q}`, cause))
 	}
-	for _, kind := range PeerTraffics {
+	for _, kind := range PeerTrafficKinds {
 		c.peers[kind] = set.NewCounter(fmt.Sprintf(`oxbowslip_peer_sent_bytes_total{kind=%q}`, kind))
 	}
-	for _, reason := range StoreCalls {
+	for _, reason := range StoreCallReasons {
 		c.store[reason] = set.NewCounter(fmt.Sprintf(`oxbowslip_store_calls_total{reason=%q}`, reason))
 	}
 	for _, signal := range Signals {
 		c.signals[signal] = set.NewCounter(fmt.Sprintf(`oxbowslip_endpoint_signals_total{signal=%q}`, signal))
 	}
-	for _, permit := range Permits {
+	for _, permit := range PermitResults {
 		c.permits[permit] = set.NewCounter(fmt.Sprintf(`oxbowslip_permits_total{result=%q}`, permit))
 	}
 	return c
 }
 
-// AskedPermit counts a question for a permit by its end.
-func (c *Counters) AskedPermit(end Permit) { c.permits[end].Inc() }
+// CountPermit counts a question for a permit by its end.
+func (c *Counters) CountPermit(end PermitResult) { c.permits[end].Inc() }
 
-// Signalled counts what an answer says of its endpoint.
-func (c *Counters) Signalled(signals ...Signal) {
+// CountSignals counts what an answer says of its endpoint.
+func (c *Counters) CountSignals(signals ...Signal) {
 	for _, signal := range signals {
 		c.signals[signal].Inc()
 	}
 }
 
-// CalledStore counts a call to the deployment's store.
-func (c *Counters) CalledStore(reason StoreCall) { c.store[reason].Inc() }
+// CountStoreCall counts a call to the deployment's store.
+func (c *Counters) CountStoreCall(reason StoreCallReason) { c.store[reason].Inc() }
 
-// SentToPeers counts bytes that were sent to peers, without what lies below UDP or TCP.
-func (c *Counters) SentToPeers(kind PeerTraffic, bytes int) { c.peers[kind].Add(bytes) }
+// CountPeerBytes counts bytes that were sent to peers, without what lies below UDP or TCP.
+func (c *Counters) CountPeerBytes(kind PeerTraffic, bytes int) { c.peers[kind].Add(bytes) }
 
-// Refused counts a refusal. A reason of a newer peer that this program does not
+// CountRefusal counts a refusal. A reason of a newer peer that this program does not
 // know counts as internal.
-func (c *Counters) Refused(reason request.Reason) {
+func (c *Counters) CountRefusal(reason request.Reason) {
 	counter, ok := c.refusals[reason]
 	if !ok {
 		counter = c.refusals[request.ReasonInternal]
@@ -197,21 +197,21 @@
 	return counts
 }
 
-// Retried counts a retry.
-func (c *Counters) Retried(reason request.RetryReason) { c.retries[reason].Inc() }
+// CountRetry counts a retry.
+func (c *Counters) CountRetry(reason request.RetryReason) { c.retries[reason].Inc() }
 
 // Retries returns the count of a retry reason.
 func (c *Counters) Retries(reason request.RetryReason) uint64 { return c.retries[reason].Get() }
 
-// Wasted counts tokens that were generated in vain.
-func (c *Counters) Wasted(cause Waste, tokens int) { c.wasted[cause].Add(tokens) }
+// CountWastedTokens counts tokens that were generated in vain.
+func (c *Counters) CountWastedTokens(cause WasteCause, tokens int) { c.wasted[cause].Add(tokens) }
 
 // WastedTokens returns the wasted tokens of a cause.
-func (c *Counters) WastedTokens(cause Waste) uint64 { return c.wasted[cause].Get() }
+func (c *Counters) WastedTokens(cause WasteCause) uint64 { return c.wasted[cause].Get() }
 
-// Answered counts an answer of a class. Class names are bounded by the root of
+// CountAnswer counts an answer of a class. Class names are bounded by the root of
 // the settings tree; workspaces are left out to bound the number of series.
-func (c *Counters) Answered(class string, firstToken time.Duration, attained bool, tokens int) {
+func (c *Counters) CountAnswer(class string, firstToken time.Duration, attained bool, tokens int) {
 	c.set.GetOrCreateCounter(fmt.Sprintf(`oxbowslip_answers_total{class=%q,attained="%t"}`, class, attained)).Inc()
 	c.set.GetOrCreateHistogram(fmt.Sprintf(`oxbowslip_first_token_seconds{class=%q}`, class)).Update(firstToken.Seconds())
 	if attained {
@@ -219,9 +219,9 @@
 	}
 }
 
-// DecidedAt notes how old the settings were at most that decided about a request. An age below 0
+// RecordDecisionAge notes how old the settings were at most that decided about a request. An age below 0
 // is not known and is left out.
-func (c *Counters) DecidedAt(age time.Duration) {
+func (c *Counters) RecordDecisionAge(age time.Duration) {
 	if age >= 0 {
 		c.decisionAge.Update(age.Seconds())
 	}
--- a/internal/counters/counters_test.go
+++ b/internal/counters/counters_test.go
@@ -20,8 +20,8 @@
 func TestPage(t *testing.T) {
 	c := qt.New(t)
 	counters := New()
-	counters.Answered("class", time.Second, true, 5)
-	counters.DecidedAt(time.Second)
+	counters.CountAnswer("class", time.Second, true, 5)
+	counters.RecordDecisionAge(time.Second)
 	var out bytes.Buffer
 	counters.Write(&out)
 	page, err := os.ReadFile("../../docs/metrics.md")
@@ -56,7 +56,7 @@
 func TestUnknownReason(t *testing.T) {
 	c := qt.New(t)
 	counters := New()
-	counters.Refused("some_day")
+	counters.CountRefusal("some_day")
 	c.Assert(counters.Refusals(request.ReasonInternal), qt.Equals, uint64(1))
 }
 
--- a/internal/counters/golden_test.go
+++ b/internal/counters/golden_test.go
@@ -14,9 +14,9 @@
 // TestGoldenMetrics holds the names and labels of all metrics to those of commit 4c58500.
 func TestGoldenMetrics(t *testing.T) {
 	counters := New()
-	counters.Answered("class", time.Second, true, 5)
-	counters.Answered("class", time.Second, false, 5)
-	counters.DecidedAt(time.Second)
+	counters.CountAnswer("class", time.Second, true, 5)
+	counters.CountAnswer("class", time.Second, false, 5)
+	counters.RecordDecisionAge(time.Second)
 	var out bytes.Buffer
 	counters.Write(&out)
 	value := regexp.MustCompile(` [^ ]*$`)
--- a/internal/daemon/api/api.go
+++ b/internal/daemon/api/api.go
@@ -132,7 +132,7 @@
 		if f == nil {
 			return
 		}
-		s.parts.Counters.Refused(f.reason)
+		s.parts.Counters.CountRefusal(f.reason)
 		writeRefusal(w, c.id, request.Refuse(f.reason, f.detail), f.known)
 	}
 }
@@ -219,7 +219,7 @@
 func (c *caller) modelNames() []string {
 	var names []string
 	for name := range c.tree.Models {
-		if c.tree.MayCall(c.workspace, name) {
+		if c.tree.CanCall(c.workspace, name) {
 			names = append(names, name)
 		}
 	}
--- a/internal/daemon/api/chat.go
+++ b/internal/daemon/api/chat.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return &fault{reason: request.ReasonBadRequest, detail: "the body is no chat request: " + err.Error()}
 	}
-	if !c.tree.MayCall(c.workspace, body.Model) {
+	if !c.tree.CanCall(c.workspace, body.Model) {
 		return &fault{reason: request.ReasonUnknownModel, detail: "this workspace has no such model", known: c.modelNames()}
 	}
 	if f := s.claim(r, c); f != nil {
@@ -116,7 +116,7 @@
 		if x.answer != nil {
 			x.answer.Send(x.w)
 		}
-		s.parts.Counters.Answered(c.class, end.FirstToken, attained(&c.policy, end, whole), end.Tokens)
+		s.parts.Counters.CountAnswer(c.class, end.FirstToken, attained(&c.policy, end, whole), end.Tokens)
 	case request.OutcomeBroken:
 		x.stream.breakOff(end.Refusal)
 	case request.OutcomeRefused:
--- a/internal/daemon/api/service.go
+++ b/internal/daemon/api/service.go
@@ -120,7 +120,7 @@
 		if x.answer != nil {
 			x.answer.Send(x.w)
 		}
-		s.parts.Counters.Answered(c.class, whole, attained(&c.policy, &end, whole), 0)
+		s.parts.Counters.CountAnswer(c.class, whole, attained(&c.policy, &end, whole), 0)
 	case request.OutcomeBroken:
 		panic(http.ErrAbortHandler)
 	case request.OutcomeRefused:
--- a/internal/daemon/changes.go
+++ b/internal/daemon/changes.go
@@ -40,7 +40,7 @@
 func (c changes) Find(ctx context.Context, revision uint64) (settings.Change, error) {
 	found, err := poller.ReadChange(ctx, c.client, revision)
 	if errors.Is(err, tableclient.ErrNotFound) {
-		return found, merry.Wrap(operator.ErrNoChange, merry.WithCause(err))
+		return found, merry.Wrap(operator.ErrChangeNotFound, merry.WithCause(err))
 	}
 	return found, err
 }
@@ -49,7 +49,7 @@
 func changeError(err error) *operator.ChangeError {
 	var conflict *commit.Conflict
 	var faults *strictjson.Error
-	answer := &operator.ChangeError{Cause: operator.CauseAway, Detail: err.Error()}
+	answer := &operator.ChangeError{Cause: operator.CauseUnavailable, Detail: err.Error()}
 	switch {
 	case errors.As(err, &conflict):
 		answer.Cause, answer.Other, answer.Paths = operator.CauseConflict, &conflict.Other, conflict.Paths
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -91,7 +91,7 @@
 		Claims: p.Claims, Recorded: p.Recorded, Clock: p.Clock,
 		Timeouts: httprelay.Timeouts{Read: p.Config.ReadTimeout, Write: p.Config.WriteTimeout}, CheckReady: d.notReady,
 	}).HTTP()
-	d.callers.Handler = lifetime.CloseWhen(&d.draining, d.callers.Handler)
+	d.callers.Handler = lifetime.CloseConnectionsWhen(&d.draining, d.callers.Handler)
 	d.operators = operator.New(operator.Parts{
 		Keys: p.Config.OperatorKeys, Counters: p.Counters, Explained: p.Explained, Recorded: p.Recorded, Settings: p.Holder,
 		Changes: changes{committer: p.Committer, follower: p.Follower, client: p.Platform, log: d.log},
@@ -176,7 +176,7 @@
 	case <-time.After(d.parts.Config.Drain.Notice):
 	case <-ctx.Done():
 	}
-	cut := lifetime.Finish(ctx, d.callers, d.parts.Owner.Drain, stopMargin/2)
+	cut := lifetime.DrainServer(ctx, d.callers, d.parts.Owner.Drain, stopMargin/2)
 	d.cut.Store(int64(cut))
 	d.log.WithField("cut", cut).Info("stopped")
 	d.close()
--- a/internal/daemon/poller/poller.go
+++ b/internal/daemon/poller/poller.go
@@ -256,7 +256,7 @@
 		return merry.Prependf(err, "revision %d can't be read by this program", document.Revision)
 	}
 	f.document = document
-	if f.parts.Holder.Offer(&settings.Revision{Number: document.Revision, Tree: tree}) {
+	if f.parts.Holder.SetIfNewer(&settings.Revision{Number: document.Revision, Tree: tree}) {
 		f.parts.Log.WithField("revision", document.Revision).Info("settings in force")
 	}
 	return nil
--- a/internal/front/follow/follow.go
+++ b/internal/front/follow/follow.go
@@ -95,11 +95,11 @@
 }
 
 // reasonOf returns why a host waits for changes.
-func reasonOf(duty Duty) counters.StoreCall {
+func reasonOf(duty Duty) counters.StoreCallReason {
 	if duty.Reads {
-		return counters.StoreReads
+		return counters.StoreCallRead
 	}
-	return counters.StoreAsks
+	return counters.StoreCallAsk
 }
 
 // timeoutOf returns how long a call may take that the store may hold for a time.
@@ -137,7 +137,7 @@
 	// from peers, or 0 if it has to be read whole.
 	Position func() uint64
 	// CountCall counts a call and why it is made.
-	CountCall func(counters.StoreCall)
+	CountCall func(counters.StoreCallReason)
 	// OnAnswer is called when the store has answered and the sink has what it brought.
 	OnAnswer func(freshness.Answer)
 }
@@ -287,7 +287,7 @@
 
 // load reads the table whole. The position is what is known before.
 func (f *Follower[T]) load(ctx context.Context, position uint64) error {
-	f.parts.CountCall(counters.StoreLoads)
+	f.parts.CountCall(counters.StoreCallLoad)
 	sent := f.begin(0)
 	batch, err := f.parts.Source.Load(ctx)
 	if err == nil {
--- a/internal/front/follow/follow_test.go
+++ b/internal/front/follow/follow_test.go
@@ -70,7 +70,7 @@
 	sink = &recorder{taken: make(chan string, 9)}
 	f = New(Parts[string]{
 		Source: source, Sink: sink, Log: logrus.NewEntry(log), Clock: time.Now, Random: func() float64 { return 0 }, Duty: duty,
-		Position: sink.position.Load, CountCall: func(counters.StoreCall) {},
+		Position: sink.position.Load, CountCall: func(counters.StoreCallReason) {},
 		OnAnswer: func(a freshness.Answer) { sink.answers = append(sink.answers, a) },
 	})
 	done, ended := make(chan struct{}), make(chan struct{})
--- a/internal/front/followers.go
+++ b/internal/front/followers.go
@@ -75,12 +75,12 @@
 		settings: follow.New(follow.Parts[settings.Raw]{
 			Source: p.Deployment.Settings, Sink: p.Settings, Log: logging.Part(p.Log, "settings"), Clock: p.Clock, Random: p.Random,
 			Duty: p.duty(freshness.Settings), OnAnswer: p.answered(freshness.Settings),
-			Position: func() uint64 { return p.Freshness.Revision(freshness.Settings) }, CountCall: p.Counters.CalledStore,
+			Position: func() uint64 { return p.Freshness.Revision(freshness.Settings) }, CountCall: p.Counters.CountStoreCall,
 		}),
 		endpoints: follow.New(follow.Parts[directory.Change]{
 			Source: p.Deployment.Endpoints, Sink: p.Endpoints, Log: logging.Part(p.Log, "endpoints"), Clock: p.Clock, Random: p.Random,
 			Duty: p.duty(freshness.Endpoints), OnAnswer: p.answered(freshness.Endpoints),
-			CountCall: p.Counters.CalledStore,
+			CountCall: p.Counters.CountStoreCall,
 			// A change that came from a peer may be ahead of what is confirmed.
 			Position: func() uint64 { return max(p.Freshness.Revision(freshness.Endpoints), p.Directory.Revision()) },
 		}),
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -162,13 +162,13 @@
 	h.listeners = listen.New(h.log)
 	h.inContact()
 	h.callers = &http.Server{
-		Handler: lifetime.CloseWhen(&h.leaving, p.Relay), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		Handler: lifetime.CloseConnectionsWhen(&h.leaving, p.Relay), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	h.readiness = &http.Server{Handler: h.readinessHandler(), ReadHeaderTimeout: headerTimeout}
 	h.metrics = &http.Server{Handler: h.metricsHandler(), ReadHeaderTimeout: headerTimeout}
 	h.operators = operator.New(operator.Parts{
 		Keys: p.Config.OperatorKeys, Counters: p.Counters, Explained: p.Explained, Recorded: p.Recorded, Settings: p.Settings,
-		Changes: storeChanges{}, Tree: h.tree, Status: h.Status, Lift: h.lift,
+		Changes: storeChanges{}, Tree: h.tree, Status: h.Status, LiftPoison: h.lift,
 	}).HTTP()
 	h.registerGauges()
 	return h
@@ -209,7 +209,7 @@
 
 // expire drops old state, and notes whether the host is in contact with anyone.
 func (h *Host) expire(context.Context) {
-	h.parts.Steady.Look()
+	h.parts.Steady.DetectSuspension()
 	h.parts.Client.CloseExpired()
 	h.parts.Placer.Expire()
 	h.parts.Rests.Expire()
@@ -317,7 +317,7 @@
 	h.parts.Leading.resign()
 	// When ctx ends first, Finish cuts the rest at once.
 	lifetime.Sleep(ctx, h.parts.Config.Drain.Notice)
-	cut := lifetime.Finish(ctx, h.callers, h.parts.Owner.Drain, stopMargin)
+	cut := lifetime.DrainServer(ctx, h.callers, h.parts.Owner.Drain, stopMargin)
 	h.parts.Gossip.Leave()
 	select {
 	case <-unregistered:
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -30,7 +30,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			h := &Host{parts: Parts{Settings: settings.NewHolder(), Directory: directory.New(), Clock: func() time.Time { return now }}}
-			h.parts.Settings.Offer(&settings.Revision{Number: 1, Tree: &settings.Tree{}})
+			h.parts.Settings.SetIfNewer(&settings.Revision{Number: 1, Tree: &settings.Tree{}})
 			h.parts.Directory.Apply(1, nil)
 			h.inContact()
 			test.prepare(h)
--- a/internal/front/fx.go
+++ b/internal/front/fx.go
@@ -236,7 +236,7 @@
 			Name: p.Config.Name, Zone: p.Config.Zone, Address: p.Config.Peers, FirstPeers: p.Config.FirstPeers,
 			Fleet: fleetOf(p.Config),
 		},
-		Host: sync, Network: p.Network, Log: logging.Part(p.Log, "peers"), Clock: p.Clock, Random: p.Random, CountSent: p.Counters.SentToPeers,
+		Host: sync, Network: p.Network, Log: logging.Part(p.Log, "peers"), Clock: p.Clock, Random: p.Random, CountSent: p.Counters.CountPeerBytes,
 	})
 	g.Handle(envelope.KindPermitRequest, p.Limiter.HandleAsk)
 	g.Handle(envelope.KindPermitReply, p.Limiter.HandleReply)
@@ -367,7 +367,7 @@
 
 func newLimiter(p limiterParts) *ratelimit.Limiter {
 	return ratelimit.New(ratelimit.Parts{
-		Limits: p.Limits, Lender: p.Lender, Peers: latePeers{p.Late}, Counted: p.Counters.AskedPermit,
+		Limits: p.Limits, Lender: p.Lender, Peers: latePeers{p.Late}, Counted: p.Counters.CountPermit,
 		Log: logging.Part(p.Log, "limits"), Clock: p.Clock, Random: p.Random,
 	})
 }
--- a/internal/front/leading.go
+++ b/internal/front/leading.go
@@ -60,7 +60,7 @@
 
 // newMeter returns what counts the requests of this host: nothing where nobody asks for it.
 func newMeter(config hostconfig.Host, clock *usage.Clock) *usage.Meter {
-	if !config.Provider.Has(hostconfig.TaskUsage) {
+	if !config.Provider.HasTask(hostconfig.TaskUsage) {
 		return nil
 	}
 	return usage.NewMeter(clock)
@@ -77,7 +77,7 @@
 		Log: logging.Part(p.Log, "leader"), Clock: p.Clock, Random: p.Random, StoreTime: p.Freshness.StoreTime,
 		OnAnnouncement: func(leader.Announcement) {},
 	}
-	if provider.Has(hostconfig.TaskUsage) {
+	if provider.HasTask(hostconfig.TaskUsage) {
 		l.reporter = reporter.New(reporter.Parts{
 			Meter: p.Meter, UsageClock: p.Usage, DueAfter: provider.UsageDue, Provider: p.Deployment.Provider, Peers: p.Gossip,
 			Leader: func() string { return l.leader.Holder() }, Log: logging.Part(p.Log, "usage"), Clock: p.Clock, Random: p.Random,
@@ -88,7 +88,7 @@
 		p.Gossip.Handle(envelope.KindFixedReports, l.reporter.HandleFixedReports)
 		p.Gossip.Handle(envelope.KindFixedReportsRequest, l.reporter.HandleFixedReportsRequest)
 	}
-	if provider.Has(hostconfig.TaskAutoscale) {
+	if provider.HasTask(hostconfig.TaskAutoscale) {
 		inventory := capacity.NewInventory(p.Directory.IsLeaving)
 		l.inventory = p.follow(inventory, l)
 		parts.Tasks = append(parts.Tasks, scaler.New(scaler.Parts{
@@ -112,7 +112,7 @@
 			leads := l.leader.Leads()
 			return follow.Duty{Call: leads, Reads: leads, Hold: inventoryHold}
 		},
-		Position: inventory.Revision, CountCall: p.Counters.CalledStore, OnAnswer: func(freshness.Answer) {},
+		Position: inventory.Revision, CountCall: p.Counters.CountStoreCall, OnAnswer: func(freshness.Answer) {},
 	})
 }
 
--- a/internal/front/peersync/settings.go
+++ b/internal/front/peersync/settings.go
@@ -168,7 +168,7 @@
 func (s *Settings) offer(document settings.Raw, revision *settings.Revision, version uint64, from string) bool {
 	p := &s.parts
 	age := p.Age()
-	if !p.Holder.Offer(revision) {
+	if !p.Holder.SetIfNewer(revision) {
 		return false
 	}
 	s.version = version
--- a/internal/front/placement/placement_test.go
+++ b/internal/front/placement/placement_test.go
@@ -377,7 +377,7 @@
 // keepingTo returns what keeps to limits in a fleet of one host.
 func keepingTo(limits *pushback.Limits, clock func() time.Time) *ratelimit.Limiter {
 	return ratelimit.New(ratelimit.Parts{
-		Limits: limits, Lender: ratelimit.NewLender(limits, clock), Peers: alone{}, Counted: func(counters.Permit) {},
+		Limits: limits, Lender: ratelimit.NewLender(limits, clock), Peers: alone{}, Counted: func(counters.PermitResult) {},
 		Log: logrus.NewEntry(logrus.New()), Clock: clock, Random: func() float64 { return 0 },
 	})
 }
--- a/internal/front/ratelimit/limiter.go
+++ b/internal/front/ratelimit/limiter.go
@@ -50,7 +50,7 @@
 	Lender *Lender
 	Peers  Peers
 	// Counted counts how questions for permits end.
-	Counted func(counters.Permit)
+	Counted func(counters.PermitResult)
 	Log     *logrus.Entry
 	Clock   func() time.Time
 	// Random returns numbers from 0 up to 1.
--- a/internal/front/relay/attempt.go
+++ b/internal/front/relay/attempt.go
@@ -103,7 +103,7 @@
 		return
 	}
 	x.signal = x.server.parts.Dialect.Signal(answer.Status, answer.Header)
-	x.server.parts.Counters.Signalled(x.signal.Kinds()...)
+	x.server.parts.Counters.CountSignals(x.signal.Kinds()...)
 	x.server.parts.Signals.HandleAnswer(&pushback.Answer{
 		Endpoint: pushback.Instance{ID: a.EndpointID, Version: a.Endpoint.Version}, Class: keys.OfClass(x.route.Class), Signal: x.signal, SentAt: x.sentAt,
 	})
--- a/internal/front/relay/exchange.go
+++ b/internal/front/relay/exchange.go
@@ -64,7 +64,7 @@
 		return refusal
 	}
 	x.revision, x.age = current.Number, x.server.parts.Freshness.Age(freshness.Settings)
-	x.server.parts.Counters.DecidedAt(x.age)
+	x.server.parts.Counters.RecordDecisionAge(x.age)
 	if refusal := x.classify(current.Tree); refusal != nil {
 		return refusal
 	}
@@ -104,7 +104,7 @@
 	if !ok {
 		return request.Refuse(request.ReasonUnknownRoute, "no class "+route.Class)
 	}
-	x.service = route.Pick(x.server.parts.Random())
+	x.service = route.PickService(x.server.parts.Random())
 	return nil
 }
 
@@ -125,7 +125,7 @@
 			x.answer.Send(x.w)
 		}
 		whole := p.Clock.Now().Sub(x.arrived)
-		p.Counters.Answered(x.route.Class, whole, x.attained(&end, whole), 0)
+		p.Counters.CountAnswer(x.route.Class, whole, x.attained(&end, whole), 0)
 	case request.OutcomeBroken:
 		// net/http closes the connection without the end of the answer, so that the caller
 		// sees that it is cut.
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -119,7 +119,7 @@
 		return
 	}
 	if cause != http.ErrAbortHandler {
-		x.server.parts.Counters.Refused(request.ReasonInternal)
+		x.server.parts.Counters.CountRefusal(request.ReasonInternal)
 		x.server.parts.Log.WithFields(logrus.Fields{
 			"id": x.call.ID, "request_key": x.key.String(), "cause": fmt.Sprint(cause), "stack": string(debug.Stack()),
 		}).Error("the program has failed in this request")
@@ -132,7 +132,7 @@
 	x := &exchange{server: s, w: w, r: r, arrived: s.parts.Clock.Now(), age: freshness.UnknownAge}
 	defer x.recover()
 	if refusal := x.prepare(); refusal != nil {
-		s.parts.Counters.Refused(refusal.Reason)
+		s.parts.Counters.CountRefusal(refusal.Reason)
 		x.logRefused(refusal)
 		writeRefusal(w, x.call.ID, refusal)
 		return
--- a/internal/front/scaler/scaler_test.go
+++ b/internal/front/scaler/scaler_test.go
@@ -57,7 +57,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	holder := settings.NewHolder()
-	holder.Offer(&settings.Revision{Number: 1, Tree: &settings.Tree{Services: map[string]settings.Service{
+	holder.SetIfNewer(&settings.Revision{Number: 1, Tree: &settings.Tree{Services: map[string]settings.Service{
 		"llm": {Scaling: &settings.Scaling{Max: 60, SpotPrice: 0.2, ZonePrices: map[string]float64{"a": 1, "b": 1, "c": 1}}},
 		"app": {},
 	}}})
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -25,7 +25,7 @@
 
 // Accept refuses a change.
 func (storeChanges) Accept(context.Context, settings.Change) (uint64, error) {
-	return 0, &operator.ChangeError{Cause: operator.CauseAway, Detail: errElsewhere.Error()}
+	return 0, &operator.ChangeError{Cause: operator.CauseUnavailable, Detail: errElsewhere.Error()}
 }
 
 // Find fails: this host has no list of changes.
--- a/internal/hostconfig/hostconfig.go
+++ b/internal/hostconfig/hostconfig.go
@@ -79,8 +79,8 @@
 	FirstPart float64 `json:"first_part,omitzero"`
 }
 
-// Has reports whether the leader does a task.
-func (p *Provider) Has(task Task) bool { return p.Address != "" && slices.Contains(p.Tasks, task) }
+// HasTask reports whether the leader does a task.
+func (p *Provider) HasTask(task Task) bool { return p.Address != "" && slices.Contains(p.Tasks, task) }
 
 // Retries bounds the retries of all hosts together at one service: in each window,
 // Ratio times the first tries and Slack more.
--- a/internal/httprelay/json.go
+++ b/internal/httprelay/json.go
@@ -11,7 +11,7 @@
 // WriteJSON answers with a value as JSON and a newline. Durations are written as text such
 // as "1.5s", and the same value always has the same encoding.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
-	data, err := json.Marshal(value, strictjson.DurationTexts, json.Deterministic(true))
+	data, err := json.Marshal(value, strictjson.DurationMarshaler, json.Deterministic(true))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/internal/lifetime/leaving.go
+++ b/internal/lifetime/leaving.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// CloseWhen ends each connection of a host that leaves with its next answer.
+// CloseConnectionsWhen ends each connection of a host that leaves with its next answer.
 // Connections that rest stay open until the notice is over: one that is closed just
 // as its caller sends the next request would lose that request.
-func CloseWhen(leaving *atomic.Bool, next http.Handler) http.Handler {
+func CloseConnectionsWhen(leaving *atomic.Bool, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if leaving.Load() {
 			w.Header().Set("Connection", "close")
@@ -19,10 +19,10 @@
 	})
 }
 
-// Finish lets a server that leaves finish: it takes no new connections, drain waits for
+// DrainServer lets a server that leaves finish: it takes no new connections, drain waits for
 // what is in flight until ctx ends, and the last answers have the margin to leave. It
 // returns the number of requests that drain had to cut.
-func Finish(ctx context.Context, server *http.Server, drain func(ctx context.Context) int, margin time.Duration) int {
+func DrainServer(ctx context.Context, server *http.Server, drain func(ctx context.Context) int, margin time.Duration) int {
 	shut := make(chan struct{})
 	go func() {
 		defer close(shut)
--- a/internal/logging/ring.go
+++ b/internal/logging/ring.go
@@ -37,8 +37,8 @@
 	return len(line), nil
 }
 
-// LeftOut counts the lines that were left out since the last count was written.
-func (r *Ring) LeftOut() uint64 { return r.leftOut.Load() }
+// Dropped counts the lines that were left out since the last count was written.
+func (r *Ring) Dropped() uint64 { return r.leftOut.Load() }
 
 // Close writes what is in the ring, but waits for it no longer than the limit. What
 // is logged later is lost.
--- a/internal/logging/ring_test.go
+++ b/internal/logging/ring_test.go
@@ -39,7 +39,7 @@
 	for range 5 {
 		write("more\n")
 	}
-	c.Check(ring.LeftOut(), qt.Equals, uint64(3))
+	c.Check(ring.Dropped(), qt.Equals, uint64(3))
 	close(g.open)
 	ring.Close(time.Minute)
 	c.Check(strings.Count(g.out.String(), "more\n"), qt.Equals, 2)
--- a/internal/logread/golden_test.go
+++ b/internal/logread/golden_test.go
@@ -19,9 +19,9 @@
 	file, err := os.Open("testdata/4c58500.log")
 	c.Assert(err, qt.IsNil)
 	defer file.Close()
-	story, err := Read(file, "daacfb46a24d20cb")
+	story, err := FindRequest(file, "daacfb46a24d20cb")
 	c.Assert(err, qt.IsNil)
-	data, err := json.Marshal(story, strictjson.DurationTexts, jsontext.WithIndent("  "))
+	data, err := json.Marshal(story, strictjson.DurationMarshaler, jsontext.WithIndent("  "))
 	c.Assert(err, qt.IsNil)
 	golden.Text(t, "story.json", string(data)+"\n")
 }
--- a/internal/logread/logread.go
+++ b/internal/logread/logread.go
@@ -53,8 +53,8 @@
 	Source string `json:"-"`
 }
 
-// Story is what the logs say about a request.
-type Story struct {
+// RequestHistory is what the logs say about a request.
+type RequestHistory struct {
 	// Request are the lines of the request itself; a caller that came back under
 	// the same ID has several.
 	Request []Line
@@ -69,14 +69,14 @@
 // maxLineBytes bounds a line of a log; one that is longer ends the reading with an error.
 const maxLineBytes = 1 << 20
 
-// Read finds the story of a request in logs, one JSON object a line. Other lines are
+// FindRequest finds the story of a request in logs, one JSON object a line. Other lines are
 // passed over.
-func Read(logs io.Reader, id string) (Story, error) {
+func FindRequest(logs io.Reader, id string) (RequestHistory, error) {
 	lines, err := parse(logs)
 	if err != nil {
-		return Story{}, err
+		return RequestHistory{}, err
 	}
-	var story Story
+	var story RequestHistory
 	for i := range lines {
 		if lines[i].ID == id {
 			story.Request = append(story.Request, lines[i])
--- a/internal/logread/logread_test.go
+++ b/internal/logread/logread_test.go
@@ -21,7 +21,7 @@
 
 func TestRead(t *testing.T) {
 	c := qt.New(t)
-	story, err := Read(strings.NewReader(logs), "r1")
+	story, err := FindRequest(strings.NewReader(logs), "r1")
 	c.Assert(err, qt.IsNil)
 	c.Assert(story.Request, qt.HasLen, 1)
 	r := story.Request[0]
@@ -35,6 +35,6 @@
 }
 
 func TestReadFindsNothing(t *testing.T) {
-	_, err := Read(strings.NewReader(logs), "nobody")
+	_, err := FindRequest(strings.NewReader(logs), "nobody")
 	qt.Check(t, errors.Is(err, ErrNotFound), qt.IsTrue)
 }
--- a/internal/operator/changes.go
+++ b/internal/operator/changes.go
@@ -63,7 +63,7 @@
 	revision, _ := strconv.ParseUint(mux.Vars(r)["revision"], 10, 64)
 	c, err := s.parts.Changes.Find(r.Context(), revision)
 	switch {
-	case errors.Is(err, ErrNoChange):
+	case errors.Is(err, ErrChangeNotFound):
 		httprelay.WriteJSON(w, http.StatusNotFound, Problem{Error: "no such change"})
 	case err != nil:
 		httprelay.WriteJSON(w, http.StatusServiceUnavailable, Problem{Error: "the platform is away"})
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -49,8 +49,8 @@
 }
 
 // Effective returns each effective value of a workspace and class.
-func (c *Client) Effective(ctx context.Context, workspace, class string) ([]settings.Explained, error) {
-	return get[[]settings.Explained](ctx, c, "/v1/settings/effective/"+url.PathEscape(workspace)+"/"+class)
+func (c *Client) Effective(ctx context.Context, workspace, class string) ([]settings.EffectiveValue, error) {
+	return get[[]settings.EffectiveValue](ctx, c, "/v1/settings/effective/"+url.PathEscape(workspace)+"/"+class)
 }
 
 // Explain returns what was decided for a request.
@@ -58,8 +58,8 @@
 	return get[explain.Record](ctx, c, "/v1/requests/"+url.PathEscape(id))
 }
 
-// Lift has a poison request sent again by all hosts.
-func (c *Client) Lift(ctx context.Context, key string) error {
+// LiftPoison has a poison request sent again by all hosts.
+func (c *Client) LiftPoison(ctx context.Context, key string) error {
 	status, data, err := c.do(ctx, http.MethodDelete, "/v1/poison/"+url.PathEscape(key), nil)
 	if err != nil {
 		return err
@@ -75,13 +75,13 @@
 	return get[[]record.Entry](ctx, c, "/v1/recorded?after="+url.QueryEscape(after.Format(time.RFC3339Nano)))
 }
 
-// Refused is a change that was not accepted, or of which that is not known.
-type Refused struct {
+// RefusedError is a change that was not accepted, or of which that is not known.
+type RefusedError struct {
 	Answer ChangeAnswer
 }
 
 // Error returns the host's words.
-func (r *Refused) Error() string { return r.Answer.Error }
+func (r *RefusedError) Error() string { return r.Answer.Error }
 
 // Apply sends a change. A change that was not accepted comes back as *Refused.
 func (c *Client) Apply(ctx context.Context, request ChangeRequest) (ChangeAnswer, error) {
@@ -94,11 +94,11 @@
 	if err != nil {
 		return result, err
 	}
-	if err := json.Unmarshal(data, &result, strictjson.Durations); err != nil {
+	if err := json.Unmarshal(data, &result, strictjson.DurationUnmarshaler); err != nil {
 		return result, merry.Wrap(err)
 	}
 	if result.Accepted != "yes" {
-		return result, &Refused{Answer: result}
+		return result, &RefusedError{Answer: result}
 	}
 	return result, nil
 }
@@ -112,7 +112,7 @@
 	if status != http.StatusOK {
 		return value, problem(status, data)
 	}
-	err = json.Unmarshal(data, &value, strictjson.Durations)
+	err = json.Unmarshal(data, &value, strictjson.DurationUnmarshaler)
 	return value, merry.Wrap(err)
 }
 
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -7,16 +7,16 @@
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
 
-// ErrNoChange is the error of Changes.Find for a revision that no change has.
-var ErrNoChange = merry.Sentinel("no such change")
+// ErrChangeNotFound is the error of Changes.Find for a revision that no change has.
+var ErrChangeNotFound = merry.Sentinel("no such change")
 
 // Cause is why a change was not accepted.
 type Cause int
 
 // The causes.
 const (
-	// CauseAway: the store can't be reached; the change was not accepted.
-	CauseAway Cause = iota
+	// CauseUnavailable: the store can't be reached; the change was not accepted.
+	CauseUnavailable Cause = iota
 	// CauseConflict: a change accepted since the operator's base touches the same paths.
 	CauseConflict
 	// CauseInvalid: the patch is malformed, or the tree would not be valid.
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -54,7 +54,7 @@
 		"faults":   &ChangeError{Cause: CauseInvalid, Detail: "the tree would not be valid", Faults: []strictjson.Fault{{Path: "/root", Problem: "wrong"}}},
 		"patch":    &ChangeError{Cause: CauseInvalid, Detail: "the patch is no JSON merge patch"},
 		"unknown":  &ChangeError{Cause: CauseUnknown, Detail: "it is not known whether the change was accepted; send it again with the same ID"},
-		"away":     &ChangeError{Cause: CauseAway, Detail: "the platform is away; the change was not accepted"},
+		"away":     &ChangeError{Cause: CauseUnavailable, Detail: "the platform is away; the change was not accepted"},
 	}
 	keys := []hostconfig.OperatorKey{
 		{Name: "reader", SHA256: settings.HashKey("read"), Role: hostconfig.RoleRead},
@@ -83,7 +83,7 @@
 	case 3:
 		return goldenChange, nil
 	case 4:
-		return settings.Change{}, ErrNoChange
+		return settings.Change{}, ErrChangeNotFound
 	}
 	return settings.Change{}, errors.New("away")
 }
@@ -95,7 +95,7 @@
 	tree, err := settings.Decode("tree", []byte(`{"root":{"classes":{"c":{"values":{"tier":1}}}},"workspaces":{"w":{}}}`))
 	c.Assert(err, qt.IsNil)
 	holder := settings.NewHolder()
-	holder.Offer(&settings.Revision{Number: 4, Tree: tree})
+	holder.SetIfNewer(&settings.Revision{Number: 4, Tree: tree})
 	servers := map[string]*Server{
 		"ready":     goldenServer(true, holder, SettingsAnswer{Revision: 4, Tree: []byte(`{"root":{}}`)}),
 		"not ready": goldenServer(false, settings.NewHolder(), SettingsAnswer{}),
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -139,7 +139,7 @@
 	// Accept stores a change and returns its revision. A change that was not accepted, or
 	// of which that is not known, is a *ChangeError.
 	Accept(ctx context.Context, c settings.Change) (uint64, error)
-	// Find reads an accepted change. The error is ErrNoChange if there is none.
+	// Find reads an accepted change. The error is ErrChangeNotFound if there is none.
 	Find(ctx context.Context, revision uint64) (settings.Change, error)
 }
 
@@ -154,9 +154,9 @@
 	// Tree returns the tree in force; its revision is 0 before the first.
 	Tree   func() SettingsAnswer
 	Status func() Status
-	// Lift has a poison request sent again by all hosts, and reports whether it was one. It is nil where hosts don't
+	// LiftPoison has a poison request sent again by all hosts, and reports whether it was one. It is nil where hosts don't
 	// look for them.
-	Lift func(key string) bool
+	LiftPoison func(key string) bool
 }
 
 // New returns a server for operators that does not listen yet.
@@ -267,7 +267,7 @@
 
 func (s *Server) lift(w http.ResponseWriter, r *http.Request) {
 	key := mux.Vars(r)["key"]
-	if s.parts.Lift == nil || !s.parts.Lift(key) {
+	if s.parts.LiftPoison == nil || !s.parts.LiftPoison(key) {
 		httprelay.WriteJSON(w, http.StatusNotFound, Problem{Error: "this host gives no request up that has the key " + key})
 		return
 	}
--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -61,7 +61,7 @@
 		case request.ActSend:
 			action = r.attempt(ctx, r.job.Attempt)
 		case request.ActResume:
-			r.owner.parts.Counters.Retried(r.lifecycle.Retry())
+			r.owner.parts.Counters.CountRetry(r.lifecycle.Retry())
 			action = r.attempt(ctx, r.job.Resume)
 		default:
 			r.release(admission.Cancelled)
@@ -115,7 +115,7 @@
 // tried again because one failed.
 func (r *run) countRetry() {
 	retry := r.lifecycle.Retry()
-	r.owner.parts.Counters.Retried(retry)
+	r.owner.parts.Counters.CountRetry(retry)
 	if retry.SpendsBudget() {
 		r.owner.parts.Budget.RecordRetry(r.job.budgetGroup())
 	}
@@ -258,8 +258,8 @@
 }
 
 // waste counts the tokens generated so far as wasted.
-func (r *run) waste(cause counters.Waste) {
-	r.owner.parts.Counters.Wasted(cause, r.tokens)
+func (r *run) waste(cause counters.WasteCause) {
+	r.owner.parts.Counters.CountWastedTokens(cause, r.tokens)
 }
 
 func (r *run) facts(canResume bool) request.Facts {
@@ -300,10 +300,10 @@
 		end.Refusal = &request.Refusal{
 			Reason: r.lifecycle.Reason(), Ran: r.lifecycle.Ran(), Detail: r.detail, RetryAfter: r.retryAfter,
 		}
-		r.owner.parts.Counters.Refused(r.lifecycle.Reason())
+		r.owner.parts.Counters.CountRefusal(r.lifecycle.Reason())
 		r.step("refused", string(r.lifecycle.Reason()), nil)
 	case request.OutcomeCallerGone:
-		r.owner.parts.Counters.Refused(request.ReasonCallerGone)
+		r.owner.parts.Counters.CountRefusal(request.ReasonCallerGone)
 		r.step("caller gone", "", nil)
 	}
 	end.Steps = r.steps
--- a/internal/proof/demo/run.go
+++ b/internal/proof/demo/run.go
@@ -79,7 +79,7 @@
 	}
 	for _, host := range c.Hosts() {
 		metrics := host.Daemon.Counters()
-		for _, cause := range counters.Wastes {
+		for _, cause := range counters.WasteCauses {
 			r.Wasted[string(cause)] += int(metrics.WastedTokens(cause))
 		}
 		for _, reason := range request.RetryReasons {
--- a/internal/proof/replay/generate.go
+++ b/internal/proof/replay/generate.go
@@ -59,7 +59,7 @@
 // ReadDescription decodes a description.
 func ReadDescription(data []byte) (*Description, error) {
 	d := new(Description)
-	err := json.Unmarshal(data, d, json.RejectUnknownMembers(true), strictjson.Durations)
+	err := json.Unmarshal(data, d, json.RejectUnknownMembers(true), strictjson.DurationUnmarshaler)
 	return d, err
 }
 
--- a/internal/proof/replay/trace.go
+++ b/internal/proof/replay/trace.go
@@ -170,7 +170,7 @@
 
 func (t *Trace) add(number int, line []byte) error {
 	if number == 1 {
-		return json.Unmarshal(line, &t.Header, json.RejectUnknownMembers(true), strictjson.Durations)
+		return json.Unmarshal(line, &t.Header, json.RejectUnknownMembers(true), strictjson.DurationUnmarshaler)
 	}
 	var event Event
 	if err := json.Unmarshal(line, &event, json.RejectUnknownMembers(true)); err != nil {
@@ -202,7 +202,7 @@
 // Write writes a trace in the form that Read reads.
 func Write(w io.Writer, t *Trace) error {
 	out := bufio.NewWriter(w)
-	header, err := json.Marshal(&t.Header, json.Deterministic(true), strictjson.DurationTexts)
+	header, err := json.Marshal(&t.Header, json.Deterministic(true), strictjson.DurationMarshaler)
 	if err != nil {
 		return merry.Wrap(err)
 	}
--- a/internal/settings/effective.go
+++ b/internal/settings/effective.go
@@ -14,8 +14,8 @@
 
 const originBuiltIn Origin = "built in"
 
-// Explained is one effective value with its origin.
-type Explained struct {
+// EffectiveValue is one effective value with its origin.
+type EffectiveValue struct {
 	Field  string `json:"field"`
 	Value  string `json:"value"`
 	Origin Origin `json:"origin"`
@@ -63,7 +63,7 @@
 
 // Explain lists each effective value of a workspace and class in the order of
 // Values, with the node that it comes from.
-func (t *Tree) Explain(workspace, class string) ([]Explained, bool) {
+func (t *Tree) Explain(workspace, class string) ([]EffectiveValue, bool) {
 	layers, ok := t.layers(workspace, class)
 	if !ok {
 		return nil, false
@@ -101,8 +101,8 @@
 	return t.Root.DefaultClass
 }
 
-// MayCall reports whether a workspace may call a model of the tree.
-func (t *Tree) MayCall(workspace, model string) bool {
+// CanCall reports whether a workspace may call a model of the tree.
+func (t *Tree) CanCall(workspace, model string) bool {
 	if _, ok := t.Models[model]; !ok {
 		return false
 	}
@@ -174,10 +174,10 @@
 	return set
 }
 
-func explained(policy Policy, origins map[string]Origin) []Explained {
+func explained(policy Policy, origins map[string]Origin) []EffectiveValue {
 	fields := reflect.TypeFor[Values]()
 	value := reflect.ValueOf(policy)
-	list := make([]Explained, 0, fields.NumField())
+	list := make([]EffectiveValue, 0, fields.NumField())
 	for i := range fields.NumField() {
 		name := jsonName(fields.Field(i))
 		origin, ok := origins[name]
@@ -185,7 +185,7 @@
 			origin = originBuiltIn
 		}
 		text := valueText(value.FieldByName(fields.Field(i).Name))
-		list = append(list, Explained{Field: name, Value: text, Origin: origin})
+		list = append(list, EffectiveValue{Field: name, Value: text, Origin: origin})
 	}
 	return list
 }
--- a/internal/settings/holder.go
+++ b/internal/settings/holder.go
@@ -35,8 +35,8 @@
 	return 0
 }
 
-// Offer puts a revision in force if it is newer than the one that is.
-func (h *Holder) Offer(revision *Revision) bool {
+// SetIfNewer puts a revision in force if it is newer than the one that is.
+func (h *Holder) SetIfNewer(revision *Revision) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.current != nil && revision.Number <= h.current.Number {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -72,15 +72,15 @@
 	c := qt.New(t)
 	list, ok := decode(c, small).Explain("a", "ask/fast")
 	c.Assert(ok, qt.IsTrue)
-	got := make(map[string]Explained)
+	got := make(map[string]EffectiveValue)
 	for _, e := range list {
 		got[e.Field] = e
 	}
-	c.Assert(got["tier"], qt.Equals, Explained{"tier", "0", "workspaces/a/classes/ask"})
-	c.Assert(got["first_token"], qt.Equals, Explained{"first_token", "300ms", "root/classes/ask/classes/fast"})
-	c.Assert(got["weight"], qt.Equals, Explained{"weight", "3", "workspaces/a"})
-	c.Assert(got["max_wait"], qt.Equals, Explained{"max_wait", "1m0s", "root"})
-	c.Assert(got["max_tries"], qt.Equals, Explained{"max_tries", "3", originBuiltIn})
+	c.Assert(got["tier"], qt.Equals, EffectiveValue{"tier", "0", "workspaces/a/classes/ask"})
+	c.Assert(got["first_token"], qt.Equals, EffectiveValue{"first_token", "300ms", "root/classes/ask/classes/fast"})
+	c.Assert(got["weight"], qt.Equals, EffectiveValue{"weight", "3", "workspaces/a"})
+	c.Assert(got["max_wait"], qt.Equals, EffectiveValue{"max_wait", "1m0s", "root"})
+	c.Assert(got["max_tries"], qt.Equals, EffectiveValue{"max_tries", "3", originBuiltIn})
 	c.Assert(list, qt.HasLen, reflect.TypeFor[Values]().NumField())
 }
 
@@ -187,7 +187,7 @@
 		taken  bool
 	}{{2, true}, {1, false}, {2, false}, {5, true}, {4, false}} {
 		changed := h.Changed()
-		c.Assert(h.Offer(&Revision{Number: step.number}), qt.Equals, step.taken)
+		c.Assert(h.SetIfNewer(&Revision{Number: step.number}), qt.Equals, step.taken)
 		select {
 		case <-changed:
 			c.Assert(step.taken, qt.IsTrue)
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -86,9 +86,9 @@
 	return best, found
 }
 
-// Pick chooses one of the route's services by weight. At is a number from 0 up
+// PickService chooses one of the route's services by weight. At is a number from 0 up
 // to 1.
-func (r *HostRoute) Pick(at float64) string {
+func (r *HostRoute) PickService(at float64) string {
 	total := 0.0
 	for _, target := range r.Targets {
 		total += target.Weight
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -67,7 +67,7 @@
 	if faults := schema.check(data); len(faults) > 0 {
 		return value, &Error{Document: document, Faults: faults}
 	}
-	if err := json.Unmarshal(data, &value, json.RejectUnknownMembers(true), Durations); err != nil {
+	if err := json.Unmarshal(data, &value, json.RejectUnknownMembers(true), DurationUnmarshaler); err != nil {
 		return value, &Error{Document: document, Faults: []Fault{{Path: "/", Problem: err.Error()}}}
 	}
 	return value, nil
@@ -76,12 +76,12 @@
 // Encode writes a value in the form that Decode reads, with sorted keys and
 // durations as text.
 func Encode(value any) ([]byte, error) {
-	data, err := json.Marshal(value, json.Deterministic(true), DurationTexts)
+	data, err := json.Marshal(value, json.Deterministic(true), DurationMarshaler)
 	return data, merry.Wrap(err)
 }
 
-// Durations reads durations as text, such as "1.3s".
-var Durations = json.WithUnmarshalers(json.UnmarshalFunc(func(text []byte, d *time.Duration) error {
+// DurationUnmarshaler reads durations as text, such as "1.3s".
+var DurationUnmarshaler = json.WithUnmarshalers(json.UnmarshalFunc(func(text []byte, d *time.Duration) error {
 	value, err := time.ParseDuration(strings.Trim(string(text), `"`))
 	if err != nil {
 		return err
@@ -90,8 +90,8 @@
 	return nil
 }))
 
-// DurationTexts writes durations as Durations reads them.
-var DurationTexts = json.WithMarshalers(json.MarshalFunc(func(d time.Duration) ([]byte, error) {
+// DurationMarshaler writes durations as Durations reads them.
+var DurationMarshaler = json.WithMarshalers(json.MarshalFunc(func(d time.Duration) ([]byte, error) {
 	return []byte(`"` + d.String() + `"`), nil
 }))
 
