--- a/cmd/oxbowslip-replay/main.go
+++ b/cmd/oxbowslip-replay/main.go
@@ -114,7 +114,7 @@
 		all = append(all, results...)
 	}
 	if command.Summary {
-		replay.Summary(os.Stdout, all)
+		replay.PrintSummary(os.Stdout, all)
 	}
 	if command.JSON != "" {
 		return code, writeJSON(command.JSON, all)
@@ -193,5 +193,5 @@
 	if len(entries) == 0 {
 		return exitMissed, fmt.Errorf("%s has no request of the last %d s", command.From, command.Seconds)
 	}
-	return writeTrace(command.Out, replay.Recorded("recorded", tree, entries))
+	return writeTrace(command.Out, replay.FromRecordedRequests("recorded", tree, entries))
 }
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -239,7 +239,7 @@
 	for i := range 8 {
 		group.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				host, ok := cluster.Pick()
+				host, ok := cluster.NextReadyHost()
 				if !ok {
 					continue
 				}
--- a/internal/proof/demo/change.go
+++ b/internal/proof/demo/change.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	host, ok := c.Pick()
+	host, ok := c.NextReadyHost()
 	if !ok {
 		return merry.New("no host is ready")
 	}
--- a/internal/proof/demo/cluster.go
+++ b/internal/proof/demo/cluster.go
@@ -263,8 +263,8 @@
 	return append([]*Host(nil), c.hosts...)
 }
 
-// Pick returns the next ready host, as the platform's balancer would.
-func (c *Cluster) Pick() (*Host, bool) {
+// NextReadyHost returns the next ready host, as the platform's balancer would.
+func (c *Cluster) NextReadyHost() (*Host, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for range c.hosts {
--- a/internal/proof/demo/load.go
+++ b/internal/proof/demo/load.go
@@ -67,9 +67,9 @@
 	Ran    request.Ran
 	// Broken is set if the answer broke off and the caller could tell.
 	Broken     bool
-	Begun      time.Time
+	SentAt     time.Time
 	FirstToken time.Duration
-	Whole      time.Duration
+	TotalTime  time.Duration
 	Tokens     int
 	Host       *Host
 }
@@ -155,8 +155,8 @@
 
 // one sends one request and checks its answer.
 func (l *load) one(source Source, b body) Sample {
-	sample := Sample{Source: source, Begun: time.Now()}
-	host, ok := l.cluster.Pick()
+	sample := Sample{Source: source, SentAt: time.Now()}
+	host, ok := l.cluster.NextReadyHost()
 	if !ok {
 		sample.Reason, sample.Ran = request.ReasonNotReady, request.RanNo
 		return sample
@@ -180,7 +180,7 @@
 	} else {
 		text, err = sample.readWhole(response.Body)
 	}
-	sample.Whole = time.Since(sample.Begun)
+	sample.TotalTime = time.Since(sample.SentAt)
 	switch {
 	case err != nil:
 		sample.Broken = true
@@ -238,7 +238,7 @@
 			return "", errNoEnd
 		}
 		if s.Tokens == 0 {
-			s.FirstToken = time.Since(s.Begun)
+			s.FirstToken = time.Since(s.SentAt)
 		}
 		s.Tokens++
 		text.WriteString(gjson.Get(event.Data, "choices.0.delta.content").Str)
@@ -264,7 +264,7 @@
 	if !s.Answered {
 		return false
 	}
-	if policy.WholeAnswer > 0 && s.Whole > policy.WholeAnswer {
+	if policy.WholeAnswer > 0 && s.TotalTime > policy.WholeAnswer {
 		return false
 	}
 	if !s.Source.Stream {
@@ -274,7 +274,7 @@
 		return false
 	}
 	return s.Tokens < 2 || policy.BetweenTokens == 0 ||
-		(s.Whole-s.FirstToken)/time.Duration(s.Tokens-1) <= policy.BetweenTokens
+		(s.TotalTime-s.FirstToken)/time.Duration(s.Tokens-1) <= policy.BetweenTokens
 }
 
 // target is a class's targets in short.
--- a/internal/proof/replay/record.go
+++ b/internal/proof/replay/record.go
@@ -8,10 +8,10 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// Recorded makes a trace of what a host recorded, with the settings that were in
+// FromRecordedRequests makes a trace of what a host recorded, with the settings that were in
 // force. A request without an answer is taken to be as long as the shortest that
 // an engine gives. Keys are left out.
-func Recorded(name string, tree *settings.Tree, entries []record.Entry) *Trace {
+func FromRecordedRequests(name string, tree *settings.Tree, entries []record.Entry) *Trace {
 	t := &Trace{Header: Header{Format: Format, Name: name, Seed: 1, Settings: withoutKeys(tree), Engines: DefaultEngines}}
 	entries = slices.Clone(entries)
 	slices.SortStableFunc(entries, func(a, b record.Entry) int { return a.Arrived.Compare(b.Arrived) })
--- a/internal/proof/replay/replay_test.go
+++ b/internal/proof/replay/replay_test.go
@@ -102,7 +102,7 @@
 	tree := &readTrace(c, filepath.Join(traceDir, "engine-slow.jsonl")).Header.Settings
 	tree.Workspaces["heron"] = settings.Workspace{Keys: []settings.Key{{Name: "k", SHA256: settings.HashKey("secret")}}}
 	at := epoch.Add(time.Hour)
-	trace := Recorded("recorded", tree, []record.Entry{
+	trace := FromRecordedRequests("recorded", tree, []record.Entry{
 		{Arrived: at.Add(2 * time.Second), Class: "itinerary", Workspace: "heron", Model: "voyage", Prompt: 900, Answer: 200},
 		{Arrived: at, Class: "skipper-question", Workspace: "heron", Model: "voyage", Prompt: 50},
 	})
--- a/internal/proof/replay/report.go
+++ b/internal/proof/replay/report.go
@@ -267,11 +267,11 @@
 	}
 	// The writer is a terminal or a buffer; an error here has no one to go to.
 	_ = table.Flush()
-	Summary(w, results)
+	PrintSummary(w, results)
 }
 
-// Summary writes one line for each result.
-func Summary(w io.Writer, results []*Result) {
+// PrintSummary writes one line for each result.
+func PrintSummary(w io.Writer, results []*Result) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "trace\tpolicy\tattainment by tier weight\tgoodput of capacity\tgenerated of capacity\twasted\tviolations\tmissed")
 	for _, r := range results {
