--- a/internal/front/followers.go
+++ b/internal/front/followers.go
@@ -61,7 +61,7 @@
 		return follow.Duty{Call: true, Reads: true, Hold: state.Hold(order.ReadersBefore, order.Readers)}
 	}
 	before := order.Before
-	if !g.Settled() {
+	if !g.IsSettled() {
 		if state.Age(topic) == freshness.UnknownAge {
 			return follow.Duty{Call: true}
 		}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -151,7 +151,7 @@
 	Failures   *pushback.Failures
 	Limits     *pushback.Limits
 	Limiter    *ratelimit.Limiter
-	Leading    *leading
+	Leadership *leading
 	Clock      func() time.Time
 	Steady     *clock.Clock
 }
@@ -263,7 +263,7 @@
 	go h.parts.Poison.Run(h.done)
 	go h.parts.Signals.Run(h.done)
 	go h.parts.Limiter.Run(h.done)
-	h.parts.Leading.run(h.done)
+	h.parts.Leadership.run(h.done)
 	go lifetime.Every(h.done, expireInterval, randomNumber, h.expire)
 	h.log.WithFields(logrus.Fields{
 		"host": h.parts.Config.Name, "zone": h.parts.Config.Zone, "callers": h.bound.Callers, "readiness": h.bound.Readiness,
@@ -314,7 +314,7 @@
 		defer close(unregistered)
 		h.unregister(ctx)
 	}()
-	h.parts.Leading.resign()
+	h.parts.Leadership.resign()
 	// When ctx ends first, Finish cuts the rest at once.
 	lifetime.Sleep(ctx, h.parts.Config.Drain.Notice)
 	cut := lifetime.DrainServer(ctx, h.callers, h.parts.Owner.Drain, stopMargin)
@@ -356,5 +356,5 @@
 	h.parts.Client.Close()
 }
 
-// Endpoints returns the number of endpoints that take new work, as far as this host knows.
-func (h *Host) Endpoints() int { return h.parts.Directory.CountServing() }
+// EndpointCount returns the number of endpoints that take new work, as far as this host knows.
+func (h *Host) EndpointCount() int { return h.parts.Directory.CountServing() }
--- a/internal/front/fx.go
+++ b/internal/front/fx.go
@@ -334,7 +334,7 @@
 	p.Gossip.Handle(envelope.KindRejections, func(from envelope.Sender, body []byte) { tracker.HandleRejections(from.Host, body) })
 	p.Gossip.Handle(envelope.KindFailures, func(from envelope.Sender, body []byte) { tracker.HandleFailures(from.Host, body) })
 	p.Gossip.Handle(envelope.KindLimits, func(from envelope.Sender, body []byte) { tracker.HandleLimits(from.Host, body) })
-	p.Gossip.OnJoin(tracker.Joined)
+	p.Gossip.OnJoin(tracker.HandleJoin)
 	return tracker
 }
 
@@ -344,8 +344,8 @@
 // Senders returns the live hosts, this one first.
 func (l latePeers) Senders() []envelope.Sender { return l.gossip.Load().Senders() }
 
-// Settled reports whether this host knows its peers.
-func (l latePeers) Settled() bool { return l.gossip.Load().Settled() }
+// IsSettled reports whether this host knows its peers.
+func (l latePeers) IsSettled() bool { return l.gossip.Load().IsSettled() }
 
 // SendTo sends a message to a host.
 func (l latePeers) SendTo(host string, kind envelope.Kind, message any) {
@@ -367,7 +367,7 @@
 
 func newLimiter(p limiterParts) *ratelimit.Limiter {
 	return ratelimit.New(ratelimit.Parts{
-		Limits: p.Limits, Lender: p.Lender, Peers: latePeers{p.Late}, Counted: p.Counters.CountPermit,
+		Limits: p.Limits, Lender: p.Lender, Peers: latePeers{p.Late}, CountPermit: p.Counters.CountPermit,
 		Log: logging.Part(p.Log, "limits"), Clock: p.Clock, Random: p.Random,
 	})
 }
--- a/internal/front/gauges.go
+++ b/internal/front/gauges.go
@@ -16,7 +16,7 @@
 		"oxbowslip_hosts":                     func() float64 { return float64(h.parts.Gossip.Hosts()) },
 		"oxbowslip_reads_store":               func() float64 { return zeroOrOne(h.parts.Followers.read()) },
 		"oxbowslip_open_requests":             func() float64 { return float64(h.parts.Owner.OpenJobs()) },
-		"oxbowslip_leads":                     func() float64 { return zeroOrOne(h.parts.Leading.leads()) },
+		"oxbowslip_leads":                     func() float64 { return zeroOrOne(h.parts.Leadership.leads()) },
 		"oxbowslip_poison_requests":           func() float64 { return float64(len(h.parts.Poison.Verdicts())) },
 		"oxbowslip_endpoints_resting":         func() float64 { return float64(len(h.parts.Rests.Resting())) },
 		"oxbowslip_endpoints_rejecting":       func() float64 { return float64(len(h.parts.Rejections.Shares())) },
--- a/internal/front/gossip/gossip.go
+++ b/internal/front/gossip/gossip.go
@@ -184,9 +184,9 @@
 	return g.members.Count() + 1
 }
 
-// Settled reports whether this host knows its peers: it has run for a while, and either no more have joined
+// IsSettled reports whether this host knows its peers: it has run for a while, and either no more have joined
 // lately or that has taken too long.
-func (g *Gossip) Settled() bool {
+func (g *Gossip) IsSettled() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.parts.Clock()
@@ -197,7 +197,7 @@
 // that place. One that would only take over from others waits until it has run for long enough to know whether they
 // read.
 func (g *Gossip) MustReadStore() bool {
-	if !g.Settled() {
+	if !g.IsSettled() {
 		return false
 	}
 	order := g.Order()
--- a/internal/front/gossip/share_test.go
+++ b/internal/front/gossip/share_test.go
@@ -130,16 +130,16 @@
 	}
 	join(1)
 	now = now.Add(joinTime - time.Millisecond)
-	c.Check(g.Settled(), qt.IsFalse)
+	c.Check(g.IsSettled(), qt.IsFalse)
 	join(2)
 	now = now.Add(joinTime - time.Millisecond)
-	c.Check(g.Settled(), qt.IsFalse, qt.Commentf("one has joined since"))
+	c.Check(g.IsSettled(), qt.IsFalse, qt.Commentf("one has joined since"))
 	now = now.Add(time.Millisecond)
-	c.Check(g.Settled(), qt.IsTrue)
+	c.Check(g.IsSettled(), qt.IsTrue)
 	join(3)
-	c.Check(g.Settled(), qt.IsFalse)
+	c.Check(g.IsSettled(), qt.IsFalse)
 	now = start.Add(maxSettleTime)
-	c.Check(g.Settled(), qt.IsTrue, qt.Commentf("peers may join all the time"))
+	c.Check(g.IsSettled(), qt.IsTrue, qt.Commentf("peers may join all the time"))
 }
 
 // TestShareBytes measures the messages through aggregators, and bounds them: with 320 endpoints and all holders, a
--- a/internal/front/leader/leader.go
+++ b/internal/front/leader/leader.go
@@ -48,10 +48,10 @@
 type Peers interface {
 	// Announce sends an announcement to all hosts.
 	Announce(Announcement)
-	// Settled reports whether this host knows its peers, Before how many live hosts come before it in an
+	// IsSettled reports whether this host knows its peers, Before how many live hosts come before it in an
 	// order that all share.
-	Settled() bool
-	Before() int
+	IsSettled() bool
+	HostsBefore() int
 }
 
 // Task is what a leader does. Lead runs until ctx ends, which is when the mandate does. Tasks run at the same time.
--- a/internal/front/leader/leader_test.go
+++ b/internal/front/leader/leader_test.go
@@ -144,8 +144,8 @@
 	before int
 }
 
-func (p hostPeers) Settled() bool { return true }
-func (p hostPeers) Before() int   { return p.before }
+func (p hostPeers) IsSettled() bool  { return true }
+func (p hostPeers) HostsBefore() int { return p.before }
 func (p hostPeers) Announce(a Announcement) {
 	for _, l := range p.all.leaders {
 		if l.parts.Host != p.name && !p.all.deaf[l.parts.Host] {
--- a/internal/front/leader/stand.go
+++ b/internal/front/leader/stand.go
@@ -38,10 +38,10 @@
 
 // mayStand reports whether the lease seems to be free and it is this host's turn.
 func (l *Leader) mayStand() bool {
-	if !l.parts.Peers.Settled() {
+	if !l.parts.Peers.IsSettled() {
 		return false
 	}
-	before := l.parts.Peers.Before()
+	before := l.parts.Peers.HostsBefore()
 	now := l.parts.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/front/leading.go
+++ b/internal/front/leading.go
@@ -167,8 +167,8 @@
 // Announce sends an announcement to all hosts.
 func (p leaderPeers) Announce(a leader.Announcement) { p.gossip.Broadcast(envelope.KindLeader, a) }
 
-// Settled reports whether this host knows its peers.
-func (p leaderPeers) Settled() bool { return p.gossip.Settled() }
+// IsSettled reports whether this host knows its peers.
+func (p leaderPeers) IsSettled() bool { return p.gossip.IsSettled() }
 
-// Before returns how many live hosts come before this one.
-func (p leaderPeers) Before() int { return p.gossip.Order().Before }
+// HostsBefore returns how many live hosts come before this one.
+func (p leaderPeers) HostsBefore() int { return p.gossip.Order().Before }
--- a/internal/front/placement/placement_test.go
+++ b/internal/front/placement/placement_test.go
@@ -366,7 +366,7 @@
 type alone struct{}
 
 func (alone) Senders() []envelope.Sender        { return []envelope.Sender{{Host: "self"}} }
-func (alone) Settled() bool                     { return true }
+func (alone) IsSettled() bool                   { return true }
 func (alone) SendTo(string, envelope.Kind, any) {}
 
 // noLimits returns what keeps to limits where none is known.
@@ -377,7 +377,7 @@
 // keepingTo returns what keeps to limits in a fleet of one host.
 func keepingTo(limits *pushback.Limits, clock func() time.Time) *ratelimit.Limiter {
 	return ratelimit.New(ratelimit.Parts{
-		Limits: limits, Lender: ratelimit.NewLender(limits, clock), Peers: alone{}, Counted: func(counters.PermitResult) {},
+		Limits: limits, Lender: ratelimit.NewLender(limits, clock), Peers: alone{}, CountPermit: func(counters.PermitResult) {},
 		Log: logrus.NewEntry(logrus.New()), Clock: clock, Random: func() float64 { return 0 },
 	})
 }
--- a/internal/front/poison/detector.go
+++ b/internal/front/poison/detector.go
@@ -24,8 +24,8 @@
 	Hosts() int
 	// Order returns this host's place among its peers.
 	Order() gossip.Order
-	// Settled reports whether this host knows its peers.
-	Settled() bool
+	// IsSettled reports whether this host knows its peers.
+	IsSettled() bool
 }
 
 // Prober finds out whether endpoints are still there.
@@ -39,8 +39,8 @@
 type Store interface {
 	// Verdicts returns all that are kept, also those that are over.
 	Verdicts(ctx context.Context) ([]Verdict, error)
-	// Keep adds verdicts and removes others.
-	Keep(ctx context.Context, verdicts []Verdict, remove []keys.Request) error
+	// WriteVerdicts adds verdicts and removes others.
+	WriteVerdicts(ctx context.Context, verdicts []Verdict, remove []keys.Request) error
 }
 
 // Parts are what a Detector works with.
--- a/internal/front/poison/detector_test.go
+++ b/internal/front/poison/detector_test.go
@@ -142,8 +142,8 @@
 }
 
 // Hosts, Order and Settled are as in a fleet in which each host knows all others.
-func (h *host) Hosts() int    { return h.Order().Hosts }
-func (h *host) Settled() bool { return true }
+func (h *host) Hosts() int      { return h.Order().Hosts }
+func (h *host) IsSettled() bool { return true }
 func (h *host) Order() gossip.Order {
 	f := h.fleet
 	f.mu.Lock()
@@ -183,7 +183,7 @@
 	return verdicts, nil
 }
 
-func (f *fleet) Keep(_ context.Context, verdicts []Verdict, remove []keys.Request) error {
+func (f *fleet) WriteVerdicts(_ context.Context, verdicts []Verdict, remove []keys.Request) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
--- a/internal/front/poison/report.go
+++ b/internal/front/poison/report.go
@@ -72,7 +72,7 @@
 
 // announces reports whether this host announces all verdicts.
 func (d *Detector) announces() bool {
-	return d.parts.Peers.Settled() && d.parts.Peers.Order().Before < announcers
+	return d.parts.Peers.IsSettled() && d.parts.Peers.Order().Before < announcers
 }
 
 // announce sends all verdicts to all peers, if this host is to.
@@ -176,7 +176,7 @@
 	outdated := slices.DeleteFunc(slices.Clone(d.outdated), d.table.IsPoison)
 	d.mu.Unlock()
 	if len(verdicts) > 0 || (len(outdated) > 0 && d.announces()) {
-		if err := d.parts.Store.Keep(ctx, verdicts, outdated); err != nil {
+		if err := d.parts.Store.WriteVerdicts(ctx, verdicts, outdated); err != nil {
 			d.parts.Log.WithError(err).Warn("verdicts can't be written, tried again")
 			return
 		}
--- a/internal/front/pushback/tracker.go
+++ b/internal/front/pushback/tracker.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// Joined handles a host that has joined. It learns what endpoints have said before it joined from a few hosts.
-func (t *Tracker) Joined(host envelope.Sender) {
+// HandleJoin handles a host that has joined. It learns what endpoints have said before it joined from a few hosts.
+func (t *Tracker) HandleJoin(host envelope.Sender) {
 	if t.greets(host) {
 		t.announce(func(o *outbox) { o.newcomers.Add(host) })
 	}
--- a/internal/front/pushback/tracker_test.go
+++ b/internal/front/pushback/tracker_test.go
@@ -200,7 +200,7 @@
 	known.SetLeaving("b", "v1")
 	first.parts.Limits.Record(instance, perSecond(2), time.Now())
 	run(c, first)
-	first.Joined(envelope.Sender{Host: "newcomer"})
+	first.HandleJoin(envelope.Sender{Host: "newcomer"})
 	for range 1 + announceRepeats {
 		c.Check((<-p.greeted).(*Leaving).Endpoints, qt.DeepEquals, []Instance{{ID: "b", Version: "v1"}})
 		c.Check((<-p.greeted).(*Limited).Notices[0].Limit, qt.Equals, perSecond(2))
--- a/internal/front/ratelimit/limiter.go
+++ b/internal/front/ratelimit/limiter.go
@@ -38,8 +38,8 @@
 type Peers interface {
 	// Senders returns the live hosts, this one first.
 	Senders() []envelope.Sender
-	// Settled reports whether this host knows its peers.
-	Settled() bool
+	// IsSettled reports whether this host knows its peers.
+	IsSettled() bool
 	// SendTo sends a message to a host.
 	SendTo(host string, kind envelope.Kind, message any)
 }
@@ -49,10 +49,10 @@
 	Limits *pushback.Limits
 	Lender *Lender
 	Peers  Peers
-	// Counted counts how questions for permits end.
-	Counted func(counters.PermitResult)
-	Log     *logrus.Entry
-	Clock   func() time.Time
+	// CountPermit counts how questions for permits end.
+	CountPermit func(counters.PermitResult)
+	Log         *logrus.Entry
+	Clock       func() time.Time
 	// Random returns numbers from 0 up to 1.
 	Random func() float64
 }
@@ -164,7 +164,7 @@
 		return l.permit(endpoint, asked, &reply)
 	case <-timeout.C:
 		l.unanswered(lender)
-		l.parts.Counted(counters.PermitUnanswered)
+		l.parts.CountPermit(counters.PermitUnanswered)
 		l.deny(endpoint, unansweredPause, unansweredPause)
 	case <-ctx.Done():
 	}
@@ -174,11 +174,11 @@
 // permit returns what a reply allows.
 func (l *Limiter) permit(endpoint pushback.Instance, asked time.Time, reply *Reply) (Permit, bool) {
 	if reply.IsGranted {
-		l.parts.Counted(counters.PermitGranted)
+		l.parts.CountPermit(counters.PermitGranted)
 		// Counted from before the question was sent, so that a late reply does not make the permit last longer.
 		return Permit{endpoint: endpoint, until: asked.Add(reply.Waited + permitValidity)}, true
 	}
-	l.parts.Counted(counters.PermitDenied)
+	l.parts.CountPermit(counters.PermitDenied)
 	next := max(reply.Next, leastPause)
 	l.deny(endpoint, next, next+time.Duration(l.parts.Random()*float64(reply.Spread)))
 	return Permit{}, false
@@ -216,7 +216,7 @@
 			lender, highest = host, w
 		}
 	}
-	return lender, highestSilent > highest, lender != hosts[0] || l.parts.Peers.Settled()
+	return lender, highestSilent > highest, lender != hosts[0] || l.parts.Peers.IsSettled()
 }
 
 // isFirst reports whether this host is the one that lends the permits of an endpoint.
--- a/internal/front/ratelimit/limiter_test.go
+++ b/internal/front/ratelimit/limiter_test.go
@@ -46,7 +46,7 @@
 	for i, name := range names {
 		h := &host{network: n, sender: envelope.Sender{Host: name, Incarnation: uint32(i)}, settled: true, limits: pushback.NewLimits(n.clock)}
 		h.limiter = New(Parts{
-			Limits: h.limits, Lender: NewLender(h.limits, n.clock), Peers: h, Counted: func(counters.PermitResult) {},
+			Limits: h.limits, Lender: NewLender(h.limits, n.clock), Peers: h, CountPermit: func(counters.PermitResult) {},
 			Log: logrus.NewEntry(log), Clock: n.clock, Random: func() float64 { return 0 },
 		})
 		n.hosts = append(n.hosts, h)
@@ -97,7 +97,7 @@
 	return senders
 }
 
-func (h *host) Settled() bool { return h.settled }
+func (h *host) IsSettled() bool { return h.settled }
 
 func (h *host) SendTo(name string, kind envelope.Kind, message any) {
 	body, err := cbor.Marshal(message)
--- a/internal/front/relay/exchange.go
+++ b/internal/front/relay/exchange.go
@@ -143,7 +143,7 @@
 func (x *exchange) began() {
 	if !x.counted {
 		x.counted = true
-		x.server.parts.Meter.Began(x.workspace, x.server.parts.Clock.Now())
+		x.server.parts.Meter.RecordStart(x.workspace, x.server.parts.Clock.Now())
 	}
 }
 
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -46,8 +46,8 @@
 
 // Meter counts the requests that endpoints began to run.
 type Meter interface {
-	// Began is called once for each request, when its first event or its answer has come.
-	Began(workspace string, at time.Time)
+	// RecordStart is called once for each request, when its first event or its answer has come.
+	RecordStart(workspace string, at time.Time)
 }
 
 // Poison knows the requests that end the endpoints that run them. Its methods must not block.
--- a/internal/front/reporter/reporter_test.go
+++ b/internal/front/reporter/reporter_test.go
@@ -333,7 +333,7 @@
 // count counts a number of requests at a host.
 func (h *host) count(workspace string, number int) {
 	for range number {
-		h.meter.Began(workspace, time.Now().Add(h.ahead))
+		h.meter.RecordStart(workspace, time.Now().Add(h.ahead))
 	}
 }
 
--- a/internal/front/status.go
+++ b/internal/front/status.go
@@ -65,7 +65,7 @@
 	}
 	status.Poison = h.poison()
 	status.Pushback = h.pushback()
-	status.Leader = h.parts.Leading.state()
+	status.Leader = h.parts.Leadership.state()
 	return status
 }
 
--- a/internal/front/usage/usage.go
+++ b/internal/front/usage/usage.go
@@ -62,9 +62,9 @@
 // NewMeter returns a meter that has counted nothing.
 func NewMeter(clock *Clock) *Meter { return &Meter{clock: clock, windows: make(Windows)} }
 
-// Began counts a request of a workspace that an endpoint began to run at a time. Calls that belong to no workspace
+// RecordStart counts a request of a workspace that an endpoint began to run at a time. Calls that belong to no workspace
 // are left out.
-func (m *Meter) Began(workspace string, at time.Time) {
+func (m *Meter) RecordStart(workspace string, at time.Time) {
 	if m == nil || workspace == "" {
 		return
 	}
--- a/internal/front/usage/usage_test.go
+++ b/internal/front/usage/usage_test.go
@@ -128,9 +128,9 @@
 	clock := NewClock(5*time.Second, func(time.Time) (freshness.StoreTime, bool) { return 0, false }, sameTime)
 	m := NewMeter(clock)
 	for range 3 {
-		m.Began("x", now)
+		m.RecordStart("x", now)
 	}
-	m.Began("", now)
+	m.RecordStart("", now)
 	first := clock.Window(now)
 	c.Check(m.Windows(), qt.DeepEquals, Windows{first: {"x": 3}})
 	copied := m.Windows()
@@ -138,11 +138,11 @@
 	c.Check(m.Windows()[first]["x"], qt.Equals, uint64(3))
 	for range 2 * keptWindows {
 		now = now.Add(5 * time.Second)
-		m.Began("y", now)
+		m.RecordStart("y", now)
 	}
 	c.Check(len(m.Windows()) <= keptWindows+1, qt.IsTrue, qt.Commentf("nobody reports: old windows are forgotten"))
 	m.Drop(clock.Window(now))
 	c.Check(m.Windows(), qt.HasLen, 0)
 	var none *Meter
-	none.Began("x", now)
+	none.RecordStart("x", now)
 }
