--- a/internal/front/engine/engine_test.go
+++ b/internal/front/engine/engine_test.go
@@ -76,9 +76,9 @@
 func TestPauseAndMissProb(t *testing.T) {
 	f := Figures{ReadRate: Figure{Value: 40}, EventTime: Figure{Value: 20}, EventRead: Figure{Value: 8000}}
 	tests := map[string]struct {
-		unread      int
-		pause       time.Duration
-		least, most float64
+		unread           int
+		pause            time.Duration
+		minProb, maxProb float64
 	}{
 		"no prompt is processed":            {0, ms(20), 0, 0.01},
 		"a short prompt":                    {2000, ms(70), 0, 0.01},
@@ -90,7 +90,7 @@
 			pause := f.Pause(test.unread, 1)
 			qt.Check(t, pause.Round(time.Millisecond), qt.Equals, test.pause)
 			harm := f.MissProb(test.unread, ms(200))
-			qt.Check(t, harm >= test.least && harm <= test.most, qt.IsTrue, qt.Commentf("%v", harm))
+			qt.Check(t, harm >= test.minProb && harm <= test.maxProb, qt.IsTrue, qt.Commentf("%v", harm))
 			qt.Check(t, f.MissProb(test.unread, 0), qt.Equals, 0.0)
 		})
 	}
@@ -124,9 +124,9 @@
 func TestSplit(t *testing.T) {
 	patient := map[keys.Class]Targets{essay: {First: ms(600), Pause: ms(3000)}, hint: {First: ms(600), Pause: ms(2000)}}
 	tests := map[string]struct {
-		essays, hints int
-		fleet         Fleet
-		least, most   int
+		essays, hints      int
+		fleet              Fleet
+		minShort, maxShort int
 	}{
 		"long prompts delay short ones":       {16, 32, Fleet{Endpoints: 9, Slots: 64, Targets: examTargets}, 1, 3},
 		"more streams need more slots":        {16, 120, Fleet{Endpoints: 9, Slots: 64, Targets: examTargets}, 4, 8},
@@ -146,8 +146,8 @@
 			addExamTraffic(s, test.essays, test.hints)
 			test.fleet.Hosts = 1
 			s.Refresh(start, &test.fleet)
-			qt.Check(t, s.ShortEndpoints() >= test.least && s.ShortEndpoints() <= test.most, qt.IsTrue, qt.Commentf("%d", s.ShortEndpoints()))
-			qt.Check(t, s.IsLong(essay), qt.Equals, test.most > 0)
+			qt.Check(t, s.ShortEndpoints() >= test.minShort && s.ShortEndpoints() <= test.maxShort, qt.IsTrue, qt.Commentf("%d", s.ShortEndpoints()))
+			qt.Check(t, s.IsLong(essay), qt.Equals, test.maxShort > 0)
 			qt.Check(t, s.IsLong(hint), qt.IsFalse)
 		})
 	}
--- a/internal/front/engine/figure.go
+++ b/internal/front/engine/figure.go
@@ -31,7 +31,7 @@
 
 // observe moves the figure towards a sample. Quantile is the share of samples that should lie below the figure: 0.5
 // makes it the median. A sample that is not positive and finite is ignored.
-func (f *Figure) observe(sample, quantile, first float64) {
+func (f *Figure) observe(sample, quantile, initial float64) {
 	if !(sample > 0) || math.IsInf(sample, 0) {
 		return
 	}
@@ -41,13 +41,13 @@
 	} else {
 		f.Value *= math.Exp(-2 * step * (1 - quantile))
 	}
-	f.Value = clamp(f.Value, first)
+	f.Value = clamp(f.Value, initial)
 	f.Samples = min(f.Samples+1, maxSamples)
 }
 
 // clamp limits a value to within maxFactor of the initial one.
-func clamp(value, first float64) float64 {
-	return min(max(value, first/maxFactor), first*maxFactor)
+func clamp(value, initial float64) float64 {
+	return min(max(value, initial/maxFactor), initial*maxFactor)
 }
 
 // mean is a weighted geometric mean of figures.
--- a/internal/front/engine/predict.go
+++ b/internal/front/engine/predict.go
@@ -122,15 +122,15 @@
 	return math.Pow(min(busy, maxUtilization), max(longer, 1))
 }
 
-// leastPauseTarget returns the lowest target for pauses, or 0.
-func leastPauseTarget(loads []classLoad) time.Duration {
-	var least time.Duration
+// minPauseTarget returns the lowest target for pauses, or 0.
+func minPauseTarget(loads []classLoad) time.Duration {
+	var lowest time.Duration
 	for _, l := range loads {
-		if l.Pause > 0 && (least == 0 || l.Pause < least) {
-			least = l.Pause
+		if l.Pause > 0 && (lowest == 0 || l.Pause < lowest) {
+			lowest = l.Pause
 		}
 	}
-	return least
+	return lowest
 }
 
 // longPromptMissProb returns the probability that a stream of the short classes misses its target if it runs at one
--- a/internal/front/engine/service.go
+++ b/internal/front/engine/service.go
@@ -194,13 +194,13 @@
 
 // mergeFigure returns the mean of one figure over its initial value and all hosts, weighted by samples. Known holds the
 // figures of this host, or of all hosts of a large fleet.
-func (s *Service) mergeFigure(first float64, known *Figures, of func(*Figures) *Figure) Figure {
+func (s *Service) mergeFigure(initial float64, known *Figures, of func(*Figures) *Figure) Figure {
 	var m mean
-	m.add(first, priorSamples)
-	m.add(clamp(of(known).Value, first), of(known).Samples)
+	m.add(initial, priorSamples)
+	m.add(clamp(of(known).Value, initial), of(known).Samples)
 	for _, report := range s.peers {
 		theirs := of(&report.Figures)
-		m.add(clamp(theirs.Value, first), min(theirs.Samples, maxSamples))
+		m.add(clamp(theirs.Value, initial), min(theirs.Samples, maxSamples))
 	}
 	return Figure{Value: m.value(), Samples: m.weight}
 }
--- a/internal/front/engine/split.go
+++ b/internal/front/engine/split.go
@@ -42,7 +42,8 @@
 	// minCutGain is the minimum share of the requests that a cut must save from being late.
 	minCutGain = 0.01
 	// minCutTime is the minimum time for which a cut stays in force. A cut decided from traffic of a shorter time stays
-	// only for that time, since the first seconds of a fleet's traffic can give a wrong cut.
+	// only for that time: a wrong cut from the first second of a fleet's traffic would otherwise leave short prompts
+	// beside long ones for ten seconds.
 	minCutTime = 10 * time.Second
 	// currentCutFactor is the factor by which the gain of the cut in force is multiplied.
 	currentCutFactor = 2
@@ -102,7 +103,7 @@
 
 // predictMisses predicts the effect of a split on the short classes.
 func (s *Service) predictMisses(loads []classLoad, cut int, size float64, fleet *Fleet) {
-	s.minPause = leastPauseTarget(loads[cut:])
+	s.minPause = minPauseTarget(loads[cut:])
 	s.mixedMiss = s.longPromptMissProb(loads[:cut], loads[cut:], float64(fleet.Endpoints)-size)
 }
 
@@ -187,12 +188,12 @@
 	if len(long) == 0 || fleet.Endpoints < 2 {
 		return 0, 0
 	}
-	least, most := s.sizeBounds(long, short, endpoints)
-	step := max((most-least)/maxSizeSteps, 1)
-	sizes := s.lateRateBySize(long, short, fleet, sizeRange{least, most, step})
+	minSize, maxSize := s.sizeBounds(long, short, endpoints)
+	step := max((maxSize-minSize)/maxSizeSteps, 1)
+	sizes := s.lateRateBySize(long, short, fleet, sizeRange{minSize, maxSize, step})
 	best := slices.MinFunc(sizes, func(a, b sizeLate) int { return cmp.Compare(a.late, b.late) })
 	if step > 1 {
-		around := sizeRange{max(best.size-step, least), min(best.size+step, most), max(step/maxSizeSteps, 1)}
+		around := sizeRange{max(best.size-step, minSize), min(best.size+step, maxSize), max(step/maxSizeSteps, 1)}
 		sizes = append(sizes, s.lateRateBySize(long, short, fleet, around)...)
 		best = slices.MinFunc(sizes, func(a, b sizeLate) int { return cmp.Compare(a.late, b.late) })
 	}
@@ -207,7 +208,7 @@
 }
 
 // sizeRange is a range of endpoint numbers to compare.
-type sizeRange struct{ least, most, step float64 }
+type sizeRange struct{ minSize, maxSize, step float64 }
 
 // sizeLate is the rate of late requests, per ms, with a number of endpoints.
 type sizeLate struct{ size, late float64 }
@@ -216,7 +217,7 @@
 func (s *Service) lateRateBySize(long, short []classLoad, fleet *Fleet, sizes sizeRange) []sizeLate {
 	endpoints := float64(fleet.Endpoints)
 	var late []sizeLate
-	for kept := sizes.least; kept <= sizes.most; kept += sizes.step {
+	for kept := sizes.minSize; kept <= sizes.maxSize; kept += sizes.step {
 		late = append(late, sizeLate{size: kept, late: s.lateRate(long, endpoints-kept) + s.lateRate(short, kept) +
 			overflowRate(long, endpoints-kept, fleet) + overflowRate(short, kept, fleet)})
 	}
@@ -224,13 +225,14 @@
 }
 
 // sizeBounds returns the bounds on the number of endpoints for short classes within which both sides can process their
-// prompts. If there is no such number, short classes take precedence and may get up to twice their minimum: they need
-// few endpoints, and streams pause at endpoints that are always busy.
-func (s *Service) sizeBounds(long, short []classLoad, endpoints float64) (least, most float64) {
-	least = max(s.utilization(short, 1)/maxSideUtilization, 1)
-	most = endpoints - max(s.utilization(long, 1)/maxSideUtilization, 1)
-	least = min(least, endpoints-1)
-	return least, max(most, min(2*least, endpoints/2), least)
+// prompts. If there is no such number, short classes take precedence: the upper bound is then twice their minimum, or
+// half of all endpoints if that is less, but never below the minimum. They need few endpoints, and streams pause at
+// endpoints that are always busy.
+func (s *Service) sizeBounds(long, short []classLoad, endpoints float64) (minSize, maxSize float64) {
+	minSize = max(s.utilization(short, 1)/maxSideUtilization, 1)
+	maxSize = endpoints - max(s.utilization(long, 1)/maxSideUtilization, 1)
+	minSize = min(minSize, endpoints-1)
+	return minSize, max(maxSize, min(2*minSize, endpoints/2), minSize)
 }
 
 // isCutInForce reports whether the classes are exactly the long ones of the cut in force.
