--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -202,8 +202,8 @@
 	return action
 }
 
-// abandonAttempt ends the grant and excludes the endpoint from further tries. A preempted request may return to any
-// endpoint.
+// abandonAttempt ends the grant and adds the endpoint to those that further tries avoid. A preempted request may return
+// to any endpoint.
 func (r *run) abandonAttempt(event request.Event, next request.Action) {
 	r.job.Request.Avoid = append(r.job.Request.Avoid, r.endpointID)
 	cause, result := counters.WasteBroken, admission.Failed
