--- a/internal/front/relay/attempt.go
+++ b/internal/front/relay/attempt.go
@@ -118,8 +118,8 @@
 }
 
 // reportBroken reports a call that was sent and then broken by its endpoint, which may have crashed while running it.
-// Begun is set if the endpoint had begun to answer, or if it would not have shown that. A call that this host aborted
-// is not reported.
+// Begun is set if the endpoint had begun to answer, and for every plain call, since its endpoint does not show when it
+// begins. A call that this host aborted is not reported.
 func (x *exchange) reportBroken(ctx context.Context, a *owner.Attempt, begun bool) {
 	if ctx.Err() == nil {
 		x.server.parts.Poison.RecordBrokenCall(&poison.Call{Request: x.key, Endpoint: a.EndpointID, Address: a.Endpoint.Address, Begun: begun})
--- a/internal/front/relay/exchange.go
+++ b/internal/front/relay/exchange.go
@@ -23,7 +23,7 @@
 
 	call     Call
 	revision uint64
-	// age is the maximum age of the settings when they were applied, or freshness.Unknown.
+	// age is the maximum age of the settings when they were applied to the request, or freshness.UnknownAge.
 	age       time.Duration
 	route     settings.HostRoute
 	workspace string
@@ -77,11 +77,11 @@
 	return refusal
 }
 
-// timeLimit returns how long a request may take: the limit of its class, or the caller's own limit if that is shorter
-// or the class has none.
-func timeLimit(class, patience time.Duration) time.Duration {
-	if patience > 0 && (patience < class || class == 0) {
-		return patience
+// timeLimit returns how long a request may take: the limit of its class, or the caller's maximum wait if that is
+// shorter or the class has no limit.
+func timeLimit(class, maxWait time.Duration) time.Duration {
+	if maxWait > 0 && (maxWait < class || class == 0) {
+		return maxWait
 	}
 	return class
 }
