--- a/internal/httprelay/body.go
+++ b/internal/httprelay/body.go
@@ -10,7 +10,7 @@
 )
 
 // ReadBody reads the complete body of a request, up to limit bytes and within a timeout. It returns a failure as the
-// refusal for the caller.
+// refusal for the caller; nothing has been sent to an endpoint then.
 func ReadBody(w http.ResponseWriter, r *http.Request, limit int64, timeout time.Duration) ([]byte, *request.Refusal) {
 	body, _, refusal := ReadHead(w, r, limit, limit+1, timeout)
 	return body, refusal
