--- a/internal/retrybudget/fleet_test.go
+++ b/internal/retrybudget/fleet_test.go
@@ -48,8 +48,8 @@
 	limits := Limits{Slack: 56, Window: 10 * time.Second}
 	tests := map[string]struct {
 		// after is the time since they last saw each other.
-		after time.Duration
-		most  int
+		after      time.Duration
+		maxRetries int
 	}{
 		"just now":                 {0, 56},
 		"shorter than the timeout": {missingHostTimeout - 1, 56},
@@ -72,7 +72,7 @@
 					retries++
 				}
 			}
-			c.Check(retries <= test.most, qt.IsTrue, qt.Commentf("%d retries", retries))
+			c.Check(retries <= test.maxRetries, qt.IsTrue, qt.Commentf("%d retries", retries))
 		})
 	}
 }
