--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -27,8 +27,8 @@
 const (
 	// ReasonNext: the request was next by tier and order of arrival.
 	ReasonNext Reason = "tier"
-	// ReasonPlaced: placement found the endpoint with the lowest cost. It is written as "tier" because recorded logs
-	// and their readers know no other reason for this grant; the tier only determines whether there is room.
+	// ReasonPlaced: placement found an endpoint with room at the lowest cost. It is written as "tier" because recorded
+	// logs and their readers know no other reason for this grant; the tier only determines whether there is room.
 	ReasonPlaced Reason = "tier"
 	// ReasonShare: the class's guaranteed share put the request ahead of higher tiers.
 	ReasonShare Reason = "share"
