--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -21,8 +21,8 @@
 
 // Jitter returns a random part of a span, at least the given fraction of it, so that hosts that failed together don't
 // retry together. Random is in [0, 1).
-func Jitter(span time.Duration, least, random float64) time.Duration {
-	return time.Duration((least + (1-least)*random) * float64(span))
+func Jitter(span time.Duration, minPart, random float64) time.Duration {
+	return time.Duration((minPart + (1-minPart)*random) * float64(span))
 }
 
 // Spread returns a random time around a mean, from an interval whose width is the given part of the mean, so that hosts
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -25,8 +25,8 @@
 
 func TestJitter(t *testing.T) {
 	tests := map[string]struct {
-		least, random float64
-		want          time.Duration
+		minPart, random float64
+		want            time.Duration
 	}{
 		"full, lowest":  {0, 0, 0},
 		"full, middle":  {0, 0.5, 500 * time.Millisecond},
@@ -35,7 +35,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			qt.Check(t, Jitter(time.Second, test.least, test.random), qt.Equals, test.want)
+			qt.Check(t, Jitter(time.Second, test.minPart, test.random), qt.Equals, test.want)
 		})
 	}
 }
