--- a/internal/front/freshness/freshness.go
+++ b/internal/front/freshness/freshness.go
@@ -36,8 +36,8 @@
 	return fmt.Sprintf("topic %d", int(t))
 }
 
-// StoreTime is a reading of the store's monotonic clock. Readings from different eras are not comparable, because
-// another machine may run the store after a restore.
+// StoreTime is a reading of the store's monotonic clock: the time since a starting point that the store chooses.
+// Readings from different eras are not comparable, because another machine may run the store after a restore.
 type StoreTime time.Duration
 
 // Answer describes an answer of the store to a call of this host. It confirms that the state in force at this host
--- a/internal/front/freshness/rules.go
+++ b/internal/front/freshness/rules.go
@@ -38,8 +38,8 @@
 }
 
 const (
-	// AskAfter is the age from which hosts call the store themselves: two phases, because one reader may fail or its
-	// datagram may be lost, plus delays.
+	// AskAfter is the age from which hosts call the store themselves: two phases, because one reader may be
+	// unresponsive or its datagram may be lost, plus delays.
 	AskAfter = 1100 * time.Millisecond
 	// AskStep is the additional delay for each doubling of a host's position in the order: the answer to the hosts
 	// before it reaches it first, and all hosts of a fleet of 380 have called within a second.
