--- a/internal/front/peersync/endpoints.go
+++ b/internal/front/peersync/endpoints.go
@@ -190,8 +190,8 @@
 	return response, nil
 }
 
-// applyChanges applies a peer's changes, if this host has all changes before them. It returns false if they cannot
-// be applied.
+// applyChanges applies a peer's changes. It returns false if this host lacks earlier changes or an entry of which only
+// the state changes, or if the changes cannot be decompressed.
 func (s *Endpoints) applyChanges(peer string, response *gossip.ChangesResponse) bool {
 	entries, err := decompressChanges(response.Entries)
 	if err == nil {
--- a/internal/front/peersync/peersync.go
+++ b/internal/front/peersync/peersync.go
@@ -22,8 +22,8 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// heartbeatsPerChange is the number of heartbeats that carry a change, because datagrams may be lost. With one in 40
-// lost, as on a bad day of mfs-kochi, a host misses one change in 64,000 and fetches it from a peer.
+// heartbeatsPerChange is the number of heartbeats that carry a change, because datagrams may be lost. If one in 40 is
+// lost, a host misses one change in 64,000 and fetches it from a peer.
 const heartbeatsPerChange = 3
 
 // fromStore is the source of a change from the store in logs.
@@ -159,7 +159,8 @@
 	return response
 }
 
-// ApplyChanges puts a peer's changes of the directory in force. It returns false if they cannot be applied.
+// ApplyChanges puts a peer's changes of the directory in force. It returns false if this host lacks earlier changes or
+// an entry of which only the state changes, or if the changes cannot be decompressed.
 func (s *Sync) ApplyChanges(peer string, response gossip.ChangesResponse) bool {
 	return s.parts.Endpoints.applyChanges(peer, &response)
 }
