--- a/internal/front/gossip/confirm.go
+++ b/internal/front/gossip/confirm.go
@@ -59,7 +59,7 @@
 
 // isOfLaterEra reports whether a confirmation belongs to an era of the store after the first. Hosts of versions without
 // eras accept revisions of a later era from peers and then confirm state that they have not read. Confirmations of
-// later eras are therefore sent as an envelope, which those versions never send.
+// later eras are therefore sent as envelopes of KindConfirmation, which those versions never send.
 func isOfLaterEra(topics []TopicConfirmation) bool {
 	return slices.ContainsFunc(topics, func(t TopicConfirmation) bool { return era.Of(t.Revision) > 0 })
 }
--- a/internal/front/gossip/gossip.go
+++ b/internal/front/gossip/gossip.go
@@ -75,7 +75,7 @@
 	// Respond returns the settings and the directory if they are newer than a peer's revisions.
 	Respond(request SyncRequest) SyncResponse
 	// Changes returns the changes of the directory after a peer's revision. ApplyChanges applies a peer's changes; it
-	// reports false if this host lacks the entries that they change.
+	// reports false if it can't, such as for lack of an entry that they change, and a snapshot has to be fetched.
 	Changes(request ChangesRequest) ChangesResponse
 	ApplyChanges(peer string, response ChangesResponse) bool
 	// Apply applies a peer's response. Peer is the member's state from before the call.
--- a/internal/front/gossip/messages.go
+++ b/internal/front/gossip/messages.go
@@ -225,7 +225,7 @@
 	All     int
 }
 
-// EngineReport is the sender's estimates of the engines and the traffic of a service. The fields are those of package
+// EngineReport holds the sender's estimates of the engines and the traffic of a service. The fields are those of package
 // engine.
 type EngineReport struct {
 	_ struct{} `cbor:",toarray"`
--- a/internal/front/gossip/registry.go
+++ b/internal/front/gossip/registry.go
@@ -24,11 +24,12 @@
 	firstPeersWait = 400 * time.Millisecond
 	// joinQuietTime is how long no peer must have joined before a host relies on its place in the order: it learns of
 	// more peers with each heartbeat. A host that has seen few peers takes itself for a reader; in a large fleet that
-	// starts together, this costs thousands of calls to the store.
+	// starts together, this costs thousands of calls to the store (TestFleetStartCausesFewStoreCalls).
 	joinQuietTime = 700 * time.Millisecond
 	// maxSettleTime bounds that wait where peers keep joining. It is also how long a host waits before it takes over
 	// from readers of the store: their first held call and their next heartbeat take 3.3 s. Without this wait, a fleet
-	// of 40 hosts that start together made up to 158 calls, because all twelve possible readers began at once.
+	// of 40 hosts that start together made up to 158 calls, 80 of them the hosts' first reads of both tables, because
+	// all twelve possible readers began at once.
 	maxSettleTime = 6 * time.Second
 	// registerInterval is the mean time between two attempts to register.
 	registerInterval = 2 * time.Second
