--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -312,7 +312,7 @@
 		h.unregister(ctx)
 	}()
 	h.parts.Leadership.resign()
-	// If ctx ends during the notice, Finish aborts the requests in flight immediately.
+	// If ctx ends during the notice, DrainServer aborts the requests in flight immediately.
 	lifetime.Sleep(ctx, h.parts.Config.Drain.Notice)
 	cut := lifetime.DrainServer(ctx, h.callers, h.parts.Owner.Drain, stopMargin)
 	h.parts.Gossip.Leave()
@@ -334,7 +334,7 @@
 			return
 		}
 		if !lifetime.Sleep(ctx, backoff.Jitter(unregisterBackoff.Span(tries), 0.5, randomNumber())) {
-			h.log.WithError(err).Warn("not removed from the registry before the drain's limit, the host's address may stay registered")
+			h.log.WithError(err).Warn("the host's address was not removed from the registry before the drain's limit, it may stay registered")
 			return
 		}
 	}
