--- a/internal/front/peersync/endpoints.go
+++ b/internal/front/peersync/endpoints.go
@@ -201,7 +201,7 @@
 			return s.update(peer, response, entries, states)
 		}
 	}
-	s.parts.Log.WithError(err).WithField("from", peer).Warn("a peer's changes can't be decompressed")
+	s.parts.Log.WithError(err).WithField("from", peer).Warn("a peer's changes can't be decompressed, a snapshot is fetched instead")
 	return false
 }
 
@@ -249,7 +249,7 @@
 func (s *Endpoints) applySnapshot(peer string, snapshot *gossip.DirectorySnapshot) {
 	entries, err := decompressEntries(snapshot.Entries)
 	if err != nil {
-		s.parts.Log.WithError(err).WithField("from", peer).Warn("a peer's endpoints can't be decompressed")
+		s.parts.Log.WithError(err).WithField("from", peer).Warn("a peer's endpoints can't be decompressed, they are ignored")
 		return
 	}
 	s.replace(directory.Snapshot{Revision: snapshot.Revision, Changed: snapshot.Changed, Entries: entries}, peer)
--- a/internal/front/peersync/peersync.go
+++ b/internal/front/peersync/peersync.go
@@ -134,17 +134,17 @@
 	delete(s.sums.proposals, peer)
 }
 
-// Respond returns what is newer than a peer's revisions.
+// Respond returns the settings and the directory if they are newer than a peer's revisions.
 func (s *Sync) Respond(request gossip.SyncRequest) gossip.SyncResponse {
 	var response gossip.SyncResponse
 	var err error
 	response.Settings, response.Base, err = s.parts.Settings.documents.compressFor(request.Settings)
 	if err != nil {
-		s.parts.Log.WithError(err).Error("the settings can't be compressed for a peer")
+		s.parts.Log.WithError(err).Error("the settings can't be compressed for a peer, the response lacks them")
 	}
 	if s.parts.Endpoints.hasNewerThan(request.Directory) {
 		if response.Snapshot, err = s.parts.Endpoints.snapshot(); err != nil {
-			s.parts.Log.WithError(err).Error("the endpoints can't be compressed for a peer")
+			s.parts.Log.WithError(err).Error("the endpoints can't be compressed for a peer, the response lacks them")
 		}
 	}
 	return response
@@ -154,7 +154,7 @@
 func (s *Sync) Changes(request gossip.ChangesRequest) gossip.ChangesResponse {
 	response, err := s.parts.Endpoints.changes(request.Directory)
 	if err != nil {
-		s.parts.Log.WithError(err).Error("changes of endpoints can't be compressed for a peer")
+		s.parts.Log.WithError(err).Error("changes of endpoints can't be compressed for a peer, it has to fetch a snapshot")
 	}
 	return response
 }
--- a/internal/front/peersync/settings.go
+++ b/internal/front/peersync/settings.go
@@ -215,7 +215,7 @@
 	document, ok, err := s.documents.decompress(base, data)
 	if err != nil {
 		s.parts.Counters.SettingsRejected.Inc()
-		s.parts.Log.WithError(err).WithFields(logrus.Fields{"from": peer, "base": base}).Warn("a peer's configuration can't be decompressed")
+		s.parts.Log.WithError(err).WithFields(logrus.Fields{"from": peer, "base": base}).Warn("a peer's configuration can't be decompressed, it is ignored")
 		return
 	}
 	if ok {
