--- a/internal/front/peersync/peersync.go
+++ b/internal/front/peersync/peersync.go
@@ -22,8 +22,8 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// heartbeatsPerChange is the number of heartbeats that carry a change, because datagrams may be lost. With one in 40
-// lost, as on a bad day of mfs-kochi, a host misses one change in 64,000 and fetches it from a peer.
+// heartbeatsPerChange is the number of heartbeats that carry a change, because datagrams may be lost. If one in 40 is
+// lost, a host misses one change in 64,000 and fetches it from a peer.
 const heartbeatsPerChange = 3
 
 // fromStore is the source of a change from the store in logs.
@@ -134,17 +134,17 @@
 	delete(s.sums.proposals, peer)
 }
 
-// Respond returns what is newer than a peer's revisions.
+// Respond returns the settings and the directory if they are newer than a peer's revisions.
 func (s *Sync) Respond(request gossip.SyncRequest) gossip.SyncResponse {
 	var response gossip.SyncResponse
 	var err error
 	response.Settings, response.Base, err = s.parts.Settings.documents.compressFor(request.Settings)
 	if err != nil {
-		s.parts.Log.WithError(err).Error("the settings can't be compressed for a peer")
+		s.parts.Log.WithError(err).Error("the settings can't be compressed for a peer, the response lacks them")
 	}
 	if s.parts.Endpoints.hasNewerThan(request.Directory) {
 		if response.Snapshot, err = s.parts.Endpoints.snapshot(); err != nil {
-			s.parts.Log.WithError(err).Error("the endpoints can't be compressed for a peer")
+			s.parts.Log.WithError(err).Error("the endpoints can't be compressed for a peer, the response lacks them")
 		}
 	}
 	return response
@@ -154,12 +154,13 @@
 func (s *Sync) Changes(request gossip.ChangesRequest) gossip.ChangesResponse {
 	response, err := s.parts.Endpoints.changes(request.Directory)
 	if err != nil {
-		s.parts.Log.WithError(err).Error("changes of endpoints can't be compressed for a peer")
+		s.parts.Log.WithError(err).Error("changes of endpoints can't be compressed for a peer, it has to fetch a snapshot")
 	}
 	return response
 }
 
-// ApplyChanges puts a peer's changes of the directory in force. It returns false if they cannot be applied.
+// ApplyChanges puts a peer's changes of the directory in force. It returns false if this host lacks earlier changes or
+// an entry of which only the state changes, or if the changes cannot be decompressed.
 func (s *Sync) ApplyChanges(peer string, response gossip.ChangesResponse) bool {
 	return s.parts.Endpoints.applyChanges(peer, &response)
 }
