--- a/cmd/oxbowslip/logs.go
+++ b/cmd/oxbowslip/logs.go
@@ -67,7 +67,7 @@
 		}
 		fmt.Fprintln(w)
 	}
-	fmt.Fprintln(w, "what the hosts believed meanwhile")
+	fmt.Fprintln(w, "log lines on its endpoints, the store and the settings")
 	fmt.Fprintln(w, "time\thost\tline\tendpoint\tcause")
 	for i := range history.Around {
 		l := &history.Around[i]
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -18,7 +18,8 @@
 
 const (
 	// driftTolerance is the drift between the wall clock and the monotonic clock above which the suspended time is read
-	// again. It is well above the usual slew of the wall clock, and well below any time limit of a host.
+	// again. It is well above the drift that slewing of the wall clock causes between two checks for a suspension, and
+	// well below any time limit of a host.
 	driftTolerance = 20 * time.Millisecond
 	// minSuspension is the shortest suspension that is detected. Shorter differences can come from reading the two system
 	// clocks one after the other.
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -15,19 +15,19 @@
 // machine is a Source whose clocks the test advances.
 type machine struct {
 	mu             sync.Mutex
-	steady         time.Time
+	monotonic      time.Time
 	wallAhead      time.Duration
 	suspended      time.Duration
 	err            error
 	suspendedCalls int
 }
 
-func newMachine() *machine { return &machine{steady: time.Unix(1000, 0)} }
+func newMachine() *machine { return &machine{monotonic: time.Unix(1000, 0)} }
 
 func (m *machine) Now() (time.Time, time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.steady, m.wallAhead
+	return m.monotonic, m.wallAhead
 }
 
 func (m *machine) Suspended() (time.Duration, error) {
@@ -44,10 +44,10 @@
 	m.change(0, span, span)
 }
 
-func (m *machine) change(steady, day, suspended time.Duration) {
+func (m *machine) change(monotonic, wallAhead, suspended time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.steady, m.wallAhead, m.suspended = m.steady.Add(steady), m.wallAhead+day, m.suspended+suspended
+	m.monotonic, m.wallAhead, m.suspended = m.monotonic.Add(monotonic), m.wallAhead+wallAhead, m.suspended+suspended
 }
 
 func newTestClock(m *machine) *Clock {
--- a/internal/daemon/api/golden_test.go
+++ b/internal/daemon/api/golden_test.go
@@ -8,8 +8,8 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// TestGoldenRefusals compares the status, headers and body of each refusal with those of commit
-// 4c58500.
+// TestGoldenRefusals checks that the status, headers and body of each refusal equal the recorded
+// ones, because callers rely on them.
 func TestGoldenRefusals(t *testing.T) {
 	golden.Refusals(t, func(w http.ResponseWriter, refusal *request.Refusal) {
 		writeRefusal(w, "id-1", refusal, []string{"known"})
--- a/internal/daemon/commit/commit_test.go
+++ b/internal/daemon/commit/commit_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// noPeers is a poller.Peers without an answer.
+// noPeers is a poller.FetchFromPeers that gets no answer.
 func noPeers(context.Context, uint64) (change.Document, bool) { return change.Document{}, false }
 
 // TestConcurrentChangesAreAcceptedOnce lets several operators change different classes at different hosts
--- a/internal/daemon/peer/golden_test.go
+++ b/internal/daemon/peer/golden_test.go
@@ -57,8 +57,8 @@
 	return list
 }
 
-// TestGoldenFrames compares the encoding of each frame with that of hosts of commit 4c58500, and
-// decodes their frames.
+// TestGoldenFrames compares the encoding of each frame with the recorded one, which hosts of older
+// versions send, and decodes the recorded frames.
 func TestGoldenFrames(t *testing.T) {
 	for name, f := range frames() {
 		t.Run(name, func(t *testing.T) { golden.Message(t, name, f) })
--- a/internal/daemon/schedule/shares.go
+++ b/internal/daemon/schedule/shares.go
@@ -33,14 +33,14 @@
 // grant, but no burst after a quiet period.
 const maxCredit = 2
 
-func (b *shareTable) account(class string) *shareAccount {
-	a, ok := b.classes[class]
+func (t *shareTable) account(class string) *shareAccount {
+	a, ok := t.classes[class]
 	if !ok {
 		a = &shareAccount{class: class}
 		a.flows.index = func(f *flow) *int { return &f.accountIndex }
 		a.flows.less = func(f, g *flow) bool { return byArrival(f.head(), g.head()) }
-		b.classes[class] = a
-		b.order = append(b.order, a)
+		t.classes[class] = a
+		t.order = append(t.order, a)
 	}
 	return a
 }
--- a/internal/daemon/schedule/takeover_test.go
+++ b/internal/daemon/schedule/takeover_test.go
@@ -114,34 +114,34 @@
 	})
 }
 
-func (b *ownerState) take(now time.Time, s *Scheduler) {
+func (o *ownerState) take(now time.Time, s *Scheduler) {
 	for _, d := range s.TakeDecisions() {
-		r, ok := b.waiting[d.ID]
+		r, ok := o.waiting[d.ID]
 		if !ok || d.Kind != admission.Grant {
 			continue
 		}
-		delete(b.waiting, d.ID)
-		b.running[d.ID] = r
-		b.endpoints[d.ID] = d.Endpoint
+		delete(o.waiting, d.ID)
+		o.running[d.ID] = r
+		o.endpoints[d.ID] = d.Endpoint
 		s.RecordStart(now, d.ID)
 	}
 }
 
-func (b *ownerState) finishOne(now time.Time, s *Scheduler) {
+func (o *ownerState) finishOne(now time.Time, s *Scheduler) {
 	first := ""
-	for id := range b.running {
+	for id := range o.running {
 		if first == "" || id < first {
 			first = id
 		}
 	}
 	if first != "" {
-		delete(b.running, first)
+		delete(o.running, first)
 		s.RecordEnd(now, first, admission.Answered, 5)
 	}
 }
 
 // move hands the shard to the other scheduler. The old scheduler may have crashed and is empty then.
-func (b *ownerState) move(t *rapid.T, now time.Time, schedulers *[2]*Scheduler, from int) int {
+func (o *ownerState) move(t *rapid.T, now time.Time, schedulers *[2]*Scheduler, from int) int {
 	to := 1 - from
 	crashed := rapid.Bool().Draw(t, "dead")
 	if crashed {
@@ -149,13 +149,13 @@
 		schedulers[from].SetEndpoints(now, endpoints(2, 2))
 	}
 	schedulers[to].Hold(now.Add(100 * time.Millisecond))
-	for id, r := range b.waiting {
+	for id, r := range o.waiting {
 		schedulers[from].Withdraw(now, id)
 		schedulers[to].Submit(now, r)
 	}
-	for id, r := range b.running {
+	for id, r := range o.running {
 		schedulers[from].Withdraw(now, id)
-		schedulers[to].Adopt(now, r, b.endpoints[id], 1)
+		schedulers[to].Adopt(now, r, o.endpoints[id], 1)
 	}
 	return to
 }
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -47,9 +47,9 @@
 		Refusals: d.parts.Counters.RefusalsByReason(),
 	}
 	for _, name := range d.shards.Names() {
-		d.shards.Inspect(name, func(core *schedule.Scheduler) {
-			shard := operator.ShardStatus{Name: name, Waiting: core.NumWaiting(), Running: core.NumRunning()}
-			for _, e := range core.Endpoints() {
+		d.shards.Inspect(name, func(scheduler *schedule.Scheduler) {
+			shard := operator.ShardStatus{Name: name, Waiting: scheduler.NumWaiting(), Running: scheduler.NumRunning()}
+			for _, e := range scheduler.Endpoints() {
 				shard.Endpoints = append(shard.Endpoints, operator.EndpointStatus{
 					ID: e.ID, InFlight: e.InFlight, Limit: e.Limit, Between: e.BetweenTokens, Ejected: string(e.Ejected), Probing: e.Probing,
 				})
--- a/internal/proof/demo/faults.go
+++ b/internal/proof/demo/faults.go
@@ -41,7 +41,7 @@
 	for _, fault := range Faults {
 		names = append(names, string(fault))
 	}
-	return "", merry.Errorf("no fault %q; the faults are %s", name, strings.Join(names, ", "))
+	return "", merry.Errorf("unknown fault %q, expected one of: %s", name, strings.Join(names, ", "))
 }
 
 // faultyEngine is the engine to which the faults of engines and endpoints apply.
@@ -108,9 +108,9 @@
 	case HostDrain:
 		aborted, err := c.Drain(context.WithoutCancel(ctx), c.Hosts()[c.Config.Hosts-1])
 		if err != nil {
-			return "the last host's planned stop failed: " + err.Error()
+			return "the last host's graceful stop failed: " + err.Error()
 		}
-		return fmt.Sprintf("the last host stopped as planned and cut %d requests", aborted)
+		return fmt.Sprintf("the last host stopped gracefully and aborted %d requests", aborted)
 	case EndpointOut:
 		if err := c.SetEndpointState(faultyEngine, settings.StateOut); err != nil {
 			return "the change failed: " + err.Error()
--- a/internal/proof/demo/invariants.go
+++ b/internal/proof/demo/invariants.go
@@ -125,7 +125,7 @@
 	if c.abortedRequests == 0 {
 		return nil
 	}
-	return []string{fmt.Sprintf("%d requests were cut", c.abortedRequests)}
+	return []string{fmt.Sprintf("%d requests were aborted by graceful stops", c.abortedRequests)}
 }
 
 func findSettingsRollbacks(_ *Cluster, r *Report) []string { return r.settingsRollbacks }
--- a/internal/proof/replay/invariant.go
+++ b/internal/proof/replay/invariant.go
@@ -81,7 +81,7 @@
 			return
 		}
 	}
-	sim.recordViolation(PreemptDownwards, fmt.Sprintf("%s of tier %d was preempted for nobody above", j.id, j.policy.Tier))
+	sim.recordViolation(PreemptDownwards, fmt.Sprintf("%s of tier %d was preempted although no request of a higher tier waits", j.id, j.policy.Tier))
 }
 
 // checkFinalState checks the invariants that hold for the run as a whole, after the last event.
--- a/internal/proof/replay/outcomes.go
+++ b/internal/proof/replay/outcomes.go
@@ -35,7 +35,7 @@
 		attainment := attained / math.Max(weight, 1)
 		served := float64(answered) / float64(max(sent, 1))
 		wait := time.Duration(o.MaxWaitMillis) * time.Millisecond
-		r.requireOutcome(sent > 0, "%s: picks no request", name)
+		r.requireOutcome(sent > 0, "%s: matches no request", name)
 		r.requireOutcome(attainment >= o.MinAttainment, "%s: attainment %.4f, stated at least %.4f", name, attainment, o.MinAttainment)
 		r.requireOutcome(served >= o.MinServed, "%s: served %.4f, stated at least %.4f", name, served, o.MinServed)
 		r.requireOutcome(wait == 0 || longest <= wait, "%s: longest wait %s, stated at most %s", name, longest, wait)
--- a/internal/proof/replay/policy.go
+++ b/internal/proof/replay/policy.go
@@ -54,7 +54,7 @@
 	case Current:
 		return schedule.New(schedule.Options{}), nil
 	}
-	return nil, merry.Errorf("no policy %q; the policies are %s", name, strings.Join(Policies, ", "))
+	return nil, merry.Errorf("unknown policy %q, expected one of: %s", name, strings.Join(Policies, ", "))
 }
 
 // baseline grants every request immediately and leaves queueing to the engines, as a router without
@@ -125,7 +125,8 @@
 	}
 }
 
-// leastLoaded returns the endpoint with the lowest load, starting the search at a random endpoint.
+// leastLoaded returns the endpoint with the lowest load. The search starts at a random endpoint, so that the same
+// endpoint does not win every tie.
 func (d *baseline) leastLoaded(load func(*baselineEndpoint) int) *baselineEndpoint {
 	start := d.random.IntN(len(d.endpoints))
 	best := d.endpoints[start]
@@ -153,7 +154,7 @@
 	}
 }
 
-// Withdraw removes a request as Finished does.
+// Withdraw removes a request as RecordEnd does.
 func (d *baseline) Withdraw(now time.Time, id string) { d.RecordEnd(now, id, admission.Cancelled, 0) }
 
 // TakeDecisions returns and clears the pending decisions.
--- a/internal/proof/replay/report.go
+++ b/internal/proof/replay/report.go
@@ -227,10 +227,9 @@
 	return tokens / math.Max(to.Sub(from).Seconds(), 1)
 }
 
-// capacity returns the rate, in tokens per second, that the engines can generate at a target of 48 ms between
-// tokens, the
-// strictest target of the traces, given the trace's mean prompt and answer. The batch size b per engine is the solution of
-// step + b*perRequest + b*(prompt/answer)*perPromptToken = target, at most MaxRunning.
+// capacity returns the number of tokens per second that the engines can generate with the trace's mean prompt and
+// answer at a target of 48 ms between tokens, the strictest target of the traces. The batch size b of an engine is the
+// solution of step + b*perRequest + b*(prompt/answer)*perPromptToken = target, but at most MaxRunning.
 func (sim *simulation) capacity() float64 {
 	prompt, answer := 0.0, 0.0
 	target := 0.048
--- a/internal/proof/replay/trace.go
+++ b/internal/proof/replay/trace.go
@@ -174,7 +174,7 @@
 		return err
 	}
 	if (event.Class == "") == (event.Fault == "") {
-		return merry.New("an event has either a class or a fault")
+		return merry.New("event must have either a class or a fault")
 	}
 	t.Events = append(t.Events, event)
 	return nil
@@ -183,7 +183,7 @@
 // validate checks the format and replaces the settings by their validated form.
 func (t *Trace) validate() error {
 	if t.Header.Format != Format {
-		return merry.Errorf("trace format %d, this program reads %d", t.Header.Format, Format)
+		return merry.Errorf("unknown trace format %d, expected %d", t.Header.Format, Format)
 	}
 	data, err := settings.Encode(&t.Header.Settings)
 	if err != nil {
