--- a/cmd/oxbowslip/tool.go
+++ b/cmd/oxbowslip/tool.go
@@ -59,10 +59,10 @@
 		fmt.Fprintf(w, "host %s in %s, version %s: %s\n", s.Host, s.Zone, s.Version, state)
 		fmt.Fprintf(w, "settings revision %d, %d requests open\n\n", s.Revision, s.Open)
 		if s.Hosts > 0 {
-			fmt.Fprintf(w, "hears %d hosts; %d endpoints take work (directory revision %d), ejected: %s\n\n",
+			fmt.Fprintf(w, "%d live hosts in its membership; %d endpoints accept requests (directory revision %d), ejected: %s\n\n",
 				s.Hosts, s.Endpoints, s.Directory, strings.Join(s.Ejected, ", "))
 			if s.Era > 0 {
-				fmt.Fprintf(w, "the store is in era %d: it has come back from an older copy\n\n", s.Era)
+				fmt.Fprintf(w, "the store is in era %d: it was restored from an older copy\n\n", s.Era)
 			}
 		}
 		if f := s.Freshness; f != nil {
@@ -73,7 +73,7 @@
 			fmt.Fprintf(w, "leader: %s, token %d, lease ends in %s; usage reported up to window %d\n\n", cmp.Or(l.Host, "none"), l.Token, l.Left.Round(time.Millisecond), l.Reported)
 		}
 		for _, p := range s.Poison {
-			fmt.Fprintf(w, "does not send the request %s for %s: %d endpoints ended under it\n\n", p.Key, p.Left.Round(time.Second), len(p.Endpoints))
+			fmt.Fprintf(w, "does not send the request %s for %s: %d endpoints crashed while running it\n\n", p.Key, p.Left.Round(time.Second), len(p.Endpoints))
 		}
 		for _, p := range s.Pushback {
 			fmt.Fprintf(w, "endpoint %s %s\n\n", p.Endpoint, pushbackText(&p))
@@ -288,7 +288,7 @@
 		return err
 	}
 	return t.print(s.Poison, func(w *tabwriter.Writer) {
-		fmt.Fprintln(w, "request key\tfor\tendpoints that ended under it")
+		fmt.Fprintln(w, "request key\tfor\tendpoints that crashed while running it")
 		for _, p := range s.Poison {
 			fmt.Fprintf(w, "%s\t%s\t%s\n", p.Key, p.Left.Round(time.Second), strings.Join(p.Endpoints, ", "))
 		}
