--- a/internal/front/ratelimit/lender_test.go
+++ b/internal/front/ratelimit/lender_test.go
@@ -121,14 +121,14 @@
 
 // maxArrivals returns the largest number of requests that arrived within any 4 s.
 func (f *fleet) maxArrivals() int {
-	most, first := 0, 0
+	maxCount, first := 0, 0
 	for i, at := range f.arrivals {
 		for at.Sub(f.arrivals[first]) >= 4*time.Second {
 			first++
 		}
-		most = max(most, i-first+1)
+		maxCount = max(maxCount, i-first+1)
 	}
-	return most
+	return maxCount
 }
 
 // TestEndpointRateStaysWithinLimit offers three times as many requests as an endpoint takes. In any 4 s the endpoint
--- a/internal/front/ratelimit/limiter.go
+++ b/internal/front/ratelimit/limiter.go
@@ -28,7 +28,7 @@
 	// the lender is then passed over.
 	noReplyTimeout = 500 * time.Millisecond
 	avoidTime      = 3 * time.Second
-	// minDenialPause is the least time for which a denied host does not ask again: the next permit may already be due
+	// minDenialPause is the shortest time for which a denied host does not ask again: the next permit may already be due
 	// to a queued request.
 	minDenialPause = 10 * time.Millisecond
 	// unsettledPause is how long a host that does not know its peers yet waits for permits that it would lend itself.
@@ -104,8 +104,9 @@
 	Next time.Time
 }
 
-// Usable returns the endpoints that have no limit or for which this host may ask for a permit, and the soonest of the
-// others. Without mayAsk it returns only those without a limit. The list is not modified.
+// Usable returns the endpoints that have no limit or for which this host may ask for a permit, and among the others
+// the one for which a permit is expected first. Without mayAsk it returns only those without a limit. The list is not
+// modified.
 func (l *Limiter) Usable(endpoints []*directory.Entry, mayAsk bool) (usable []*directory.Entry, denied Denied) {
 	if !l.parts.Limits.Any() {
 		return endpoints, Denied{}
@@ -206,18 +207,18 @@
 	now := l.parts.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var highest, highestSilent uint64
+	var highest, highestUnresponsive uint64
 	for _, host := range hosts {
 		w := weight(host, endpoint)
 		if now.Before(l.unresponsive[host].avoidUntil) {
-			highestSilent = max(highestSilent, w)
+			highestUnresponsive = max(highestUnresponsive, w)
 			continue
 		}
 		if lender.Host == "" || w > highest {
 			lender, highest = host, w
 		}
 	}
-	return lender, highestSilent > highest, lender != hosts[0] || l.parts.Peers.IsSettled()
+	return lender, highestUnresponsive > highest, lender != hosts[0] || l.parts.Peers.IsSettled()
 }
 
 // isLender reports whether this host lends the permits of an endpoint.
@@ -378,7 +379,8 @@
 	return time.After(max(next.Sub(l.parts.Clock()), time.Millisecond))
 }
 
-// Expire removes expired denials, and peers whose avoidance has expired. It is called about once a second.
+// Expire removes expired denials, and unanswered Asks older than avoidTime of peers that are not avoided. It also
+// calls Expire of the Lender. It is called about once a second.
 func (l *Limiter) Expire() {
 	l.parts.Lender.Expire()
 	now := l.parts.Clock()
