--- a/internal/front/pushback/failures.go
+++ b/internal/front/pushback/failures.go
@@ -16,8 +16,8 @@
 	toleratedDeviations = 2
 	// priorRequestsOfClass is the weight, in requests of the class, that the endpoint's record with all classes has.
 	priorRequestsOfClass = 2
-	// baselinePart is the part of a service's endpoints, those with the fewest failures, that sets the baseline.
-	baselinePart = 1.0 / 3
+	// baselineFraction is the part of a service's endpoints, those with the fewest failures, that sets the baseline.
+	baselineFraction = 1.0 / 3
 	// baselineInterval is how often the baseline is recomputed.
 	baselineInterval = 100 * time.Millisecond
 )
@@ -49,7 +49,7 @@
 }
 
 // Count counts requests that an endpoint has failed and answered. It returns false if they need not be reported to
-// peers: an endpoint only answers, and no recent failure of it is recorded.
+// peers: the endpoint only answered, and no recent failure of it is recorded.
 func (f *Failures) Count(key EndpointClass, failed, answered uint) bool {
 	return f.tallies.count(key, failed, answered)
 }
@@ -118,16 +118,16 @@
 	}
 }
 
-// baselineShare returns the mean failed share of the endpoints that fail the least. Failed holds the shares of some
-// of the endpoints in ascending order; the others fail nothing.
+// baselineShare returns the mean failed share over the baselineFraction of the endpoints that fail the least. Failed
+// holds the shares of some of the endpoints in ascending order; the others fail nothing.
 func baselineShare(failed []float64, endpoints int) float64 {
-	least := int(math.Ceil(baselinePart * float64(endpoints)))
+	baselineSize := int(math.Ceil(baselineFraction * float64(endpoints)))
 	others := max(endpoints-len(failed), 0)
 	sum := 0.0
-	for _, share := range failed[:min(max(least-others, 0), len(failed))] {
+	for _, share := range failed[:min(max(baselineSize-others, 0), len(failed))] {
 		sum += share
 	}
-	return sum / float64(max(least, 1))
+	return sum / float64(max(baselineSize, 1))
 }
 
 // Forget removes the record of an endpoint that has restarted.
--- a/internal/front/pushback/failures_test.go
+++ b/internal/front/pushback/failures_test.go
@@ -17,8 +17,8 @@
 		of        int
 		endpoints map[keys.Endpoint]counted
 		after     time.Duration
-		// least and most bound the expected excess of endpoint 1.
-		least, most float64
+		// minShare and maxShare bound the expected excess of endpoint 1.
+		minShare, maxShare float64
 	}{
 		"one failure alone":              {9, map[keys.Endpoint]counted{1: {1, 0}}, 0, 0, 0},
 		"two in a row":                   {9, map[keys.Endpoint]counted{1: {2, 0}}, 0, 0.2, 0.5},
@@ -46,7 +46,7 @@
 			now = now.Add(test.after)
 			f.Expire()
 			share := f.Excess(EndpointClass{Endpoint: 1}, test.of)
-			c.Check(share >= test.least && share <= test.most, qt.IsTrue, qt.Commentf("%v", share))
+			c.Check(share >= test.minShare && share <= test.maxShare, qt.IsTrue, qt.Commentf("%v", share))
 			c.Check(f.WorstExcess(1, test.of) >= share, qt.IsTrue)
 			f.Forget(1)
 			c.Check(f.Excess(EndpointClass{Endpoint: 1}, test.of), qt.Equals, 0.0)
@@ -79,9 +79,9 @@
 	sum, looks := 0.0, 0
 	for n := range 20_000 {
 		now = now.Add(75 * time.Millisecond)
-		work := EndpointClass{Endpoint: keys.Endpoint(random.IntN(4))}
+		endpointClass := EndpointClass{Endpoint: keys.Endpoint(random.IntN(4))}
 		failed, answered := countOf(random.IntN(7) == 0)
-		f.Count(work, failed, answered)
+		f.Count(endpointClass, failed, answered)
 		if n%100 == 0 {
 			f.Expire()
 			sum += f.Excess(EndpointClass{Endpoint: 1}, 4)
--- a/internal/front/pushback/rejections_test.go
+++ b/internal/front/pushback/rejections_test.go
@@ -13,8 +13,8 @@
 	tests := map[string]struct {
 		rejected, taken uint
 		after           time.Duration
-		// least and most bound the expected share.
-		least, most float64
+		// minShare and maxShare bound the expected share.
+		minShare, maxShare float64
 	}{
 		"one rejection alone":              {1, 0, 0, 0.5, 0.5},
 		"two":                              {2, 0, 0, 0.66, 0.67},
@@ -35,7 +35,7 @@
 			c.Check(r.Count(1, test.rejected, test.taken), qt.IsTrue)
 			now = now.Add(test.after)
 			share := r.Share(1)
-			c.Check(share >= test.least && share <= test.most, qt.IsTrue, qt.Commentf("%v", share))
+			c.Check(share >= test.minShare && share <= test.maxShare, qt.IsTrue, qt.Commentf("%v", share))
 			c.Check(r.Shares()[1], qt.Equals, share)
 			c.Check(r.Share(2), qt.Equals, 0.0)
 			r.Expire()
--- a/internal/front/pushback/tracker.go
+++ b/internal/front/pushback/tracker.go
@@ -16,8 +16,8 @@
 
 // Directory is the registry of endpoints.
 type Directory interface {
-	// SetLeaving records that an endpoint has reported that it is leaving. It returns false if that was recorded
-	// before.
+	// SetLeaving records that an endpoint has reported that it is leaving. It returns false if the endpoint was
+	// already known to be leaving.
 	SetLeaving(id, version string) bool
 	// ReportedLeaving returns the version of each endpoint that has reported that it is leaving, by ID.
 	ReportedLeaving() map[string]string
@@ -137,21 +137,21 @@
 // count counts a request that an endpoint has rejected, failed or answered. A rejected one does not count in
 // Failures.
 func (t *Tracker) count(answer *Answer) {
-	key := keys.OfEndpoint(answer.Endpoint.ID)
-	class := EndpointClass{Endpoint: key, Class: answer.Class}
+	endpoint := keys.OfEndpoint(answer.Endpoint.ID)
+	endpointClass := EndpointClass{Endpoint: endpoint, Class: answer.Class}
 	rejected, taken := countOf(answer.Signal.Rejected)
 	failed, answered := countOf(answer.Signal.Failed)
-	isRejectionUpdate := t.parts.Rejections.Count(key, rejected, taken)
-	isFailureUpdate := !answer.Signal.Rejected && t.parts.Failures.Count(class, failed, answered)
+	isRejectionUpdate := t.parts.Rejections.Count(endpoint, rejected, taken)
+	isFailureUpdate := !answer.Signal.Rejected && t.parts.Failures.Count(endpointClass, failed, answered)
 	if !isRejectionUpdate && !isFailureUpdate {
 		return
 	}
 	t.mu.Lock()
 	if isRejectionUpdate {
-		t.outbox.rejected.add(key, rejected, taken)
+		t.outbox.rejected.add(endpoint, rejected, taken)
 	}
 	if isFailureUpdate {
-		t.outbox.failed.add(class, failed, answered)
+		t.outbox.failed.add(endpointClass, failed, answered)
 	}
 	t.mu.Unlock()
 	lifetime.Wake(t.counted)
@@ -217,7 +217,7 @@
 	return xxhash.Sum64String(host.Host + "\x00" + joined.Host)
 }
 
-// setLeaving records that an endpoint is leaving, and returns false if that was recorded before.
+// setLeaving records that an endpoint is leaving, and returns false if it was already known to be.
 func (t *Tracker) setLeaving(endpoint Instance, from string) bool {
 	if !t.parts.Directory.SetLeaving(endpoint.ID, endpoint.Version) {
 		return false
--- a/internal/front/pushback/tracker_test.go
+++ b/internal/front/pushback/tracker_test.go
@@ -146,7 +146,7 @@
 	p := newPeers()
 	first, _ := newTracker(c, p)
 	second, _ := newTracker(c, newPeers())
-	class := EndpointClass{Endpoint: keys.OfEndpoint("a"), Class: 7}
+	endpointClass := EndpointClass{Endpoint: keys.OfEndpoint("a"), Class: 7}
 	for range 3 {
 		first.HandleAnswer(&Answer{Endpoint: instance, Class: 7, Signal: Signal{Failed: true}})
 	}
@@ -156,9 +156,9 @@
 	run(c, first)
 	<-p.rejected
 	message := <-p.failed
-	c.Check(message.Counts, qt.DeepEquals, []FailedCount{{Work: class, Failed: 3, Answered: 1}})
+	c.Check(message.Counts, qt.DeepEquals, []FailedCount{{Work: endpointClass, Failed: 3, Answered: 1}})
 	second.HandleFailures("first", encode(c, message))
-	c.Check(second.parts.Failures.WorstExcess(class.Endpoint, 9) > 0.2, qt.IsTrue)
+	c.Check(second.parts.Failures.WorstExcess(endpointClass.Endpoint, 9) > 0.2, qt.IsTrue)
 	c.Check(second.outbox.failed, qt.HasLen, 0)
 	second.HandleFailures("first", []byte("no message"))
 }
@@ -214,8 +214,8 @@
 // that the work is spread over the hosts.
 func TestFewHostsSendStateToJoinedHost(t *testing.T) {
 	c := qt.New(t)
-	greeted := make(map[string]int)
-	for newcomer := range 50 {
+	sentBy := make(map[string]int)
+	for joined := range 50 {
 		count := 0
 		for self := range 20 {
 			hosts := senders{{Host: "host-" + strconv.Itoa(self)}}
@@ -225,14 +225,14 @@
 				}
 			}
 			tracker := New(Parts{Peers: hosts})
-			if tracker.isStateSender(envelope.Sender{Host: "newcomer-" + strconv.Itoa(newcomer)}) {
+			if tracker.isStateSender(envelope.Sender{Host: "newcomer-" + strconv.Itoa(joined)}) {
 				count++
-				greeted[hosts[0].Host]++
+				sentBy[hosts[0].Host]++
 			}
 		}
 		c.Check(count, qt.Equals, stateSenders)
 	}
-	c.Check(len(greeted) > 15, qt.IsTrue)
+	c.Check(len(sentBy) > 15, qt.IsTrue)
 }
 
 // senders are live hosts that receive no messages.
