--- a/internal/front/poison/detector.go
+++ b/internal/front/poison/detector.go
@@ -142,7 +142,7 @@
 		p.waiting = append(p.waiting, *call)
 		return
 	}
-	if p.ended {
+	if p.exited {
 		d.recordCrash(call)
 	}
 }
--- a/internal/front/poison/detector_test.go
+++ b/internal/front/poison/detector_test.go
@@ -451,7 +451,8 @@
 	}
 }
 
-// TestIsolatedHostReceivesVerdictAfterReconnect isolates a host before the first crash until after the verdict.
+// TestIsolatedHostReceivesVerdictAfterReconnect isolates a host from before the first crash until after the verdict,
+// for longer than hosts wait for an unresponsive peer.
 func TestIsolatedHostReceivesVerdictAfterReconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(qt.New(t), 4)
@@ -504,7 +505,7 @@
 	})
 }
 
-// TestIdleFleetWritesNothing checks that a fleet without crashes writes nothing to the store and has no evidence.
+// TestIdleFleetWritesNothing checks that a fleet without crashes writes nothing to the store and stores no evidence.
 func TestIdleFleetWritesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(qt.New(t), 4)
--- a/internal/front/poison/messages_test.go
+++ b/internal/front/poison/messages_test.go
@@ -43,13 +43,13 @@
 		together.Answered = append(together.Answered, math.MaxUint64)
 	}
 	for name, test := range map[string]struct {
-		report *Report
-		most   int
+		report   *Report
+		maxBytes int
 	}{"ends": {full, 6 << 10}, "verdicts": {announced, 9 << 10}, "all": {&together, 16<<10 - envelopeBytes}} {
 		data, err := cbor.Marshal(test.report)
 		c.Assert(err, qt.IsNil)
 		c.Logf("%d of %s take %d bytes", maxReported, name, len(data))
-		c.Check(len(data) <= test.most, qt.IsTrue, qt.Commentf("%s: %d bytes", name, len(data)))
+		c.Check(len(data) <= test.maxBytes, qt.IsTrue, qt.Commentf("%s: %d bytes", name, len(data)))
 	}
 }
 
--- a/internal/front/poison/poison.go
+++ b/internal/front/poison/poison.go
@@ -25,9 +25,9 @@
 	// minBegunCrashes is the number of such endpoints that is proof regardless of other crashes. A harmless request
 	// is sent at most four times: two tries of its caller at two endpoints each.
 	minBegunCrashes = 4
-	// minCrashes is the number of crashed endpoints that is proof when those are included that had not begun to
-	// answer and may have crashed while the request waited there. An engine that crashes while it reads the prompt is
-	// found only by these.
+	// minCrashes is the number of crashed endpoints that is proof even if some or all of them had not begun to answer,
+	// so that the request may only have waited there. An engine that crashes while it reads the prompt is found only
+	// by such crashes.
 	minCrashes = 6
 	// evidenceValidity is how long a crash counts as evidence. verdictValidity is how long a request stays poison:
 	// about the time that operators need to repair an engine. After that the request is sent again, and one more
--- a/internal/front/poison/rules.go
+++ b/internal/front/poison/rules.go
@@ -25,7 +25,7 @@
 	reportIntervalPerHost = 2 * time.Millisecond
 )
 
-// reportInterval returns the least time between two reports of a host in a fleet of a number of hosts.
+// reportInterval returns the shortest time between two reports of a host in a fleet of a number of hosts.
 func reportInterval(hosts int) time.Duration {
 	return max(time.Duration(hosts)*reportIntervalPerHost, minReportInterval)
 }
--- a/internal/front/poison/table.go
+++ b/internal/front/poison/table.go
@@ -101,7 +101,7 @@
 }
 
 // Adopt records a verdict from another host or the store, and reports whether it is new. A verdict on a request that
-// was answered within answerHold is ignored, since it may have been sent before the answer.
+// was answered less than answerHold ago is ignored, since it may have been sent before the answer.
 func (t *Table) Adopt(verdict Verdict) bool {
 	if _, answered := t.answered[verdict.Request]; answered {
 		return false
