--- a/internal/front/leader/mandate.go
+++ b/internal/front/leader/mandate.go
@@ -14,7 +14,7 @@
 var ErrLeadershipLost = merry.Sentinel("this host is no longer the leader")
 
 // Fence is called immediately before a call of the leader is sent. It returns the fencing token for the call and the
-// longest time that the call may take, including its abort; or false if the call must not be sent.
+// time within which the call must end, answered or not; or false if the call must not be sent.
 type Fence func() (token uint64, left time.Duration, ok bool)
 
 // Mandate allows a task to act as the leader until the lease ends.
