--- a/internal/front/reporter/recovery.go
+++ b/internal/front/reporter/recovery.go
@@ -119,8 +119,8 @@
 	return true
 }
 
-// adoptKnownReports adopts the fixed reports that hosts have received, and leaves out the windows that may have been
-// reported without a host that has the report.
+// adoptKnownReports adopts the fixed reports that hosts have received. It leaves out the windows that may have been
+// reported although no host has their report.
 func (r *Reporter) adoptKnownReports() {
 	now, since := r.parts.Clock(), r.completeSince()
 	r.mu.Lock()
--- a/internal/front/reporter/reporter.go
+++ b/internal/front/reporter/reporter.go
@@ -1,4 +1,4 @@
-// Package reporter collects the usage counts of all hosts and reports each window to the provider exactly once.
+// Package reporter collects the usage counts of all hosts and reports each window to the provider once.
 //
 // Each host repeatedly sends the leader its counts of the windows that have not been reported. The leader adds them
 // up and writes them to the store with each renewal of its lease. Once a window is complete, the leader fixes its
