--- a/internal/front/usage/usage.go
+++ b/internal/front/usage/usage.go
@@ -47,8 +47,8 @@
 	maps.DeleteFunc(w, func(window Window, _ Counts) bool { return window <= upTo })
 }
 
-// maxUnreportedWindows is the number of unreported windows that a host keeps. With windows of 5 s, it covers twice
-// the time after which a report is due on the users' platform. Older windows are too late to be reported.
+// maxUnreportedWindows is the number of unreported windows that a host keeps. With windows of 5 s, they cover
+// twice the time for which the users' platform waits for a report. Older windows are too late to be reported.
 const maxUnreportedWindows = 8
 
 // Meter counts the requests of this host. It is safe for concurrent use. A nil Meter counts nothing.
