--- a/internal/front/capacity/capacity.go
+++ b/internal/front/capacity/capacity.go
@@ -1,6 +1,6 @@
 // Package capacity decides how many endpoints of a service to order, in which zones and of which kind. Regular
 // endpoints stay until an order removes them. Spot endpoints cost a fraction of that, but the provider may reclaim
-// all of a zone at the same time, after which it may have none available for some seconds.
+// all of a zone at the same time, after which it may have none available for a time.
 //
 // The package owns the rules and the state of the last orders. It does no input or output and takes the time as a
 // parameter: package scaler, a task of the leader, passes in the state of the fleet and sends the orders.
@@ -124,8 +124,8 @@
 	return spot, regular
 }
 
-// spotPerZone returns the best number of spot endpoints in each zone for a number of zones, or 0 if they are not
-// worth their price.
+// spotPerZone returns the best number of spot endpoints in each zone, given the number of zones and of endpoints
+// needed, or 0 if spot endpoints are not worth their price.
 func spotPerZone(scaling *settings.Scaling, zones, need int) int {
 	if scaling.SpotPrice <= 0 || zones < 2 || scaling.SpotPrice*float64(zones)/float64(zones-1) >= 1 {
 		return 0
--- a/internal/front/capacity/capacity_test.go
+++ b/internal/front/capacity/capacity_test.go
@@ -155,9 +155,9 @@
 	tests := map[string]struct {
 		scaling *settings.Scaling
 		play    func(p *provider)
-		// spot and regular are the numbers of ready endpoints at the end. least is the lowest permitted number of
-		// ready endpoints at any time, orders the highest permitted number of orders.
-		spot, regular, least, orders int
+		// spot and regular are the numbers of ready endpoints at the end. minReady is the lowest permitted number of
+		// ready endpoints at any time, maxOrders the highest permitted number of orders.
+		spot, regular, minReady, maxOrders int
 	}{
 		"spot endpoints replace regular ones": {threeZones(), func(p *provider) {
 			p.run(30*time.Second, 90)
@@ -224,8 +224,8 @@
 			fleet := p.fleet()
 			c.Check(fleet.Ready(Spot), qt.Equals, test.spot, qt.Commentf("%v", fleet))
 			c.Check(fleet.Ready(Regular), qt.Equals, test.regular, qt.Commentf("%v", fleet))
-			c.Check(p.minReady >= test.least, qt.IsTrue, qt.Commentf("only %d endpoints ready at some time", p.minReady))
-			c.Check(len(p.orders) <= test.orders, qt.IsTrue, qt.Commentf("%d orders: %v", len(p.orders), p.orders))
+			c.Check(p.minReady >= test.minReady, qt.IsTrue, qt.Commentf("only %d endpoints ready at some time", p.minReady))
+			c.Check(len(p.orders) <= test.maxOrders, qt.IsTrue, qt.Commentf("%d orders: %v", len(p.orders), p.orders))
 		})
 	}
 }
--- a/internal/front/capacity/size.go
+++ b/internal/front/capacity/size.go
@@ -12,8 +12,8 @@
 	// maxReadingFraction is the highest mean fraction of the time that endpoints may spend on reading prompts, even
 	// if one zone loses its spot endpoints.
 	maxReadingFraction = 0.67
-	// More endpoints are ordered once more than growFactor times the estimate has been needed throughout growTime. While
-	// prefixes are read for the first time, the load is higher for some seconds than ever after.
+	// More endpoints are ordered once more than growFactor times the estimate has been needed throughout growTime.
+	// While prefixes are read for the first time, the load is higher for some seconds than ever after.
 	growTime   = 2 * time.Second
 	growFactor = 1.25
 	// Fewer endpoints are ordered once less than shrinkFactor of the estimate has been needed throughout shrinkTime.
@@ -37,9 +37,9 @@
 	need int
 }
 
-// InitialNeed returns the number of endpoints to assume as needed before there is traffic: those that remain of a
-// fraction of the highest number of spot endpoints when one zone loses its spot endpoints. It returns 0 where spot
-// endpoints are not worth their price, so that the fleet stays as it is.
+// InitialNeed returns the number of endpoints to assume as needed while nothing is known of the traffic: those that
+// remain of a fraction of the highest number of spot endpoints when one zone loses its spot endpoints. It returns 0
+// where spot endpoints are not worth their price, so that the fleet stays as it is.
 func InitialNeed(scaling *settings.Scaling, zones int, fraction float64) int {
 	return min(spotPerZone(scaling, zones, math.MaxInt32), int(fraction*float64(scaling.Max))) * (zones - 1)
 }
@@ -50,19 +50,19 @@
 	for len(s.samples) > 0 && now.Sub(s.samples[0].at) > shrinkTime {
 		s.samples = s.samples[1:]
 	}
-	least, most := s.samples[len(s.samples)-1].need, 0
+	minNeed, maxNeed := s.samples[len(s.samples)-1].need, 0
 	for _, sample := range s.samples {
 		if now.Sub(sample.at) <= growTime {
-			least = min(least, sample.need)
+			minNeed = min(minNeed, sample.need)
 		}
-		most = max(most, sample.need)
+		maxNeed = max(maxNeed, sample.need)
 	}
 	known := now.Sub(s.samples[0].at)
 	switch {
-	case known >= growTime && float64(least) > growFactor*float64(s.Need):
-		s.Need = least
-	case known >= shrinkTime-growTime && float64(most) < shrinkFactor*float64(s.Need):
-		s.Need = max(most, 1)
+	case known >= growTime && float64(minNeed) > growFactor*float64(s.Need):
+		s.Need = minNeed
+	case known >= shrinkTime-growTime && float64(maxNeed) < shrinkFactor*float64(s.Need):
+		s.Need = max(maxNeed, 1)
 	}
 	return s.Need
 }
