--- a/internal/front/scaler/scaler.go
+++ b/internal/front/scaler/scaler.go
@@ -42,7 +42,8 @@
 	Provider  Provider
 	// Load returns the load of a service at all hosts.
 	Load func(service string) engine.Load
-	// FirstPart is the fraction of the highest number of spot endpoints that is ordered before there is traffic.
+	// FirstPart is the fraction of the highest number of spot endpoints that is ordered while nothing is known of
+	// the traffic.
 	FirstPart float64
 	Log       *logrus.Entry
 	Clock     func() time.Time
