--- a/internal/front/placement/sample.go
+++ b/internal/front/placement/sample.go
@@ -21,7 +21,7 @@
 	// aggregate.Interval on average.
 	meanSumAge = 375 * time.Millisecond
 	// meanPeerAgePerHost is the mean age of other hosts' loads, for each host, if hosts report to each other: half of
-	// gossip.pacePerMember.
+	// gossip.pacePerHost.
 	meanPeerAgePerHost = 4 * time.Millisecond
 )
 
