--- a/internal/proof/emulator/engine.go
+++ b/internal/proof/emulator/engine.go
@@ -124,7 +124,7 @@
 // Busy returns the total duration of all steps started so far.
 func (e *Engine) Busy() time.Duration { return e.busy }
 
-// SetSlow multiplies the duration of every further step by factor.
+// SetSlow sets the factor by which the duration of every further step is multiplied; 1 is normal.
 func (e *Engine) SetSlow(factor float64) { e.slow = factor }
 
 // SetStalled stalls the engine, or resumes it by restarting the current step. A stalled engine completes no steps.
@@ -218,9 +218,9 @@
 	e.evict()
 }
 
-// evict frees cache memory. It preempts running requests until the others fit: those of the lowest priority first, and
-// the most recent first among equals. A preempted request waits and processes its prompt again. Cached prefixes keep
-// only the memory that running requests leave.
+// evict frees cache memory. It preempts running requests until the others fit or only one is left: those of the lowest
+// priority first, and the most recent first among equals. A preempted request waits and processes its prompt again.
+// Cached prefixes keep only the memory that running requests leave.
 func (e *Engine) evict() {
 	for e.memory() > e.config.CacheTokens {
 		if len(e.running) <= 1 {
--- a/internal/proof/standin/chat.go
+++ b/internal/proof/standin/chat.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// writeStream sends the events of a stream that follow the first sent words.
+// writeStream sends the events of a stream, starting after word number sent.
 func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, s *stream, sent int, faults EngineFaults) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
--- a/internal/proof/standin/engine.go
+++ b/internal/proof/standin/engine.go
@@ -44,7 +44,7 @@
 }
 
 const (
-	defaultKeepStreams = 30 * time.Second
+	defaultStreamRetention = 30 * time.Second
 )
 
 // Engine is a stand-in for a model engine. It runs an emulator.Engine in real time.
@@ -71,7 +71,7 @@
 		config.Speed = emulator.DefaultConfig
 	}
 	if config.StreamRetention == 0 {
-		config.StreamRetention = defaultKeepStreams
+		config.StreamRetention = defaultStreamRetention
 	}
 	return &Engine{
 		config:     config,
--- a/internal/proof/standin/stream.go
+++ b/internal/proof/standin/stream.go
@@ -24,13 +24,13 @@
 	tokens  int
 	state   streamState
 	changed chan struct{}
-	// first is the number of tokens in the partial answer that the engine continues.
-	first   int
+	// partial is the number of tokens in the partial answer that the engine continues.
+	partial int
 	endedAt time.Time
 }
 
-func newStream(id string, text answerText, first int) *stream {
-	return &stream{id: id, text: text, tokens: first, first: first, changed: make(chan struct{})}
+func newStream(id string, text answerText, partial int) *stream {
+	return &stream{id: id, text: text, tokens: partial, partial: partial, changed: make(chan struct{})}
 }
 
 func (s *stream) advance(tokens int) {
