--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -15,7 +15,7 @@
 	// ID is unique in the fleet. Owner is the name of the host that accepted the request.
 	ID    string
 	Owner string
-	// Workspace and Class select limits, shares and learned response lengths.
+	// Workspace and Class select limits, shares and learned answer lengths.
 	Workspace string
 	Class     string
 	// Tier is the service level; 0 is the highest.
@@ -30,7 +30,7 @@
 	WholeAnswer   time.Duration
 	// MaxPause is the target for the time between two events of a stream; 0 means none. Only the owner's host uses it.
 	MaxPause time.Duration `cbor:"-"`
-	// RefuseLate is set if a response that misses its target is of no use to the caller.
+	// RefuseLate is set if an answer that misses its target is of no use to the caller.
 	RefuseLate bool
 	// MaxWait bounds the time until a grant; 0 means no bound.
 	MaxWait time.Duration
@@ -44,7 +44,7 @@
 	MaxInFlight     int
 	MaxWaiting      int
 	TokensPerMinute int
-	// PromptTokens is an estimate. MaxTokens bounds the response; 0 means unknown.
+	// PromptTokens is an estimate. MaxTokens bounds the answer; 0 means unknown.
 	PromptTokens int
 	MaxTokens    int
 	// Prefix holds the hash of each leading part of the prompt, the shortest first. Each hash includes the workspace or
--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -42,7 +42,7 @@
 	ReasonNoRoom Reason = "no_room"
 	// ReasonWorkspaceRoom: the workspace has reached its limit for the class.
 	ReasonWorkspaceRoom Reason = "workspace_room"
-	// ReasonTooLate: the target can't be met, and a late response is of no use.
+	// ReasonTooLate: the target can't be met, and a late answer is of no use.
 	ReasonTooLate Reason = "too_late"
 	// ReasonMaxWait: the request has waited for as long as its class allows.
 	ReasonMaxWait Reason = "max_wait"
@@ -73,7 +73,7 @@
 	Limit    float64 `json:",omitzero"`
 	// CachedTokens is the number of prompt tokens that the endpoint is expected to have in its cache.
 	CachedTokens int `json:",omitzero"`
-	// AnswerTokens is the expected length of the response.
+	// AnswerTokens is the expected length of the answer.
 	AnswerTokens int `json:",omitzero"`
 }
 
@@ -93,7 +93,7 @@
 	RetryAfter time.Duration
 	Figures    Figures
 	// UnprocessedTokens is the number of prompt tokens, including those of the request, that the endpoint has to
-	// process before the first token of the response; 0 if unknown. It is not sent between hosts.
+	// process before the first token of the answer; 0 if unknown. It is not sent between hosts.
 	UnprocessedTokens int `cbor:"-" json:"-"`
 }
 
@@ -105,7 +105,7 @@
 
 // The results.
 const (
-	// Answered: the complete response arrived.
+	// Answered: the complete answer arrived.
 	Answered Result = iota
 	// Unused: the grant was not used; nothing was sent.
 	Unused
--- a/internal/owner/attempt.go
+++ b/internal/owner/attempt.go
@@ -9,8 +9,8 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// The intervals at which the progress of a response is reported, whichever ends first. The time bounds the age of a
-// report on a slow response.
+// The intervals at which the progress of an answer is reported, whichever ends first. The time bounds the age of a
+// report on a slow answer.
 const (
 	progressTokens   = 16
 	progressInterval = 250 * time.Millisecond
@@ -34,12 +34,12 @@
 	// FetchFrom is the address of an endpoint from which this one can copy a shared part of the prompt, or empty.
 	FetchFrom string
 	// UnprocessedTokens is the number of prompt tokens, including those of the request, that the endpoint has to
-	// process before the response begins; 0 if unknown.
+	// process before the answer begins; 0 if unknown.
 	UnprocessedTokens int
 	state             atomic.Int32
 }
 
-// watchPreemption cancels the attempt when it is preempted, unless a part of the response has been delivered or the
+// watchPreemption cancels the attempt when it is preempted, unless a part of the answer has been delivered or the
 // request may not be repeated.
 func (a *Attempt) watchPreemption(preempted <-chan struct{}, cancel context.CancelCauseFunc, done <-chan struct{}) {
 	select {
@@ -66,7 +66,7 @@
 	a.run.recordStep("sent", "", nil)
 }
 
-// StartDelivery is called before a part of the response is sent to the caller. It reports false if the attempt was
+// StartDelivery is called before a part of the answer is sent to the caller. It reports false if the attempt was
 // preempted, in which case nothing may be sent to the caller.
 func (a *Attempt) StartDelivery() bool {
 	if a.state.Load() != attemptDelivered && !a.state.CompareAndSwap(attemptOpen, attemptDelivered) {
--- a/internal/owner/job.go
+++ b/internal/owner/job.go
@@ -21,12 +21,12 @@
 	BudgetGroup string
 	// Deadline is the time after which no retry begins; zero means never.
 	Deadline time.Time
-	// CanContinue is set if another endpoint can continue an interrupted response.
+	// CanContinue is set if another endpoint can continue an interrupted answer.
 	CanContinue bool
 	// IsPoison reports whether the request must not be sent, because endpoints crash while running it; nil means never.
 	// It is called before asking for an endpoint, and again before each send.
 	IsPoison func() bool
-	// Attempt sends the request to the granted endpoint and relays the response.
+	// Attempt sends the request to the granted endpoint and relays the answer.
 	Attempt func(ctx context.Context, a *Attempt) Result
 	// Resume continues an interrupted stream at the same endpoint; nil if it can't be resumed.
 	Resume func(ctx context.Context, a *Attempt) Result
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -53,7 +53,7 @@
 	FirstToken()
 	// Progress is called with the number of tokens received so far.
 	Progress(tokens int)
-	// Finished ends the grant. Tokens is the length of the response in this attempt.
+	// Finished ends the grant. Tokens is the length of the answer in this attempt.
 	Finished(result admission.Result, tokens int)
 }
 
--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -37,7 +37,7 @@
 	fetchFrom         string
 	unprocessedTokens int
 
-	// tokens is the length of the response over all attempts that continue each other, and tokensBefore the part of it
+	// tokens is the length of the answer over all attempts that continue each other, and tokensBefore the part of it
 	// that earlier attempts received.
 	tokens       int
 	tokensBefore int
--- a/internal/request/lifecycle.go
+++ b/internal/request/lifecycle.go
@@ -17,13 +17,13 @@
 	EventSent
 	// EventNotStarted: the endpoint reported that it did not start the request.
 	EventNotStarted
-	// EventDelivered: a part of the response was sent to the caller.
+	// EventDelivered: a part of the answer was sent to the caller.
 	EventDelivered
-	// EventBroken: the attempt ended without a complete response.
+	// EventBroken: the attempt ended without a complete answer.
 	EventBroken
-	// EventWrongAnswer: the endpoint sent the response to another request.
+	// EventWrongAnswer: the endpoint sent the answer to another request.
 	EventWrongAnswer
-	// EventWhole: the response is complete.
+	// EventWhole: the answer is complete.
 	EventWhole
 	// EventPreempted: a request of a higher tier needs the endpoint.
 	EventPreempted
@@ -55,9 +55,9 @@
 const (
 	OutcomeOpen Outcome = iota
 	OutcomeAnswered
-	// OutcomeRefused: no part of a response was sent to the caller.
+	// OutcomeRefused: no part of an answer was sent to the caller.
 	OutcomeRefused
-	// OutcomeBroken: a part was sent to the caller, and the caller was informed that the response is incomplete.
+	// OutcomeBroken: a part was sent to the caller, and the caller was informed that the answer is incomplete.
 	OutcomeBroken
 	OutcomeCallerGone
 )
@@ -82,7 +82,7 @@
 type Facts struct {
 	// CanResume: the failed attempt was a stream that its engine can resume.
 	CanResume bool
-	// CanContinue: another endpoint can continue the response after the delivered part.
+	// CanContinue: another endpoint can continue the answer after the delivered part.
 	CanContinue bool
 	// Expired: the request's deadline has passed, so that it is not tried again.
 	Expired bool
@@ -91,7 +91,7 @@
 }
 
 // Lifecycle is the state of a request on the host that owns it. It implements the rules of retrying: whether a request
-// may be sent again, for which reason, and what may be reported to its caller if it ends without a response. It is not
+// may be sent again, for which reason, and what may be reported to its caller if it ends without an answer. It is not
 // safe for concurrent use. Use NewLifecycle.
 type Lifecycle struct {
 	rules   Rules
@@ -108,7 +108,7 @@
 	// certainty that it did not run.
 	inFlight   bool
 	mayHaveRun bool
-	// delivered is set once a part of a response was sent to the caller.
+	// delivered is set once a part of an answer was sent to the caller.
 	delivered bool
 }
 
@@ -171,7 +171,7 @@
 // Outcome returns the final state of the request, or OutcomeOpen.
 func (l *Lifecycle) Outcome() Outcome { return l.outcome }
 
-// Reason returns the reason for which the request was refused or its response aborted.
+// Reason returns the reason for which the request was refused or its answer aborted.
 func (l *Lifecycle) Reason() Reason { return l.reason }
 
 // Retry returns the reason for the retry that the latest ActAsk or ActResume requests.
@@ -183,7 +183,7 @@
 // Tries returns the number of grants that were used, with or without a send.
 func (l *Lifecycle) Tries() int { return l.tries }
 
-// Delivered reports whether a part of a response was sent to the caller.
+// Delivered reports whether a part of an answer was sent to the caller.
 func (l *Lifecycle) Delivered() bool { return l.delivered }
 
 // Ran returns RanNo only if it is certain that no endpoint has run the request.
--- a/internal/request/lifecycle_test.go
+++ b/internal/request/lifecycle_test.go
@@ -56,7 +56,7 @@
 			reason:  ReasonNoEndpoint,
 			ran:     RanNo,
 		},
-		"not repeatable: a broken response is not retried": {
+		"not repeatable: a broken answer is not retried": {
 			rules: Rules{MaxTries: 3},
 			steps: []step{
 				{EventGranted, canRetry, ActSend},
@@ -281,7 +281,7 @@
 		t.Fatalf("a request that may not be repeated ran %d times", w.executions)
 	}
 	if lifecycle.Outcome() == OutcomeAnswered && !w.whole {
-		t.Fatalf("an incomplete response was reported as complete")
+		t.Fatalf("an incomplete answer was reported as complete")
 	}
 	if lifecycle.Outcome() != OutcomeOpen && lifecycle.Ran() == RanNo && w.maybeRan {
 		t.Fatalf("reported that the request did not run, but an endpoint may have run it")
--- a/internal/request/reason.go
+++ b/internal/request/reason.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Reason is the reason for which a request was refused or its response aborted. The set is closed, and each reason has
-// a counter. The values appear in responses, logs and metrics.
+// Reason is the reason for which a request was refused or its answer aborted. The set is closed, and each reason has
+// a counter. The values appear in answers, logs and metrics.
 type Reason string
 
 // The reasons for a refusal.
@@ -81,7 +81,7 @@
 	return r != RetryGrantVoid && r != RetryPreempted
 }
 
-// Ran states whether a request without a complete response was run, as reported to its caller.
+// Ran states whether a request without a complete answer was run, as reported to its caller.
 type Ran string
 
 // The values of Ran. RanNo is a guarantee: no byte of the request was written to an endpoint, or every endpoint that
@@ -91,7 +91,7 @@
 	RanUnknown Ran = "unknown"
 )
 
-// Refusal is the end of a request without a complete response.
+// Refusal is the end of a request without a complete answer.
 type Refusal struct {
 	Reason Reason
 	Ran    Ran
--- a/internal/request/send.go
+++ b/internal/request/send.go
@@ -8,6 +8,6 @@
 var (
 	// ErrNotSent: no connection was made, so no byte was written.
 	ErrNotSent = merry.Sentinel("endpoint not reached")
-	// ErrBroken: the request may have reached the endpoint, and no complete response arrived.
+	// ErrBroken: the request may have reached the endpoint, and no complete answer arrived.
 	ErrBroken = merry.Sentinel("call broken")
 )
