--- a/cmd/oxbowslip-replay/main.go
+++ b/cmd/oxbowslip-replay/main.go
@@ -194,7 +194,7 @@
 		return exitFailed, err
 	}
 	if len(entries) == 0 {
-		return exitFailed, fmt.Errorf("%s has no request of the last %d s", command.From, command.Seconds)
+		return exitFailed, fmt.Errorf("%s has recorded no request in the last %d s", command.From, command.Seconds)
 	}
 	return writeTrace(command.Out, replay.FromRecordedRequests("recorded", tree, entries))
 }
--- a/internal/daemon/change/change.go
+++ b/internal/daemon/change/change.go
@@ -1,5 +1,5 @@
-// Package change has the rules for changes of the settings tree in oxbowslipd: which paths a patch touches,
-// when two changes conflict, and how a change produces the next revision. It does no input or output. On the
+// Package change contains the rules for changes of the settings tree in oxbowslipd: which paths a patch
+// touches, when two changes conflict, and how a change produces the next revision. It does no I/O. On the
 // users' platform, settings are changed in the deployment's store instead.
 package change
 
--- a/internal/daemon/commit/commit.go
+++ b/internal/daemon/commit/commit.go
@@ -1,7 +1,7 @@
 // Package commit stores operators' changes of the settings in the platform's table, for oxbowslipd. Each
 // change is accepted by one transaction on the head row. A row for the ID of the change distinguishes a
 // transaction whose response was lost from one that lost to another operator. The package relies on package
-// poller, which defines and reads the rows, and on package change, which has the rules for conflicts.
+// poller, which defines and reads the rows, and on package change, which contains the rules for conflicts.
 package commit
 
 import (
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,7 +1,7 @@
-// Package daemon is a host of oxbowslipd, the daemon with its own interface for language models and
-// plain services, settings that operators change through it, and a queue per shard for the whole
-// fleet. It wires the components (fx.go), starts them, and stops them gracefully. Its subpackages
-// serve this program only; the counterpart for oxbowslip-front is package front.
+// Package daemon runs one host of oxbowslipd, the daemon with its own interface for language models
+// and plain services, settings that operators change through it, and a queue per shard for the
+// whole fleet. It wires the components together (fx.go), starts them, and stops them gracefully.
+// Its subpackages serve this program only; the counterpart for oxbowslip-front is package front.
 package daemon
 
 import (
--- a/internal/daemon/membership/membership.go
+++ b/internal/daemon/membership/membership.go
@@ -1,6 +1,6 @@
 // Package membership decides which host of oxbowslipd schedules which shard. It starts from the platform's
 // list of hosts, which lags behind, and corrects it by the observations of this host about its peers. It owns
-// this host's view of the fleet and does no input or output.
+// this host's view of the fleet and does no I/O.
 package membership
 
 import (
--- a/internal/daemon/prefix/prefix.go
+++ b/internal/daemon/prefix/prefix.go
@@ -1,5 +1,6 @@
 // Package prefix hashes the leading parts of a prompt, so that prompts with a common prefix can be
-// sent to an endpoint that probably has it cached.
+// sent to an endpoint that probably has it cached. Of the two programs, only oxbowslipd uses it;
+// in oxbowslip-front callers name the parts of a prompt. It does no I/O.
 package prefix
 
 import (
--- a/internal/daemon/schedule/schedule.go
+++ b/internal/daemon/schedule/schedule.go
@@ -4,9 +4,8 @@
 // each host decides by itself (package placement).
 //
 // A Scheduler owns the waiting requests and the open grants of the shard, and the estimates for endpoints and
-// answer lengths. It does no input or output: each call takes the time as a parameter, and decisions are
-// collected until TakeDecisions. The same calls in the same order always produce the same decisions. Replays
-// rely on this.
+// answer lengths. It does no I/O: each call takes the time as a parameter, and decisions are collected until
+// TakeDecisions. The same calls in the same order always produce the same decisions. Replays rely on this.
 package schedule
 
 import (
--- a/internal/daemon/shard/shard.go
+++ b/internal/daemon/shard/shard.go
@@ -1,6 +1,6 @@
 // Package shard runs the schedulers of the shards that this host of oxbowslipd schedules. It passes the time
 // and the messages of owners to them, sets their timers, and delivers their decisions to the owners. It owns
-// the schedulers and their timers. Decisions are made in package schedule, which does no input or output.
+// the schedulers and their timers. Decisions are made in package schedule, which does no I/O.
 package shard
 
 import (
--- a/internal/daemon/tableclient/tableclient.go
+++ b/internal/daemon/tableclient/tableclient.go
@@ -1,6 +1,7 @@
 // Package tableclient is oxbowslipd's client for the product's own platform service: a
 // transactional table, an object store and a list of hosts, as JSON over HTTP (docs/platform.md).
-// The users' platform has another store, whose client is package platform.
+// It owns the connections and never sends a write twice; its callers decide on retries. The
+// users' platform has another store, whose client is package platform.
 package tableclient
 
 import (
--- a/internal/front/aggregate/aggregate.go
+++ b/internal/front/aggregate/aggregate.go
@@ -5,7 +5,7 @@
 //
 // The package owns the sums at an aggregator (Aggregator) and a host's choice of aggregators (Choice). There is no
 // election or agreement: a host is an aggregator because others send it their work. Package gossip carries the
-// messages. The package does no input or output, takes the time as a parameter, and is not safe for concurrent use.
+// messages. The package does no I/O, takes the time as a parameter, and is not safe for concurrent use.
 package aggregate
 
 import (
--- a/internal/front/capacity/capacity.go
+++ b/internal/front/capacity/capacity.go
@@ -1,9 +1,9 @@
 // Package capacity decides how many endpoints of a service to order, in which zones and of which kind. Regular
-// endpoints stay until an order removes them. Spot endpoints cost a fraction of that, but the provider may reclaim
-// all of a zone at the same time, after which it may have none available for a time.
+// endpoints stay until an order removes them. Spot endpoints cost a fraction of the price of regular ones, but the
+// provider may reclaim all of a zone at the same time, after which it may have none available for a time.
 //
-// The package owns the rules and the state of the last orders. It does no input or output and takes the time as a
-// parameter: package scaler, a task of the leader, passes in the state of the fleet and sends the orders.
+// The package owns the rules and the state of the last orders. It does no I/O and takes the time as a parameter:
+// package scaler, a task of the leader, passes in the state of the fleet and sends the orders.
 package capacity
 
 import (
--- a/internal/front/envelope/envelope.go
+++ b/internal/front/envelope/envelope.go
@@ -1,8 +1,8 @@
 // Package envelope defines the kinds of messages that packages of oxbowslip-front send to the same package at other
 // hosts, and the identity of their sender.
 //
-// It owns only the numbers of the kinds, so that packages which package gossip imports can send messages too. Package
-// gossip transports them.
+// It owns the numbers of the kinds; package gossip transports the messages. The two packages are separate because
+// package gossip imports some of the packages that send messages, so these can't import it.
 package envelope
 
 // Kind is the kind of a message. Numbers must not change. A host drops messages of unknown kinds, so new kinds are
--- a/internal/front/era/era.go
+++ b/internal/front/era/era.go
@@ -19,7 +19,7 @@
 )
 
 // ErrTooLarge is returned for an era or a number that does not fit in a revision.
-var ErrTooLarge = merry.Sentinel("era or number too large for a revision")
+var ErrTooLarge = merry.Sentinel("era or number too large for a revision, expected an era below 2^24 and a number below 2^40")
 
 // Revision returns the revision of a number in an era.
 func Revision(era, number uint64) (uint64, error) {
--- a/internal/front/keys/keys.go
+++ b/internal/front/keys/keys.go
@@ -1,10 +1,10 @@
 // Package keys defines the short identifiers for endpoints, services, request classes and prompt prefixes in the
-// messages between hosts of oxbowslip-front. Each host derives them from the names in the same way, so that they
-// need no agreement.
+// messages between hosts of oxbowslip-front. All hosts derive them from the names in the same way, so hosts need not
+// agree on them.
 //
-// A key is a part of a hash. Two names with the same key share the state that is kept under it, which can only lead
-// to a worse choice of endpoint. The key of a request is longer: none of 100 million others is expected to have the
-// same.
+// A key is a part of a hash. Two names with the same key share the state that is kept under it, which can only lead to
+// a worse choice of endpoint. The key of a request is longer: among 100 million other requests, none is expected to
+// have the same key.
 package keys
 
 import (
--- a/internal/front/lease/lease.go
+++ b/internal/front/lease/lease.go
@@ -2,11 +2,11 @@
 // row in the deployment's store. Hosts take, renew and release it by conditional writes: the store applies a write
 // only if the row still has the version that the host has read.
 //
-// The package owns the rules and this host's view of the row. It does no input or output and reads no clock: package
-// leader makes the calls and passes in their results, with this host's monotonic time before and after each call. It
-// relies on two properties of the store: a conditional write is applied completely or not at all, and the store's own
-// clock is steady. It does not rely on any host's time of day, on the delivery of answers, or on the order in which
-// calls are applied.
+// The package owns the rules and this host's view of the row. It does no I/O and reads no clock: package leader makes
+// the calls and passes in their results, with this host's monotonic time before and after each call. It relies on two
+// properties of the store: a conditional write is applied completely or not at all, and the store's own clock is
+// steady. It does not rely on any host's time of day, on the delivery of answers, or on the order in which calls are
+// applied.
 //
 // These rules hold when messages are lost, delayed or repeated, and when hosts are suspended (TestModel):
 //
--- a/internal/front/pack/pack.go
+++ b/internal/front/pack/pack.go
@@ -1,6 +1,6 @@
 // Package pack compresses the documents that hosts of oxbowslip-front send to each other, either alone or as a patch
-// against a document that the receiver has. The format is Zstandard; a patch is a frame with the older document as
-// its dictionary.
+// against a document that the receiver has. The format is Zstandard; a patch is a frame with the older document as its
+// dictionary. The package owns this format; package peersync keeps the documents.
 package pack
 
 import (
--- a/internal/front/peersync/peersync.go
+++ b/internal/front/peersync/peersync.go
@@ -1,6 +1,6 @@
 // Package peersync exchanges state between the hosts of oxbowslip-front: loads and ejections of endpoints, prefix
 // holders, engine reports, and changes of the settings and of the directory. It decides what each heartbeat carries,
-// and puts the peers' messages in force.
+// and applies the peers' messages.
 //
 // It owns the configuration in force as the operator wrote it and the newest change of the directory, both
 // compressed for peers. It relies on package gossip for transport, and on packages placement, settings and directory
--- a/internal/front/poison/poison.go
+++ b/internal/front/poison/poison.go
@@ -3,9 +3,9 @@
 // don't bound the number of endpoints that it crashes.
 //
 // The package owns the evidence, that is, which endpoints crashed while they had which request, and the verdicts that
-// follow from it. Table holds the rules and does no input or output. Detector adds probes of endpoints that broke a
-// call, reports from peers, and the store, which keeps verdicts in case all hosts are down. The package relies on
-// package gossip for messages and on package upstream for probes.
+// follow from it. Table holds the rules and does no I/O. Detector adds probes of endpoints that broke a call, reports
+// from peers, and the store, which keeps verdicts in case all hosts are down. The package relies on package gossip for
+// messages and on package upstream for probes.
 package poison
 
 import (
--- a/internal/front/ratelimit/ratelimit.go
+++ b/internal/front/ratelimit/ratelimit.go
@@ -2,11 +2,10 @@
 // requests a second from all hosts.
 //
 // For each limited endpoint one live host lends permits: the first in an order that every host computes alike
-// (rendezvous hashing). Lender implements that side as a token bucket with a queue and does no input or output.
-// Limiter implements the borrowing side: a host asks for a permit when it is about to send a request to such an
-// endpoint, and sends nothing without one. A permit is valid for permitValidity only, so a host without use for it
-// can't hoard it. The sum over all hosts therefore stays within the limit however unevenly traffic is spread, and
-// while hosts join and leave.
+// (rendezvous hashing). Lender implements that side as a token bucket with a queue and does no I/O. Limiter implements
+// the borrowing side: a host asks for a permit when it is about to send a request to such an endpoint, and sends
+// nothing without one. A permit is valid for permitValidity only, so a host without use for it can't hoard it. The sum
+// over all hosts therefore stays within the limit however unevenly traffic is spread, and while hosts join and leave.
 //
 // The package owns the buckets of this host and the denials it received recently. It relies on package pushback for
 // the limits, and on package gossip for the live hosts and for messages to them, which may be lost. Package placement
--- a/internal/front/scaler/scaler.go
+++ b/internal/front/scaler/scaler.go
@@ -1,7 +1,7 @@
 // Package scaler orders endpoints from the provider, as a task of the leader.
 //
-// The package owns the plan of each service. Package capacity decides what to order, by the endpoints in the store. A
-// Provider makes the calls.
+// The package owns the plan of each service. It relies on package capacity, which decides what to order from the
+// endpoints in the store, on package leader for the mandate and the records, and on a Provider, which makes the calls.
 package scaler
 
 import (
--- a/internal/front/usage/usage.go
+++ b/internal/front/usage/usage.go
@@ -2,8 +2,8 @@
 // adds up the counts of all hosts.
 //
 // Counts only grow, and the counts of each host are kept apart, so a merge is idempotent and does not depend on the
-// order of messages. So hosts send their counts repeatedly, and any host that has received the counts of a crashed
-// host can pass them on. The package does no input or output: package reporter sends, stores and reports the counts.
+// order of messages. Hosts can therefore send their counts repeatedly, and any host that has received the counts of a
+// crashed host can pass them on. The package does no I/O: package reporter sends, stores and reports the counts.
 package usage
 
 import (
--- a/internal/hostconfig/hostconfig.go
+++ b/internal/hostconfig/hostconfig.go
@@ -1,7 +1,7 @@
 // Package hostconfig reads the configuration file of one host: its name, its addresses, its availability
-// zone and the address of the platform. Both programs use it, each some of its fields. All other settings
-// come from the settings tree. It owns the format and the defaults of the file, and relies on package
-// strictjson for decoding.
+// zone and the address of the platform. Both programs use it; each reads some of the fields. All other
+// settings come from the settings tree. It owns the format and the defaults of the file, and relies on
+// package strictjson for decoding.
 package hostconfig
 
 import (
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -3,7 +3,7 @@
 // programs use it. On the users' platform the tree is derived from the platform's configuration.
 //
 // It owns the encoding and validation of the tree, the inheritance of values, and the revision in force
-// on this host (Holder). It relies on package strictjson for decoding and does no input or output.
+// on this host (Holder). It relies on package strictjson for decoding and does no I/O.
 package settings
 
 import (
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -1,6 +1,7 @@
 // Package strictjson decodes JSON documents that are written by hand. It validates
 // a document against a JSON Schema before it decodes it into a Go struct, so that
-// all faults are reported together, each with its path.
+// all faults are reported together, each with its path. Both programs use it. It
+// does no I/O.
 package strictjson
 
 import (
