--- a/internal/proof/demo/cluster.go
+++ b/internal/proof/demo/cluster.go
@@ -1,6 +1,6 @@
 // Package demo runs the whole system in one process on loopback: several daemons, and stand-ins for the
-// platform, the engines and the services. It sends a load of both users' request classes, injects faults and
-// checks the invariants, including the full text of every answer.
+// platform, the engines and the services. It sends a mixed load of chat requests and service calls from
+// several workspaces, injects faults and checks the invariants, including the full text of every answer.
 package demo
 
 import (
--- a/internal/proof/demo/load.go
+++ b/internal/proof/demo/load.go
@@ -42,7 +42,7 @@
 	AnswerTokens int
 }
 
-// DefaultSources is a mixed load of both users' request classes.
+// DefaultSources is a mixed load of chat requests and service calls from three workspaces.
 var DefaultSources = []Source{
 	{Class: "skipper-question", Workspace: "towpath-hire", Rate: 6, Model: "voyage", Stream: true, PromptWords: 30, AnswerTokens: 30},
 	{Class: "itinerary", Workspace: "prairie-boats", Rate: 3, Model: "voyage", Stream: true, PromptWords: 300, AnswerTokens: 90},
