--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,6 +1,6 @@
-// Package counters holds the metrics of one daemon; both programs use it. Every series of a closed set
-// exists from the start, so that alerts can be written before its first event. Names and labels are
-// listed in docs/metrics.md and never change.
+// Package counters holds the metrics of one daemon; both programs use it. It owns the names and labels of
+// the metrics, which are listed in docs/metrics.md and never change. Every series of a closed set of label
+// values exists from the start, so that alerts can refer to it before its first event.
 package counters
 
 import (
@@ -13,26 +13,25 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// Waste is why generated tokens were of no use. The set is closed.
-type Waste string
+// WasteCause is the reason why generated tokens were wasted. The set is closed.
+type WasteCause string
 
 // The causes of wasted tokens.
 const (
-	WasteCallerGone Waste = "caller_gone"
-	WasteBroken     Waste = "broken"
-	WastePreempted  Waste = "preempted"
-	WasteStopped    Waste = "stopped"
-	WasteTimeLimit  Waste = "time_limit"
+	WasteCallerGone WasteCause = "caller_gone"
+	WasteBroken     WasteCause = "broken"
+	WastePreempted  WasteCause = "preempted"
+	WasteStopped    WasteCause = "stopped"
+	WasteTimeLimit  WasteCause = "time_limit"
 )
 
-// Wastes lists every cause.
-var Wastes = []Waste{WasteCallerGone, WasteBroken, WastePreempted, WasteStopped, WasteTimeLimit}
+// WasteCauses lists all causes.
+var WasteCauses = []WasteCause{WasteCallerGone, WasteBroken, WastePreempted, WasteStopped, WasteTimeLimit}
 
-// PeerTraffic is what a host sends to its peers. The set is closed.
+// PeerTraffic is a kind of traffic that a host sends to its peers. The set is closed.
 type PeerTraffic string
 
-// What hosts send to each other. The values are labels of a metric and stay as they were
-// first named.
+// The kinds of traffic between hosts. The values are labels of a metric and never change.
 const (
 	PeerHeartbeats    PeerTraffic = "beats"
 	PeerAnnouncements PeerTraffic = "introductions"
@@ -40,25 +39,25 @@
 	PeerMessages      PeerTraffic = "messages"
 )
 
-// PeerTraffics lists every kind.
-var PeerTraffics = []PeerTraffic{PeerHeartbeats, PeerAnnouncements, PeerSyncs, PeerMessages}
+// PeerTrafficKinds lists all kinds.
+var PeerTrafficKinds = []PeerTraffic{PeerHeartbeats, PeerAnnouncements, PeerSyncs, PeerMessages}
 
-// StoreCall is why a host calls the deployment's store.
-type StoreCall string
+// StoreCallReason is the reason of a call to the deployment's store. The set is closed.
+type StoreCallReason string
 
-// The reasons.
+// The reasons of store calls.
 const (
-	// StoreLoads reads a table whole, StoreReads waits for its changes for all hosts, StoreAsks asks for
-	// them because nobody has confirmed for too long what the host knows.
-	StoreLoads StoreCall = "load"
-	StoreReads StoreCall = "read"
-	StoreAsks  StoreCall = "ask"
+	// StoreCallLoad reads a whole table. StoreCallRead waits for its changes on behalf of all hosts. StoreCallAsk
+	// asks for changes because the host's copy has been unconfirmed for too long.
+	StoreCallLoad StoreCallReason = "load"
+	StoreCallRead StoreCallReason = "read"
+	StoreCallAsk  StoreCallReason = "ask"
 )
 
-// StoreCalls lists all reasons.
-var StoreCalls = []StoreCall{StoreLoads, StoreReads, StoreAsks}
+// StoreCallReasons lists all reasons.
+var StoreCallReasons = []StoreCallReason{StoreCallLoad, StoreCallRead, StoreCallAsk}
 
-// Signal is what an answer says of its endpoint. The set is closed.
+// Signal is an observation about an endpoint that is derived from one of its responses. The set is closed.
 type Signal string
 
 // The signals.
@@ -67,7 +66,7 @@
 	SignalRejected Signal = "rejected"
 	SignalRest     Signal = "rest"
 	SignalFailed   Signal = "failed"
-	// SignalLimit is a limit, SignalMalformedLimit a text in its place that is none.
+	// SignalLimit is a valid limit. SignalMalformedLimit is a limit that can't be parsed.
 	SignalLimit          Signal = "limit"
 	SignalMalformedLimit Signal = "malformed_limit"
 )
@@ -75,57 +74,57 @@
 // Signals lists all signals.
 var Signals = []Signal{SignalLeaving, SignalRejected, SignalRest, SignalFailed, SignalLimit, SignalMalformedLimit}
 
-// Permit is how a question for a permit to send a request to a limited endpoint ends. The set is closed.
-type Permit string
+// PermitResult is the result of asking for a permit to send a request to a limited endpoint. The set is closed.
+type PermitResult string
 
-// The ends.
+// The results of asking for a permit.
 const (
-	PermitGranted Permit = "granted"
-	PermitDenied  Permit = "denied"
-	// PermitUnanswered: the host that lends permits did not reply.
-	PermitUnanswered Permit = "unanswered"
+	PermitGranted PermitResult = "granted"
+	PermitDenied  PermitResult = "denied"
+	// PermitUnanswered means that the host that grants permits did not reply.
+	PermitUnanswered PermitResult = "unanswered"
 )
 
-// Permits lists all ends.
-var Permits = []Permit{PermitGranted, PermitDenied, PermitUnanswered}
+// PermitResults lists all results.
+var PermitResults = []PermitResult{PermitGranted, PermitDenied, PermitUnanswered}
 
 // Counters are the metrics of one daemon.
 type Counters struct {
 	set      *metrics.Set
 	refusals map[request.Reason]*metrics.Counter
 	retries  map[request.RetryReason]*metrics.Counter
-	wasted   map[Waste]*metrics.Counter
+	wasted   map[WasteCause]*metrics.Counter
 	peers    map[PeerTraffic]*metrics.Counter
-	store    map[StoreCall]*metrics.Counter
+	store    map[StoreCallReason]*metrics.Counter
 	signals  map[Signal]*metrics.Counter
-	permits  map[Permit]*metrics.Counter
-	// Goodput counts tokens of answers that met their class's targets.
+	permits  map[PermitResult]*metrics.Counter
+	// Goodput counts the tokens of answers that met the targets of their class.
 	Goodput *metrics.Counter
-	// Tokens counts all tokens relayed.
+	// Tokens counts all relayed tokens.
 	Tokens *metrics.Counter
-	// Resends counts bytes-level facts that must stay 0: a second send of a
-	// request that may not be repeated.
+	// Resends counts requests that were sent a second time although they may not
+	// be repeated. It must stay 0.
 	Resends *metrics.Counter
 	// PlatformErrors counts failed calls to the platform.
 	PlatformErrors *metrics.Counter
-	// SettingsRejected counts revisions that this program can't read.
+	// SettingsRejected counts settings revisions that this program can't decode.
 	SettingsRejected *metrics.Counter
-	// decisionAge is how old the settings were at most that decided about a request, in seconds.
+	// decisionAge is the upper bound on the age of the settings that a request was decided with, in seconds.
 	decisionAge *metrics.Histogram
 }
 
-// New returns all counters at 0.
+// New returns counters that are all 0.
 func New() *Counters {
 	set := metrics.NewSet()
 	c := &Counters{
 		set:              set,
 		refusals:         make(map[request.Reason]*metrics.Counter),
 		retries:          make(map[request.RetryReason]*metrics.Counter),
-		wasted:           make(map[Waste]*metrics.Counter),
+		wasted:           make(map[WasteCause]*metrics.Counter),
 		peers:            make(map[PeerTraffic]*metrics.Counter),
-		store:            make(map[StoreCall]*metrics.Counter),
+		store:            make(map[StoreCallReason]*metrics.Counter),
 		signals:          make(map[Signal]*metrics.Counter),
-		permits:          make(map[Permit]*metrics.Counter),
+		permits:          make(map[PermitResult]*metrics.Counter),
 		Goodput:          set.NewCounter("oxbowslip_goodput_tokens_total"),
 		Tokens:           set.NewCounter("oxbowslip_tokens_total"),
 		Resends:          set.NewCounter("oxbowslip_forbidden_resends_total"),
@@ -139,43 +138,43 @@
 	for _, reason := range request.RetryReasons {
 		c.retries[reason] = set.NewCounter(fmt.Sprintf(`oxbowslip_retries_total{reason=%q}`, reason))
 	}
-	for _, cause := range Wastes {
+	for _, cause := range WasteCauses {
 		c.wasted[cause] = set.NewCounter(fmt.Sprintf(`oxbowslip_wasted_tokens_total{cause=%q}`, cause))
 	}
-	for _, kind := range PeerTraffics {
+	for _, kind := range PeerTrafficKinds {
 		c.peers[kind] = set.NewCounter(fmt.Sprintf(`oxbowslip_peer_sent_bytes_total{kind=%q}`, kind))
 	}
-	for _, reason := range StoreCalls {
+	for _, reason := range StoreCallReasons {
 		c.store[reason] = set.NewCounter(fmt.Sprintf(`oxbowslip_store_calls_total{reason=%q}`, reason))
 	}
 	for _, signal := range Signals {
 		c.signals[signal] = set.NewCounter(fmt.Sprintf(`oxbowslip_endpoint_signals_total{signal=%q}`, signal))
 	}
-	for _, permit := range Permits {
+	for _, permit := range PermitResults {
 		c.permits[permit] = set.NewCounter(fmt.Sprintf(`oxbowslip_permits_total{result=%q}`, permit))
 	}
 	return c
 }
 
-// AskedPermit counts a question for a permit by its end.
-func (c *Counters) AskedPermit(end Permit) { c.permits[end].Inc() }
+// CountPermit counts the result of asking for a permit.
+func (c *Counters) CountPermit(result PermitResult) { c.permits[result].Inc() }
 
-// Signalled counts what an answer says of its endpoint.
-func (c *Counters) Signalled(signals ...Signal) {
+// CountSignals counts the signals of one response.
+func (c *Counters) CountSignals(signals ...Signal) {
 	for _, signal := range signals {
 		c.signals[signal].Inc()
 	}
 }
 
-// CalledStore counts a call to the deployment's store.
-func (c *Counters) CalledStore(reason StoreCall) { c.store[reason].Inc() }
+// CountStoreCall counts a call to the deployment's store.
+func (c *Counters) CountStoreCall(reason StoreCallReason) { c.store[reason].Inc() }
 
-// SentToPeers counts bytes that were sent to peers, without what lies below UDP or TCP.
-func (c *Counters) SentToPeers(kind PeerTraffic, bytes int) { c.peers[kind].Add(bytes) }
+// CountPeerBytes counts bytes sent to peers, excluding the UDP or TCP overhead.
+func (c *Counters) CountPeerBytes(kind PeerTraffic, bytes int) { c.peers[kind].Add(bytes) }
 
-// Refused counts a refusal. A reason of a newer peer that this program does not
-// know counts as internal.
-func (c *Counters) Refused(reason request.Reason) {
+// CountRefusal counts a refusal. A reason that only newer peers define counts as
+// internal.
+func (c *Counters) CountRefusal(reason request.Reason) {
 	counter, ok := c.refusals[reason]
 	if !ok {
 		counter = c.refusals[request.ReasonInternal]
@@ -183,10 +182,10 @@
 	counter.Inc()
 }
 
-// Refusals returns the count of a reason.
+// Refusals returns the number of refusals with a reason.
 func (c *Counters) Refusals(reason request.Reason) uint64 { return c.refusals[reason].Get() }
 
-// RefusalsByReason returns the counts of all reasons that are not 0.
+// RefusalsByReason returns all refusal counts that are not 0.
 func (c *Counters) RefusalsByReason() map[string]uint64 {
 	counts := make(map[string]uint64)
 	for _, reason := range request.Reasons {
@@ -197,21 +196,21 @@
 	return counts
 }
 
-// Retried counts a retry.
-func (c *Counters) Retried(reason request.RetryReason) { c.retries[reason].Inc() }
+// CountRetry counts a retry.
+func (c *Counters) CountRetry(reason request.RetryReason) { c.retries[reason].Inc() }
 
-// Retries returns the count of a retry reason.
+// Retries returns the number of retries with a reason.
 func (c *Counters) Retries(reason request.RetryReason) uint64 { return c.retries[reason].Get() }
 
-// Wasted counts tokens that were generated in vain.
-func (c *Counters) Wasted(cause Waste, tokens int) { c.wasted[cause].Add(tokens) }
+// CountWastedTokens counts generated tokens that were of no use.
+func (c *Counters) CountWastedTokens(cause WasteCause, tokens int) { c.wasted[cause].Add(tokens) }
 
-// WastedTokens returns the wasted tokens of a cause.
-func (c *Counters) WastedTokens(cause Waste) uint64 { return c.wasted[cause].Get() }
+// WastedTokens returns the number of wasted tokens with a cause.
+func (c *Counters) WastedTokens(cause WasteCause) uint64 { return c.wasted[cause].Get() }
 
-// Answered counts an answer of a class. Class names are bounded by the root of
-// the settings tree; workspaces are left out to bound the number of series.
-func (c *Counters) Answered(class string, firstToken time.Duration, attained bool, tokens int) {
+// CountAnswer counts an answer of a class. The root of the settings tree bounds the
+// class names; there is no label for the workspace, to bound the number of series.
+func (c *Counters) CountAnswer(class string, firstToken time.Duration, attained bool, tokens int) {
 	c.set.GetOrCreateCounter(fmt.Sprintf(`oxbowslip_answers_total{class=%q,attained="%t"}`, class, attained)).Inc()
 	c.set.GetOrCreateHistogram(fmt.Sprintf(`oxbowslip_first_token_seconds{class=%q}`, class)).Update(firstToken.Seconds())
 	if attained {
@@ -219,16 +218,16 @@
 	}
 }
 
-// DecidedAt notes how old the settings were at most that decided about a request. An age below 0
-// is not known and is left out.
-func (c *Counters) DecidedAt(age time.Duration) {
+// RecordDecisionAge records the upper bound on the age of the settings that a request was decided with.
+// A negative age means unknown and is ignored.
+func (c *Counters) RecordDecisionAge(age time.Duration) {
 	if age >= 0 {
 		c.decisionAge.Update(age.Seconds())
 	}
 }
 
-// Gauge registers a value that is read when the metrics are.
+// Gauge registers a gauge whose value is read each time the metrics are written.
 func (c *Counters) Gauge(name string, read func() float64) { c.set.GetOrCreateGauge(name, read) }
 
-// Write writes all metrics as Prometheus text.
+// Write writes all metrics in the Prometheus text format.
 func (c *Counters) Write(w io.Writer) { c.set.WritePrometheus(w) }
--- a/internal/counters/golden_test.go
+++ b/internal/counters/golden_test.go
@@ -11,12 +11,12 @@
 	"oxbowslip.dev/oxbowslip/internal/proof/golden"
 )
 
-// TestGoldenMetrics holds the names and labels of all metrics to those of commit 4c58500.
+// TestGoldenMetrics checks that the names and labels of all metrics equal the recorded ones.
 func TestGoldenMetrics(t *testing.T) {
 	counters := New()
-	counters.Answered("class", time.Second, true, 5)
-	counters.Answered("class", time.Second, false, 5)
-	counters.DecidedAt(time.Second)
+	counters.CountAnswer("class", time.Second, true, 5)
+	counters.CountAnswer("class", time.Second, false, 5)
+	counters.RecordDecisionAge(time.Second)
 	var out bytes.Buffer
 	counters.Write(&out)
 	value := regexp.MustCompile(` [^ ]*$`)
--- a/internal/daemon/api/chat.go
+++ b/internal/daemon/api/chat.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// maxAnswerBytes bounds a whole answer, which is held in memory.
+	// maxAnswerBytes bounds a unary answer, which is buffered in memory.
 	maxAnswerBytes = 16 << 20
 
 	chatPath     = "/v1/chat/completions"
@@ -31,7 +31,7 @@
 	eventType    = "text/event-stream"
 )
 
-// chat answers one chat request.
+// chat serves a chat request.
 func (s *Server) chat(w http.ResponseWriter, r *http.Request, c *caller) *fault {
 	if f := c.classify(r.Header.Get(HeaderClass)); f != nil {
 		return f
@@ -44,10 +44,10 @@
 	if err != nil {
 		return &fault{reason: request.ReasonBadRequest, detail: "the body is no chat request: " + err.Error()}
 	}
-	if !c.tree.MayCall(c.workspace, body.Model) {
+	if !c.tree.CanCall(c.workspace, body.Model) {
 		return &fault{reason: request.ReasonUnknownModel, detail: "this workspace has no such model", known: c.modelNames()}
 	}
-	if f := s.claim(r, c); f != nil {
+	if f := s.claimKey(r, c); f != nil {
 		return f
 	}
 	x := &chatExchange{server: s, caller: c, body: body, w: w, maxTokens: body.maxTokens(c.policy.MaxAnswerTokens)}
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// chatExchange is one chat request with its answer.
+// chatExchange is a chat request and its answer.
 type chatExchange struct {
 	server    *Server
 	caller    *caller
@@ -64,20 +64,20 @@
 	maxTokens int
 
 	stream *streamRelay
-	// answer is a unary answer that was seen whole.
+	// answer is a unary answer that was received completely.
 	answer *httprelay.HeldAnswer
 }
 
 func (x *chatExchange) run(ctx context.Context) {
 	s, c := x.server, x.caller
-	req := s.scheduleRequest(c)
+	req := s.admissionRequest(c)
 	req.PromptTokens = prefix.Tokens(x.body.Messages)
 	req.MaxTokens = x.maxTokens
 	req.Prefix = prefix.Hashes(cacheSalt(c.workspace), x.body.Messages)
 	job := &owner.Job{
 		Request:     req,
 		Shard:       x.body.Model,
-		Rules:       rules(&c.policy),
+		Rules:       attemptRules(&c.policy),
 		RetryBudget: c.policy.RetryBudget,
 		Attempt:     x.unary,
 	}
@@ -88,7 +88,7 @@
 		x.stream = newStreamRelay(s, x.w, c)
 		job.Attempt = x.streamAttempt
 		job.Resume = x.streamResume
-		job.CanContinue = x.shardContinues()
+		job.CanContinue = x.allEnginesContinue()
 	}
 	end := s.parts.Owner.Run(ctx, job)
 	s.parts.Recorded.Add(record.Entry{
@@ -97,9 +97,9 @@
 	x.finish(&end)
 }
 
-// shardContinues reports whether all engines of the model can go on from a part
-// of an answer, so that any of them may be granted.
-func (x *chatExchange) shardContinues() bool {
+// allEnginesContinue reports whether all engines of the model can continue from a partial answer,
+// so that any of them may be granted.
+func (x *chatExchange) allEnginesContinue() bool {
 	for _, e := range x.caller.tree.Endpoints {
 		if e.Model == x.body.Model && !e.Continues {
 			return false
@@ -112,22 +112,22 @@
 	s, c := x.server, x.caller
 	switch end.Outcome {
 	case request.OutcomeAnswered:
-		whole := s.parts.Clock().Sub(c.arrived)
+		duration := s.parts.Clock().Sub(c.arrived)
 		if x.answer != nil {
 			x.answer.Send(x.w)
 		}
-		s.parts.Counters.Answered(c.class, end.FirstToken, attained(&c.policy, end, whole), end.Tokens)
+		s.parts.Counters.CountAnswer(c.class, end.FirstToken, metTargets(&c.policy, end, duration), end.Tokens)
 	case request.OutcomeBroken:
-		x.stream.breakOff(end.Refusal)
+		x.stream.abort(end.Refusal)
 	case request.OutcomeRefused:
 		s.refuse(x.w, c, end.Refusal)
 	}
 }
 
-// call builds the call for an attempt.
-func (x *chatExchange) call(a *owner.Attempt, part string, partTokens int) (httpclient.Call, error) {
+// call builds the HTTP call of an attempt.
+func (x *chatExchange) call(a *owner.Attempt, partial string, partialTokens int) (httpclient.Call, error) {
 	c := x.caller
-	data, err := x.body.engineBody(c.policy.Tier, cacheSalt(c.workspace), x.maxTokens, part, partTokens)
+	data, err := x.body.engineBody(c.policy.Tier, cacheSalt(c.workspace), x.maxTokens, partial, partialTokens)
 	if err != nil {
 		return httpclient.Call{}, err
 	}
@@ -143,12 +143,12 @@
 		Body:   bytes.NewReader(data),
 		Length: int64(len(data)),
 		Once:   !c.policy.Repeatable,
-		OnSend: a.Sent,
+		OnSend: a.RecordSend,
 	}, nil
 }
 
-// unary makes one attempt at a request without a stream. The answer is kept
-// until it is whole.
+// unary makes an attempt at a request without streaming. The answer is buffered until it is
+// complete.
 func (x *chatExchange) unary(ctx context.Context, a *owner.Attempt) owner.Result {
 	call, err := x.call(a, "", 0)
 	if err != nil {
@@ -156,7 +156,7 @@
 	}
 	response, err := x.server.parts.Client.Do(ctx, call)
 	if err != nil {
-		return failed(err)
+		return clientErrorResult(err)
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
@@ -172,16 +172,16 @@
 	case gjson.GetBytes(data, "id").String() != chatIDPrefix+x.caller.id:
 		return owner.Result{Event: request.EventWrongAnswer, Err: errors.New("answer to another request")}
 	}
-	if !a.Deliver() {
+	if !a.StartDelivery() {
 		return owner.Result{Event: request.EventBroken}
 	}
-	a.Tokens(int(gjson.GetBytes(data, "usage.completion_tokens").Int()))
+	a.RecordTokens(int(gjson.GetBytes(data, "usage.completion_tokens").Int()))
 	x.answer = &httprelay.HeldAnswer{Status: response.StatusCode, Header: response.Header, Body: data}
 	return owner.Result{Event: request.EventWhole}
 }
 
-// endpointError turns an endpoint's error answer into a result. What the
-// endpoint finds wrong with the request itself is the caller's answer.
+// endpointError converts an endpoint's error response to a result. An error in the request itself
+// is returned to the caller as the answer.
 func (x *chatExchange) endpointError(response *http.Response, data []byte, a *owner.Attempt) owner.Result {
 	status := response.StatusCode
 	if gjson.GetBytes(data, "error.ran").String() == string(request.RanNo) {
@@ -190,42 +190,41 @@
 	if status >= http.StatusInternalServerError || status == http.StatusTooManyRequests || status == http.StatusRequestTimeout {
 		return owner.Result{Event: request.EventBroken, Err: errors.New("endpoint answered " + response.Status)}
 	}
-	if !a.Deliver() {
+	if !a.StartDelivery() {
 		return owner.Result{Event: request.EventBroken}
 	}
 	x.answer = &httprelay.HeldAnswer{Status: status, Header: response.Header, Body: data}
 	return owner.Result{Event: request.EventWhole}
 }
 
-// failed turns an error of the client into a result.
-func failed(err error) owner.Result {
+// clientErrorResult converts an error of the HTTP client to a result.
+func clientErrorResult(err error) owner.Result {
 	if errors.Is(err, request.ErrNotSent) {
 		return owner.Result{Event: request.EventDialFailed, Err: err}
 	}
 	return owner.Result{Event: request.EventBroken, Err: err}
 }
 
-// streamAttempt sends a request for a stream, or the rest of one that broke.
+// streamAttempt requests a stream, or the remainder of a stream that broke off.
 func (x *chatExchange) streamAttempt(ctx context.Context, a *owner.Attempt) owner.Result {
-	call, err := x.call(a, x.stream.text(), x.stream.tokens)
+	call, err := x.call(a, x.stream.textSoFar(), x.stream.tokens)
 	if err != nil {
 		return owner.Result{Event: request.EventBroken, Err: err}
 	}
-	x.stream.begin()
-	return x.relay(ctx, a, call)
+	x.stream.beginAttempt()
+	return x.relayStream(ctx, a, call)
 }
 
-// streamResume continues a broken stream at its engine, after the last event
-// that came.
+// streamResume resumes a broken stream at the same engine, after the last event received.
 func (x *chatExchange) streamResume(ctx context.Context, a *owner.Attempt) owner.Result {
-	pause := time.NewTimer(resumePause)
+	pause := time.NewTimer(resumeDelay)
 	defer pause.Stop()
 	select {
 	case <-pause.C:
 	case <-ctx.Done():
 		return owner.Result{Event: request.EventCallerGone}
 	}
-	return x.relay(ctx, a, httpclient.Call{
+	return x.relayStream(ctx, a, httpclient.Call{
 		Address: a.Endpoint.Address,
 		Method:  http.MethodGet,
 		Path:    streamsPath + x.caller.id,
@@ -233,15 +232,15 @@
 	})
 }
 
-// resumePause is the time for a connection that broke to come back.
-const resumePause = 20 * time.Millisecond
+// resumeDelay is the delay before a resume, in which a lost connection may recover.
+const resumeDelay = 20 * time.Millisecond
 
-func (x *chatExchange) relay(ctx context.Context, a *owner.Attempt, call httpclient.Call) owner.Result {
-	ctx, watch := httprelay.WatchSilence(ctx, stallTime, owner.ErrStalled)
+func (x *chatExchange) relayStream(ctx context.Context, a *owner.Attempt, call httpclient.Call) owner.Result {
+	ctx, watch := httprelay.WithIdleTimeout(ctx, stallTimeout, owner.ErrStalled)
 	defer watch.Stop()
 	response, err := x.server.parts.Client.Do(ctx, call)
 	if err != nil {
-		return failed(err)
+		return clientErrorResult(err)
 	}
 	defer response.Body.Close()
 	if !strings.HasPrefix(response.Header.Get("Content-Type"), eventType) {
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -22,32 +22,31 @@
 	"oxbowslip.dev/oxbowslip/internal/proof/standin"
 )
 
-// steady is an engine that gives a token every 5 ms whatever its load.
-var steady = emulator.Config{
+// steadyEngine is an engine that generates a token every 5 ms at any load.
+var steadyEngine = emulator.Config{
 	StepTime: 5 * time.Millisecond, PerRequest: time.Nanosecond, PerPromptToken: time.Nanosecond,
 	ChunkTokens: 1 << 20, MaxRunning: 4096, CacheTokens: 1 << 30,
 }
 
-// timing is what a caller saw of one stream.
+// timing is what a caller measured of a stream.
 type timing struct {
-	first time.Duration
-	whole time.Duration
+	firstToken time.Duration
+	total      time.Duration
 }
 
-// streams opens so many streams at once, reads them to the end, and gives their
-// timings.
-func streams(b *testing.B, address string, n int) []timing {
+// runStreams opens n concurrent streams, reads them to the end, and returns their timings.
+func runStreams(b *testing.B, address string, n int) []timing {
 	timings := make([]timing, n)
 	var group sync.WaitGroup
 	for i := range n {
-		group.Go(func() { timings[i] = oneStream(b, address) })
+		group.Go(func() { timings[i] = runStream(b, address) })
 	}
 	group.Wait()
 	return timings
 }
 
-func oneStream(b *testing.B, address string) timing {
-	begun := time.Now()
+func runStream(b *testing.B, address string) timing {
+	start := time.Now()
 	r, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/chat/completions",
 		strings.NewReader(`{"model":"voyage","stream":true,"max_tokens":100,"messages":[{"role":"user","content":"answer_tokens=100"}]}`))
 	if err != nil {
@@ -66,11 +65,11 @@
 	t := timing{}
 	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
-		if t.first == 0 {
-			t.first = time.Since(begun)
+		if t.firstToken == 0 {
+			t.firstToken = time.Since(start)
 		}
 	}
-	t.whole = time.Since(begun)
+	t.total = time.Since(start)
 	if err := lines.Err(); err != nil || response.StatusCode != http.StatusOK {
 		b.Errorf("status %d, %v", response.StatusCode, err)
 	}
@@ -79,24 +78,24 @@
 
 var benchClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
 
-func firsts(timings []timing) []time.Duration {
+func sortedFirstTokens(timings []timing) []time.Duration {
 	var list []time.Duration
 	for _, t := range timings {
-		list = append(list, t.first)
+		list = append(list, t.firstToken)
 	}
 	slices.Sort(list)
 	return list
 }
 
-// BenchmarkAdded compares streams through the router with streams straight from
-// an engine, in one run.
+// BenchmarkAdded compares streams through the router with streams directly from an engine, in the
+// same run.
 func BenchmarkAdded(b *testing.B) {
 	for _, n := range []int{1, 64, 512} {
 		b.Run(fmt.Sprintf("streams=%d", n), func(b *testing.B) {
 			config := demo.DefaultConfig
 			config.Hosts = 1
 			config.Engines = map[string]int{"voyage": 8}
-			config.Speed = steady
+			config.Speed = steadyEngine
 			cluster, err := demo.Start(context.Background(), config)
 			if err != nil {
 				b.Fatal(err)
@@ -104,31 +103,31 @@
 			defer cluster.Close()
 			router := cluster.Hosts()[0].Daemon.CallersAddress()
 			for range 4 {
-				streams(b, router, n) // The learned limits grow to what is asked of them.
+				runStreams(b, router, n) // Lets the learned limits grow to the offered load.
 			}
 			var direct, routed []timing
 			for b.Loop() {
-				direct = append(direct, streams(b, cluster.Engines["voyage-1"].Address(), n)...)
-				routed = append(routed, streams(b, router, n)...)
+				direct = append(direct, runStreams(b, cluster.Engines["voyage-1"].Address(), n)...)
+				routed = append(routed, runStreams(b, router, n)...)
 			}
-			d, r := firsts(direct), firsts(routed)
+			d, r := sortedFirstTokens(direct), sortedFirstTokens(routed)
 			b.ReportMetric(float64(r[len(r)/2]-d[len(d)/2])/1e6, "added-p50-ms")
 			b.ReportMetric(float64(r[len(r)*99/100]-d[len(d)*99/100])/1e6, "added-p99-ms")
-			b.ReportMetric(total(direct).Seconds()/total(routed).Seconds(), "throughput-ratio")
+			b.ReportMetric(totalTime(direct).Seconds()/totalTime(routed).Seconds(), "throughput-ratio")
 		})
 	}
 }
 
-func total(timings []timing) time.Duration {
+func totalTime(timings []timing) time.Duration {
 	sum := time.Duration(0)
 	for _, t := range timings {
-		sum += t.whole
+		sum += t.total
 	}
 	return sum
 }
 
-// scriptedEngine sends a stream of so many chunks as fast as it can be read. It
-// allocates next to nothing, so that what a run allocates is the router's.
+// scriptedEngine streams a number of chunks as fast as they are read. It allocates next to nothing,
+// so that nearly all allocations of a run are the router's.
 func scriptedEngine(tokens int) *httptest.Server {
 	return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -144,8 +143,8 @@
 	}))
 }
 
-// relayCost reads one long stream through the router and gives the allocations
-// and bytes for each token, all processes' parts together.
+// relayCost reads a long stream through the router. It returns the allocations and bytes per token
+// in this process, which runs the router, the engine and the caller, and the duration.
 func relayCost(c *qt.C, tokens int) (allocations, bytes float64, length time.Duration) {
 	engine := scriptedEngine(tokens)
 	defer engine.Close()
@@ -158,19 +157,19 @@
 	body := `{"model":"voyage","stream":true,"messages":[]}`
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	begun := time.Now()
+	start := time.Now()
 	_, err = fmt.Fprintf(conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nConnection: close\r\nAuthorization: Bearer %s\r\nX-Request-Class: itinerary\r\nContent-Length: %d\r\n\r\n%s",
 		demo.CallerKey("towpath-hire"), len(body), body)
 	c.Assert(err, qt.IsNil)
 	n, err := io.Copy(io.Discard, conn)
-	length = time.Since(begun)
+	length = time.Since(start)
 	runtime.ReadMemStats(&after)
 	c.Assert(err, qt.IsNil)
 	c.Assert(n > int64(tokens)*50, qt.IsTrue, qt.Commentf("%d bytes", n))
 	return float64(after.Mallocs-before.Mallocs) / float64(tokens), float64(after.TotalAlloc-before.TotalAlloc) / float64(tokens), length
 }
 
-// TestRelayAllocations bounds what a token costs the router.
+// TestRelayAllocations bounds the allocations and bytes per relayed token.
 func TestRelayAllocations(t *testing.T) {
 	c := qt.New(t)
 	allocations, bytes, _ := relayCost(c, 20_000)
@@ -189,7 +188,7 @@
 	}
 }
 
-// BenchmarkOpenStreams measures the memory that an open stream holds.
+// BenchmarkOpenStreams measures the memory held by an open stream.
 func BenchmarkOpenStreams(b *testing.B) {
 	c := qt.New(b)
 	const n = 400
@@ -198,7 +197,7 @@
 		for _, engine := range cluster.Engines {
 			engine.SetFaults(standin.EngineFaults{Stall: true})
 		}
-		before := heap()
+		before := heapInUse()
 		var group sync.WaitGroup
 		ctx, cancel := context.WithCancel(context.Background())
 		for range n {
@@ -207,60 +206,60 @@
 		for cluster.Hosts()[0].Daemon.Open() < n {
 			time.Sleep(time.Millisecond)
 		}
-		b.ReportMetric(float64(heap()-before)/n, "B/stream")
+		b.ReportMetric(float64(heapInUse()-before)/n, "B/stream")
 		cancel()
 		group.Wait()
 	}
 }
 
-func heap() uint64 {
+func heapInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return stats.HeapInuse + stats.StackInuse
 }
 
-// BenchmarkSharedScheduler compares requests at the host that schedules their
-// shard with requests at another host.
+// BenchmarkSharedScheduler compares requests sent to the host that schedules their shard with
+// requests sent to another host.
 func BenchmarkSharedScheduler(b *testing.B) {
 	c := qt.New(b)
 	cluster := startFleet(c, 2, 2)
-	scheduler := settle(c, cluster)
+	scheduler := awaitScheduler(c, cluster)
 	other := cluster.Hosts()[0]
 	if other == scheduler {
 		other = cluster.Hosts()[1]
 	}
-	var here, there []timing
+	var atScheduler, atOtherHost []timing
 	for b.Loop() {
-		here = append(here, oneStream(b, scheduler.Daemon.CallersAddress()))
-		there = append(there, oneStream(b, other.Daemon.CallersAddress()))
+		atScheduler = append(atScheduler, runStream(b, scheduler.Daemon.CallersAddress()))
+		atOtherHost = append(atOtherHost, runStream(b, other.Daemon.CallersAddress()))
 	}
-	h, t := firsts(here), firsts(there)
+	h, t := sortedFirstTokens(atScheduler), sortedFirstTokens(atOtherHost)
 	b.ReportMetric(float64(t[len(t)/2]-h[len(h)/2])/1e6, "added-p50-ms")
 	b.ReportMetric(float64(t[len(t)*95/100]-h[len(h)*95/100])/1e6, "added-p95-ms")
 }
 
-// BenchmarkInForce is the time from sending a change until it is in force on
-// all of 8 hosts that poll the platform every second.
+// BenchmarkInForce measures the time from sending a change until it is in force on all of 8 hosts,
+// which poll the platform every second.
 func BenchmarkInForce(b *testing.B) {
 	config := demo.DefaultConfig
 	config.Hosts = 8
 	config.Engines = map[string]int{"voyage": 1, "triage": 1}
-	config.Speed = fast
+	config.Speed = fastEngine
 	config.Poll = time.Second
 	cluster, err := demo.Start(context.Background(), config)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer cluster.Close()
-	settle(qt.New(b), cluster)
+	awaitScheduler(qt.New(b), cluster)
 	var lengths []time.Duration
 	for i := 0; b.Loop(); i++ {
-		begun := time.Now()
+		start := time.Now()
 		if err := cluster.SetEndpointAddress("triage-1", fmt.Sprint("127.0.0.1:", 1+i%2)); err != nil {
 			b.Fatal(err)
 		}
-		lengths = append(lengths, time.Since(begun))
+		lengths = append(lengths, time.Since(start))
 	}
 	slices.Sort(lengths)
 	b.ReportMetric(lengths[len(lengths)/2].Seconds(), "p50-s")
--- a/internal/daemon/changes.go
+++ b/internal/daemon/changes.go
@@ -16,8 +16,7 @@
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
 
-// changes lets operators change the settings through this host. It implements
-// operator.Changes.
+// changes implements operator.Changes: operators change the settings through this host.
 type changes struct {
 	committer *commit.Committer
 	follower  *poller.Follower
@@ -25,7 +24,8 @@
 	log       *logrus.Entry
 }
 
-// Accept stores a change and puts it in force on this host at once.
+// Accept commits a change and polls the settings, so that it is in force on this host when it
+// returns.
 func (c changes) Accept(ctx context.Context, change settings.Change) (uint64, error) {
 	revision, err := c.committer.Commit(ctx, change)
 	if err != nil {
@@ -36,20 +36,20 @@
 	return revision, nil
 }
 
-// Find reads an accepted change.
+// Find returns the accepted change of a revision.
 func (c changes) Find(ctx context.Context, revision uint64) (settings.Change, error) {
 	found, err := poller.ReadChange(ctx, c.client, revision)
 	if errors.Is(err, tableclient.ErrNotFound) {
-		return found, merry.Wrap(operator.ErrNoChange, merry.WithCause(err))
+		return found, merry.Wrap(operator.ErrChangeNotFound, merry.WithCause(err))
 	}
 	return found, err
 }
 
-// changeError turns the error of a commit into what operators read.
+// changeError converts the error of a commit to the error that operators receive.
 func changeError(err error) *operator.ChangeError {
 	var conflict *commit.Conflict
 	var faults *strictjson.Error
-	answer := &operator.ChangeError{Cause: operator.CauseAway, Detail: err.Error()}
+	answer := &operator.ChangeError{Cause: operator.CauseUnavailable, Detail: err.Error()}
 	switch {
 	case errors.As(err, &conflict):
 		answer.Cause, answer.Other, answer.Paths = operator.CauseConflict, &conflict.Other, conflict.Paths
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -22,8 +22,8 @@
 	"oxbowslip.dev/oxbowslip/internal/request"
 )
 
-// fast is an engine whose steps take so little that no test waits for it.
-var fast = emulator.Config{
+// fastEngine is an engine whose steps are too short to delay a test.
+var fastEngine = emulator.Config{
 	StepTime: 200 * time.Microsecond, PerRequest: time.Microsecond, PerPromptToken: time.Nanosecond,
 	ChunkTokens: 4096, MaxRunning: 64, CacheTokens: 1_000_000,
 }
@@ -32,7 +32,7 @@
 	config := demo.DefaultConfig
 	config.Hosts = 1
 	config.Engines = map[string]int{"voyage": engines, "triage": 1}
-	config.Speed = fast
+	config.Speed = fastEngine
 	config.Notice = time.Millisecond
 	config.CallerTimeout = 300 * time.Millisecond
 	cluster, err := demo.Start(context.Background(), config)
@@ -41,12 +41,12 @@
 	return cluster
 }
 
-// answer is what a caller got.
+// answer is a response as received by a caller.
 type answer struct {
 	id     string
 	status int
 	text   string
-	// err says that the transfer broke.
+	// err is set if the transfer broke off.
 	err    error
 	reason request.Reason
 	ran    request.Ran
@@ -55,8 +55,8 @@
 }
 
 const (
-	messages = `[{"role":"user","content":"Which lock is next? answer_tokens=20"}]`
-	words    = 20
+	messages    = `[{"role":"user","content":"Which lock is next? answer_tokens=20"}]`
+	answerWords = 20
 )
 
 func chatBody(stream bool) string {
@@ -89,14 +89,14 @@
 	data, err := io.ReadAll(response.Body)
 	a.err = err
 	a.text = string(data)
-	a.note(a.text)
+	a.recordError(a.text)
 	if content := gjson.Get(a.text, "choices.0.message.content"); content.Exists() {
 		a.text = content.Str
 	}
 	return a
 }
 
-func (a *answer) note(data string) {
+func (a *answer) recordError(data string) {
 	if fault := gjson.Get(data, "error"); fault.Exists() {
 		a.reason = request.Reason(fault.Get("reason").Str)
 		a.ran = request.Ran(fault.Get("ran").Str)
@@ -113,7 +113,7 @@
 			a.done = true
 			continue
 		}
-		a.note(event.Data)
+		a.recordError(event.Data)
 		a.text += gjson.Get(event.Data, "choices.0.delta.content").Str
 	}
 }
@@ -129,12 +129,12 @@
 	return n
 }
 
-// TestFaults shows each fault on an endpoint and checks what the caller is told
-// and how often the request ran.
-func TestFaults(t *testing.T) {
+// TestEndpointFaults checks, for each fault of an endpoint, what the caller receives and how often
+// the request ran.
+func TestEndpointFaults(t *testing.T) {
 	const chat, confirm = "/v1/chat/completions", "/v1/services/booking/confirm"
-	wholeAnswer := standin.Answer([]byte(messages), words)
-	first := wholeAnswer[:strings.Index(wholeAnswer, " ")+1]
+	wholeAnswer := standin.Answer([]byte(messages), answerWords)
+	firstWord := wholeAnswer[:strings.Index(wholeAnswer, " ")+1]
 	tests := map[string]struct {
 		engines int
 		engine  standin.EngineFaults
@@ -188,29 +188,29 @@
 			engines: 2, dead: true, path: chat, class: "itinerary", body: chatBody(true),
 			status: 200, text: wholeAnswer, executions: 1,
 		},
-		"unary answer cut short": {
+		"unary answer truncated": {
 			engines: 1, engine: standin.EngineFaults{CutAnswer: true}, path: chat, class: "itinerary", body: chatBody(false),
 			status: 502, reason: request.ReasonEndpointFailed, ran: request.RanUnknown, executions: 3,
 		},
-		"unary answer cut short, answered elsewhere": {
+		"unary answer truncated, answered elsewhere": {
 			engines: 2, engine: standin.EngineFaults{CutAnswer: true}, path: chat, class: "itinerary", body: chatBody(false),
 			status: 200, text: wholeAnswer, executions: 2,
 		},
-		"service answer cut short": {
+		"service answer truncated": {
 			engines: 1, service: standin.ServiceFaults{CutAnswer: true}, path: confirm, body: "boat 7",
 			status: 502, reason: request.ReasonEndpointFailed, ran: request.RanUnknown, executions: 1,
 		},
-		"large service answer cut short": {
+		"large service answer truncated": {
 			engines: 1, service: standin.ServiceFaults{CutAnswer: true}, path: confirm + "?size=300000", body: "boat 7",
 			status: 200, executions: 1, broken: true,
 		},
-		"stream cut, resumed at its engine": {
+		"stream broken, resumed at its engine": {
 			engines: 1, engine: standin.EngineFaults{BreakAfter: 8}, path: chat, class: "itinerary", body: chatBody(true),
 			status: 200, text: wholeAnswer, executions: 1,
 		},
-		"stream cut too often": {
+		"stream broken too often": {
 			engines: 1, engine: standin.EngineFaults{BreakAfter: 1}, path: chat, class: "itinerary", body: chatBody(true),
-			status: 200, text: first, reason: request.ReasonAnswerBroken, ran: request.RanUnknown, executions: 3, broken: true,
+			status: 200, text: firstWord, reason: request.ReasonAnswerBroken, ran: request.RanUnknown, executions: 3, broken: true,
 		},
 		"unary answer to another request": {
 			engines: 1, engine: standin.EngineFaults{WrongID: true}, path: chat, class: "itinerary", body: chatBody(false),
@@ -238,10 +238,10 @@
 			c.Check(got.ran, qt.Equals, test.ran)
 			c.Check(got.err != nil, qt.Equals, test.broken)
 			c.Check(executions(cluster, got.id), qt.Equals, test.executions)
-			if test.text != "" && test.text != first {
+			if test.text != "" && test.text != firstWord {
 				c.Check(got.text, qt.Equals, test.text)
 			}
-			if test.text == first {
+			if test.text == firstWord {
 				c.Check(strings.HasPrefix(wholeAnswer, got.text), qt.IsTrue, qt.Commentf("%q", got.text))
 				c.Check(got.done, qt.IsFalse)
 			}
@@ -249,9 +249,10 @@
 	}
 }
 
-// TestKeyAfterRefusal has a service refuse a booking unstarted. The caller was
-// told that it did not run, so the same idempotency key must run later, once.
-func TestKeyAfterRefusal(t *testing.T) {
+// TestIdempotencyKeyIsFreeAfterRefusal has a service refuse a booking without starting it. Since
+// the caller is told that it did not run, a later request with the same idempotency key must run,
+// and only once.
+func TestIdempotencyKeyIsFreeAfterRefusal(t *testing.T) {
 	c := qt.New(t)
 	cluster := startCluster(c, 1)
 	service := cluster.Services["booking"]
@@ -272,7 +273,7 @@
 	c.Assert(status, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(ran, qt.Equals, string(request.RanNo))
 	service.SetFaults(standin.ServiceFaults{})
-	until(c, "the key is free again", func() bool {
+	waitUntil(c, "idempotency key is released", func() bool {
 		status, _ := book()
 		return status == http.StatusOK
 	})
@@ -282,10 +283,10 @@
 	c.Assert(service.Executions(), qt.HasLen, 1)
 }
 
-// TestEngineDies kills an engine in the middle of a stream. The answer goes on
-// at another engine from the words that the caller has, and none is missing or
-// doubled.
-func TestEngineDies(t *testing.T) {
+// TestStreamContinuesAfterEngineCrash crashes an engine in the middle of a stream. Another engine
+// must continue the answer from the words that the caller has received, without a gap or a
+// repetition.
+func TestStreamContinuesAfterEngineCrash(t *testing.T) {
 	c := qt.New(t)
 	cluster := startCluster(c, 2)
 	prompt := `[{"role":"user","content":"Tell it all. answer_tokens=400"}]`
@@ -316,9 +317,9 @@
 	c.Assert(executions(cluster, id), qt.Equals, 2)
 }
 
-// TestEngineDiesFirst kills an engine that has read a request and has not begun
-// its answer.
-func TestEngineDiesFirst(t *testing.T) {
+// TestEngineCrashBeforeFirstToken crashes an engine that has read a request and has not started to
+// answer it.
+func TestEngineCrashBeforeFirstToken(t *testing.T) {
 	c := qt.New(t)
 	cluster := startCluster(c, 2)
 	for _, engine := range cluster.Engines {
@@ -327,7 +328,7 @@
 	answers := make(chan answer, 1)
 	go func() { answers <- post(c, cluster, "/v1/chat/completions", "itinerary", chatBody(true)) }()
 	var dead *standin.Engine
-	until(c, "an engine has the request", func() bool {
+	waitUntil(c, "an engine has received the request", func() bool {
 		for _, engine := range cluster.Engines {
 			if len(engine.Executions()) > 0 {
 				dead = engine
@@ -342,13 +343,13 @@
 		}
 	}
 	got := <-answers
-	c.Assert(got.text, qt.Equals, standin.Answer([]byte(messages), words))
+	c.Assert(got.text, qt.Equals, standin.Answer([]byte(messages), answerWords))
 	c.Assert(got.done, qt.IsTrue)
 }
 
-// TestCallerGone cancels a request in the middle: the engine must stop working
-// on it, and its tokens count as wasted.
-func TestCallerGone(t *testing.T) {
+// TestCancelledRequestStopsEngine cancels a request in the middle of its stream. The engine must
+// stop generating, and the tokens must count as wasted.
+func TestCancelledRequestStopsEngine(t *testing.T) {
 	c := qt.New(t)
 	cluster := startCluster(c, 1)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -367,23 +368,24 @@
 	}
 	cancel()
 	response.Body.Close()
-	stop(c, cluster)
+	drain(c, cluster)
 	metrics := cluster.Hosts()[0].Daemon.Counters()
 	c.Assert(metrics.Refusals(request.ReasonCallerGone), qt.Equals, uint64(1))
 	c.Assert(metrics.WastedTokens(counters.WasteCallerGone) > 0, qt.IsTrue)
 	c.Assert(cluster.Engines["voyage-1"].Generated() < 500, qt.IsTrue)
 }
 
-// stop drains the only host, which waits for every request to end.
-func stop(c *qt.C, cluster *demo.Cluster) int {
-	cut, err := cluster.Drain(context.Background(), cluster.Hosts()[0])
+// drain drains the only host, which waits for all requests to end, and returns the number of
+// aborted requests.
+func drain(c *qt.C, cluster *demo.Cluster) int {
+	aborted, err := cluster.Drain(context.Background(), cluster.Hosts()[0])
 	c.Assert(err, qt.IsNil)
-	return cut
+	return aborted
 }
 
-// TestSlowCaller has a caller that reads nothing of a long answer. It is cut
-// off, and what it does not read is not kept.
-func TestSlowCaller(t *testing.T) {
+// TestSlowCallerIsDisconnected has a caller that reads nothing of a long answer. It must be
+// disconnected, and the unread answer must not be buffered.
+func TestSlowCallerIsDisconnected(t *testing.T) {
 	c := qt.New(t)
 	cluster := startCluster(c, 1)
 	host := cluster.Hosts()[0].Daemon
@@ -395,21 +397,21 @@
 	_, err = fmt.Fprintf(conn, "POST /v1/services/booking/confirm?size=30000000 HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s",
 		demo.CallerKey("towpath-hire"), len(body), body)
 	c.Assert(err, qt.IsNil)
-	// Reading the header only shows that the answer has begun.
+	// The beginning of the header shows that the answer has started.
 	_, err = conn.Read(make([]byte, 16))
 	c.Assert(err, qt.IsNil)
-	stop(c, cluster)
+	drain(c, cluster)
 	c.Assert(host.Counters().Refusals(request.ReasonSlowCaller), qt.Equals, uint64(1))
 }
 
-// TestDrain stops a host as planned while a stream is under way.
+// TestDrain stops a host gracefully while a stream is in progress.
 func TestDrain(t *testing.T) {
 	tests := map[string]struct {
-		cutShort bool
-		cut      int
+		abort   bool
+		aborted int
 	}{
-		"the answer ends":     {},
-		"the wait is cut off": {cutShort: true, cut: 1},
+		"answer completes": {},
+		"drain aborted":    {abort: true, aborted: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -422,26 +424,26 @@
 			for engine.Generated() == 0 {
 				time.Sleep(time.Millisecond)
 			}
-			if test.cutShort {
+			if test.abort {
 				engine.SetFaults(standin.EngineFaults{Stall: true})
-				cluster.Hosts()[0].Daemon.CutShort()
+				cluster.Hosts()[0].Daemon.AbortDrain()
 			}
-			c.Assert(stop(c, cluster), qt.Equals, test.cut)
+			c.Assert(drain(c, cluster), qt.Equals, test.aborted)
 			got := <-answers
-			c.Assert(got.done, qt.Equals, !test.cutShort)
-			if test.cutShort {
+			c.Assert(got.done, qt.Equals, !test.abort)
+			if test.abort {
 				c.Assert(got.reason, qt.Equals, request.ReasonStopped)
 				c.Assert(got.ran, qt.Equals, request.RanUnknown)
 				return
 			}
-			c.Assert(got.text, qt.Equals, standin.Answer([]byte(messages), words))
+			c.Assert(got.text, qt.Equals, standin.Answer([]byte(messages), answerWords))
 		})
 	}
 }
 
-// TestBadInput sends what no caller should. Each is refused at once with a
-// typed reason, and nothing is sent on.
-func TestBadInput(t *testing.T) {
+// TestInvalidInputIsRefused sends invalid calls. Each must be refused immediately with its reason,
+// and nothing may be sent to an endpoint.
+func TestInvalidInputIsRefused(t *testing.T) {
 	c := qt.New(t)
 	cluster := startCluster(c, 1)
 	const chat = "/v1/chat/completions"
@@ -453,18 +455,18 @@
 		status int
 		reason request.Reason
 	}{
-		"garbage":          {path: chat, class: "itinerary", body: "}{", status: 400, reason: request.ReasonBadRequest},
-		"empty":            {path: chat, class: "itinerary", body: "", status: 400, reason: request.ReasonBadRequest},
-		"two models":       {path: chat, class: "itinerary", body: `{"model":"voyage","model":"triage","messages":[]}`, status: 400, reason: request.ReasonBadRequest},
-		"messages no list": {path: chat, class: "itinerary", body: `{"model":"voyage","messages":"hi"}`, status: 400, reason: request.ReasonBadRequest},
-		"negative bound":   {path: chat, class: "itinerary", body: `{"model":"voyage","messages":[],"max_tokens":-1}`, status: 400, reason: request.ReasonBadRequest},
-		"wrong type":       {path: chat, class: "itinerary", body: `{"model":7,"messages":[]}`, status: 400, reason: request.ReasonBadRequest},
-		"deep nesting":     {path: chat, class: "itinerary", body: `{"model":"voyage","messages":` + strings.Repeat("[", 20000) + `}`, status: 400, reason: request.ReasonBadRequest},
-		"unknown model":    {path: chat, class: "itinerary", body: `{"model":"barge","messages":[]}`, status: 404, reason: request.ReasonUnknownModel},
-		"unknown class":    {path: chat, class: "yacht", body: chatBody(false), status: 404, reason: request.ReasonUnknownClass},
-		"body too large":   {path: chat, class: "itinerary", body: strings.Repeat("x", 2<<20), status: 413, reason: request.ReasonBodyTooLarge},
-		"unknown service":  {path: "/v1/services/ferry/x", body: "x", status: 404, reason: request.ReasonUnknownService},
-		"unknown path":     {path: "/v2/nothing", body: "x", status: 404, reason: request.ReasonUnknownService},
+		"garbage":             {path: chat, class: "itinerary", body: "}{", status: 400, reason: request.ReasonBadRequest},
+		"empty":               {path: chat, class: "itinerary", body: "", status: 400, reason: request.ReasonBadRequest},
+		"two models":          {path: chat, class: "itinerary", body: `{"model":"voyage","model":"triage","messages":[]}`, status: 400, reason: request.ReasonBadRequest},
+		"messages not a list": {path: chat, class: "itinerary", body: `{"model":"voyage","messages":"hi"}`, status: 400, reason: request.ReasonBadRequest},
+		"negative bound":      {path: chat, class: "itinerary", body: `{"model":"voyage","messages":[],"max_tokens":-1}`, status: 400, reason: request.ReasonBadRequest},
+		"wrong type":          {path: chat, class: "itinerary", body: `{"model":7,"messages":[]}`, status: 400, reason: request.ReasonBadRequest},
+		"deep nesting":        {path: chat, class: "itinerary", body: `{"model":"voyage","messages":` + strings.Repeat("[", 20000) + `}`, status: 400, reason: request.ReasonBadRequest},
+		"unknown model":       {path: chat, class: "itinerary", body: `{"model":"barge","messages":[]}`, status: 404, reason: request.ReasonUnknownModel},
+		"unknown class":       {path: chat, class: "yacht", body: chatBody(false), status: 404, reason: request.ReasonUnknownClass},
+		"body too large":      {path: chat, class: "itinerary", body: strings.Repeat("x", 2<<20), status: 413, reason: request.ReasonBodyTooLarge},
+		"unknown service":     {path: "/v1/services/ferry/x", body: "x", status: 404, reason: request.ReasonUnknownService},
+		"unknown path":        {path: "/v2/nothing", body: "x", status: 404, reason: request.ReasonUnknownService},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -492,7 +494,7 @@
 		text   string
 		status string
 	}{
-		"a client that sends slowly": {
+		"slow body": {
 			text:   "POST " + chat + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + demo.CallerKey("towpath-hire") + "\r\nX-Request-Class: itinerary\r\nContent-Length: 1000\r\n\r\n{",
 			status: "HTTP/1.1 408",
 		},
@@ -507,7 +509,7 @@
 			conn, err := net.Dial("tcp", cluster.Hosts()[0].Daemon.CallersAddress())
 			c.Assert(err, qt.IsNil)
 			defer conn.Close()
-			// The server may answer and close before all is sent.
+			// The server may answer and close the connection before all is sent.
 			_, _ = io.WriteString(conn, test.text)
 			status := make([]byte, len(test.status))
 			_, err = io.ReadFull(conn, status)
--- a/internal/daemon/fx.go
+++ b/internal/daemon/fx.go
@@ -30,7 +30,7 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// Options returns the parts of a daemon to fx.
+// Options returns the fx options that build and run a daemon.
 func Options(config hostconfig.Host, log *logrus.Logger) fx.Option {
 	return fx.Options(
 		fx.Supply(config, log),
@@ -60,7 +60,7 @@
 	)
 }
 
-// fleetParts are what the fleet is made of.
+// fleetParts are the dependencies of the fleet.
 type fleetParts struct {
 	fx.In
 
@@ -79,8 +79,8 @@
 			Self:   membership.Host{Name: p.Config.Name, Address: p.Config.Peers, Zone: p.Config.Zone},
 			Listen: p.Config.Peers, Key: p.Config.PeerKey, FirstPeers: p.Config.FirstPeers,
 		},
-		Dispatcher: p.Dispatcher, Platform: p.Client, Log: logging.Part(p.Log, "fleet"), Settings: p.Document.get,
-		Newer: p.Document.newer, Clock: p.Clock, Random: p.Random,
+		Dispatcher: p.Dispatcher, Platform: p.Client, Log: logging.Part(p.Log, "fleet"), Settings: p.Document.document,
+		OnRevision: p.Document.handlePeerRevision, Clock: p.Clock, Random: p.Random,
 	})
 }
 
@@ -88,7 +88,7 @@
 	return tableclient.New(config.Platform.Address, config.Platform.Timeout, c.PlatformErrors.Inc)
 }
 
-// followerParts are what the follower of the settings is made of.
+// followerParts are the dependencies of the settings follower.
 type followerParts struct {
 	fx.In
 
@@ -106,26 +106,26 @@
 func newFollower(p followerParts) *poller.Follower {
 	follower := poller.New(poller.Parts{
 		Client: p.Client, Holder: p.Holder, Counters: p.Counters, Log: logging.Part(p.Log, "settings"),
-		Interval: p.Config.Platform.Poll, Peers: p.Fleet.Settings, Clock: p.Clock, Random: p.Random,
+		Interval: p.Config.Platform.Poll, FetchFromPeers: p.Fleet.FetchSettings, Clock: p.Clock, Random: p.Random,
 	})
 	p.Document.follower.Store(follower)
 	return follower
 }
 
-// documentSource lets peers read the settings that the follower has. The fleet
-// and the follower need each other, so one is filled in later.
+// documentSource gives peers access to the follower's settings. The fleet and the follower depend
+// on each other, so the follower is stored here once it is built.
 type documentSource struct {
 	follower atomic.Pointer[poller.Follower]
 }
 
-func (s *documentSource) get() change.Document {
+func (s *documentSource) document() change.Document {
 	if follower := s.follower.Load(); follower != nil {
 		return follower.Document()
 	}
 	return change.Document{}
 }
 
-// ownerParts are what the owner is made of.
+// ownerParts are the dependencies of the owner.
 type ownerParts struct {
 	fx.In
 
@@ -144,16 +144,16 @@
 		return e, ok && e.State != settings.StateOut
 	}
 	return owner.New(owner.Parts{
-		Host: p.Config.Name, Admitter: sharedQueue{p.Dispatcher}, Endpoints: endpoints, Budget: retrybudget.NewClass(),
+		Host: p.Config.Name, Admitter: fleetAdmitter{p.Dispatcher}, Endpoints: endpoints, Budget: retrybudget.NewClass(),
 		Counters: p.Counters, Explained: p.Explained, Clock: p.Clock, Random: p.Random,
 	})
 }
 
-// sharedQueue asks the host that schedules a shard. It implements owner.Admitter.
-type sharedQueue struct{ dispatcher *dispatch.Dispatcher }
+// fleetAdmitter implements owner.Admitter through the hosts that schedule the shards.
+type fleetAdmitter struct{ dispatcher *dispatch.Dispatcher }
 
-// Ask submits a request to the host that schedules its shard.
-func (s sharedQueue) Ask(ctx context.Context, shardName string, r admission.Request) (owner.Ticket, admission.Decision, error) {
+// Ask submits a request to the host that schedules the shard.
+func (s fleetAdmitter) Ask(ctx context.Context, shardName string, r admission.Request) (owner.Ticket, admission.Decision, error) {
 	return s.dispatcher.Ask(ctx, shardName, r)
 }
 
@@ -161,8 +161,8 @@
 	return claims.New(config.Name, client, logging.Part(log, "claims"), clock)
 }
 
-func (s *documentSource) newer(revision uint64) {
+func (s *documentSource) handlePeerRevision(revision uint64) {
 	if follower := s.follower.Load(); follower != nil {
-		follower.Nudge(revision)
+		follower.HandlePeerRevision(revision)
 	}
 }
--- a/internal/daemon/peer/golden_test.go
+++ b/internal/daemon/peer/golden_test.go
@@ -11,7 +11,7 @@
 	"oxbowslip.dev/oxbowslip/internal/proof/golden"
 )
 
-// fullRequest is a request with every field set and no two of them alike.
+// fullRequest returns a request with all fields set to distinct values.
 func fullRequest() *admission.Request {
 	return &admission.Request{
 		ID: "id", Owner: "owner", Workspace: "workspace", Class: "class", Tier: 1, Urgency: 2,
@@ -35,7 +35,7 @@
 	kinds := []kind{kindHello, kindChallenge, kindProof, kindHeartbeat, kindMessages, kindDecisions, kindLeaving, kindSettingsRequest, kindSettings}
 	list := map[string]*frame{
 		"opening": {Kind: kindHello, Host: "host", Nonce: []byte("nonce"), Proof: []byte("proof")},
-		"messages": {Kind: kindMessages, Messages: []messageForm{
+		"messages": {Kind: kindMessages, Messages: []wireMessage{
 			{Shard: "s", Kind: shard.Submit, ID: "id", Request: fullRequest(), Age: time.Second},
 			{Shard: "s", Kind: shard.Adopt, ID: "id", Endpoint: "endpoint", Tokens: 5, Request: repeatable},
 			{Shard: "s", Kind: shard.Submit, ID: "id", Request: retry},
@@ -48,7 +48,7 @@
 			{Shard: "s", Kind: shard.Finished, ID: "id", Result: admission.Failed},
 			{Shard: "s", Kind: shard.Finished, ID: "id", Result: admission.Cancelled},
 		}},
-		"decisions": {Kind: kindDecisions, Decisions: []decisionForm{{Shard: "s", Left: time.Second, Decision: decision}}},
+		"decisions": {Kind: kindDecisions, Decisions: []wireDecision{{Shard: "s", Left: time.Second, Decision: decision}}},
 		"settings":  {Kind: kindSettings, Revision: 1, Data: []byte("{}")},
 	}
 	for i, k := range kinds {
@@ -57,8 +57,8 @@
 	return list
 }
 
-// TestGoldenFrames holds the encoded form of each frame to what hosts of commit 4c58500
-// send, and decodes what they sent.
+// TestGoldenFrames compares the encoding of each frame with the recorded one, which hosts of older
+// versions send, and decodes the recorded frames.
 func TestGoldenFrames(t *testing.T) {
 	for name, f := range frames() {
 		t.Run(name, func(t *testing.T) { golden.Message(t, name, f) })
--- a/internal/daemon/peer/server.go
+++ b/internal/daemon/peer/server.go
@@ -16,16 +16,16 @@
 	"oxbowslip.dev/oxbowslip/internal/daemon/shard"
 )
 
-// ownerGrace is how long an owner whose link is lost may stay away before its requests are dropped. Two silence limits,
-// time for a link to be made again.
-const ownerGrace = 2 * time.Second
+// ownerReconnectTimeout is how long after the loss of its link an owner's requests are kept. It is
+// twice receiveTimeout, which leaves time for a new link.
+const ownerReconnectTimeout = 2 * time.Second
 
-// Server is this host's side, as a scheduler, of the links from owners.
+// Server accepts the links of owners on behalf of this host's schedulers.
 type Server struct {
 	parts ServerParts
 
 	mu sync.Mutex
-	// sessions holds the newest session of each owner, until none of its messages can be
+	// sessions holds the newest session of each owner, until no message of the session can be
 	// applied any more.
 	sessions map[string]*session
 	leaving  bool
@@ -33,32 +33,32 @@
 	ended    chan struct{}
 }
 
-// session is one owner's open link.
+// session is an owner's link.
 type session struct {
 	owner string
-	queue chan decisionForm
-	// closed is set once the queue is closed, which breaks the link.
-	closed bool
-	leave  chan struct{}
-	// ended is closed when no more of the owner's messages come from this link.
+	queue chan wireDecision
+	// closed is set once the queue is closed, which closes the link.
+	closed  bool
+	leaving chan struct{}
+	// ended is closed once all messages received on this link have been applied.
 	ended chan struct{}
 }
 
-// ServerParts are what a server works with.
+// ServerParts are the dependencies of a Server.
 type ServerParts struct {
-	// Self is this host's name, Key the one that all peers share.
+	// Self is this host's name. Key is the key that all peers share.
 	Self  string
 	Key   string
 	Clock func() time.Time
-	// Apply hands an owner's message to a scheduler, Drop the end of an owner.
-	Apply func(shard string, m *shard.Message)
-	Drop  func(owner string)
-	// Settings returns the settings in force, Newer is called with an owner's revision.
-	Settings func() change.Document
-	Newer    func(revision uint64)
+	// Apply passes an owner's message to a scheduler. DropOwner removes all requests of an owner.
+	Apply     func(shard string, m *shard.Message)
+	DropOwner func(owner string)
+	// Settings returns the settings in force. OnRevision receives an owner's revision of them.
+	Settings   func() change.Document
+	OnRevision func(revision uint64)
 }
 
-// NewServer returns a server that does not listen yet.
+// NewServer returns a server that is not listening yet.
 func NewServer(parts ServerParts) *Server {
 	return &Server{parts: parts, sessions: make(map[string]*session), ended: make(chan struct{})}
 }
@@ -69,29 +69,29 @@
 	s.cancel = cancel
 	go func() {
 		defer close(s.ended)
-		// It ends when ctx is cancelled; its error says just that.
+		// Serve returns only when ctx is cancelled, and its error reports just that.
 		_ = drpcserver.New(s).Serve(ctx, listener)
 	}()
 }
 
-// Close breaks all links.
+// Close closes all links.
 func (s *Server) Close() {
 	s.cancel()
 	<-s.ended
 }
 
-// Leave informs all owners that this host schedules no more.
-func (s *Server) Leave() {
+// AnnounceLeaving notifies all owners that this host no longer schedules.
+func (s *Server) AnnounceLeaving() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
 	for _, session := range s.sessions {
-		close(session.leave)
+		close(session.leaving)
 	}
 }
 
-// Deliver sends a decision to an owner. Without a link it is dropped: the owner
-// announces its requests when it comes back, or another scheduler has them.
+// Deliver sends a decision to an owner. Without a link the decision is dropped: the owner announces
+// its requests again when it reconnects, or has moved them to another scheduler.
 func (s *Server) Deliver(shardName string, d admission.Decision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,14 +100,14 @@
 		return
 	}
 	select {
-	case session.queue <- decisionToForm(s.parts.Clock(), shardName, &d):
+	case session.queue <- encodeDecision(s.parts.Clock(), shardName, &d):
 	default:
-		// An owner that is so far behind is as good as gone.
+		// An owner whose queue overflows is treated as disconnected.
 		session.close()
 	}
 }
 
-// close breaks the link if it is open. The server's lock is held.
+// close closes the link if it is open. The server's lock is held.
 func (s *session) close() {
 	if !s.closed {
 		s.closed = true
@@ -115,34 +115,34 @@
 	}
 }
 
-// HandleRPC serves one link.
+// HandleRPC authenticates the owner and serves a link or a request for the settings.
 func (s *Server) HandleRPC(stream drpc.Stream, rpc string) error {
-	owner, err := s.greet(stream)
+	owner, err := s.authenticate(stream)
 	if err != nil {
 		return err
 	}
 	switch rpc {
 	case rpcLink:
 	case rpcSettings:
-		return s.answerSettings(stream)
+		return s.sendSettings(stream)
 	default:
 		return merry.Errorf("unknown call %q", rpc)
 	}
-	session, old := s.enter(owner)
+	session, old := s.openSession(owner)
 	if old != nil {
 		<-old.ended
 	}
-	// The owner announces all it has on a new link. What is held of it from
-	// before is dropped first: it may have ended while no link was there.
-	s.parts.Drop(owner)
+	// The owner announces all its requests on a new link. Its earlier state is dropped first, since
+	// requests may have ended while there was no link.
+	s.parts.DropOwner(owner)
 	go s.write(stream, session)
 	err = s.read(stream, owner)
 	close(session.ended)
-	s.leave(session)
+	s.endSession(session)
 	return err
 }
 
-func (s *Server) greet(stream drpc.Stream) (string, error) {
+func (s *Server) authenticate(stream drpc.Stream) (string, error) {
 	var hello frame
 	if err := stream.MsgRecv(&hello, encoding{}); err != nil {
 		return "", merry.Wrap(err)
@@ -162,9 +162,9 @@
 	return hello.Host, nil
 }
 
-// enter makes a session, and closes the owner's old one if there is one. No message of
-// the old one is applied after its ended is closed.
-func (s *Server) enter(owner string) (entered, old *session) {
+// openSession creates a session and closes the owner's previous one, if any. No message of the
+// previous session is applied after its ended channel is closed.
+func (s *Server) openSession(owner string) (opened, old *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old, ok := s.sessions[owner]
@@ -172,18 +172,18 @@
 		old.close()
 	}
 	session := &session{
-		owner: owner, queue: make(chan decisionForm, queueLength), leave: make(chan struct{}), ended: make(chan struct{}),
+		owner: owner, queue: make(chan wireDecision, queueLength), leaving: make(chan struct{}), ended: make(chan struct{}),
 	}
 	if s.leaving {
-		close(session.leave)
+		close(session.leaving)
 	}
 	s.sessions[owner] = session
 	return session, old
 }
 
-// leave ends a session, and drops the owner's requests if it does not come back
-// in time.
-func (s *Server) leave(ended *session) {
+// endSession removes a session, and drops the owner's requests if it does not reconnect within
+// ownerReconnectTimeout.
+func (s *Server) endSession(ended *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.sessions[ended.owner] != ended {
@@ -191,20 +191,20 @@
 	}
 	delete(s.sessions, ended.owner)
 	ended.close()
-	time.AfterFunc(ownerGrace, func() {
+	time.AfterFunc(ownerReconnectTimeout, func() {
 		s.mu.Lock()
 		_, back := s.sessions[ended.owner]
 		s.mu.Unlock()
 		if !back {
-			s.parts.Drop(ended.owner)
-			s.renew(ended.owner)
+			s.parts.DropOwner(ended.owner)
+			s.forceReconnect(ended.owner)
 		}
 	})
 }
 
-// renew breaks an owner's link if it has come back while its requests were being
-// dropped: it announces them again on the next.
-func (s *Server) renew(owner string) {
+// forceReconnect closes the owner's link if it reconnected while its requests were being dropped,
+// so that it announces them again on the next link.
+func (s *Server) forceReconnect(owner string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if session, ok := s.sessions[owner]; ok {
@@ -215,21 +215,21 @@
 func (s *Server) write(stream drpc.Stream, session *session) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
-	leave := session.leave
+	leaving := session.leaving
 	for {
 		f := frame{Kind: kindHeartbeat, Revision: s.parts.Settings().Revision}
 		select {
-		case form, ok := <-session.queue:
+		case decision, ok := <-session.queue:
 			if !ok {
-				// The link of the same owner is open anew, or lost; either way this
-				// one is over.
+				// The owner has opened a newer link, or this one was lost. Closing the stream ends
+				// the session in either case.
 				_ = stream.Close()
 				return
 			}
-			f = frame{Kind: kindDecisions, Decisions: batch(form, session.queue)}
-		case <-leave:
+			f = frame{Kind: kindDecisions, Decisions: batch(decision, session.queue)}
+		case <-leaving:
 			f = frame{Kind: kindLeaving}
-			leave = nil
+			leaving = nil
 		case <-ticker.C:
 		case <-stream.Context().Done():
 			return
@@ -247,11 +247,11 @@
 			return merry.Wrap(err)
 		}
 		if f.Kind == kindHeartbeat {
-			s.parts.Newer(f.Revision)
+			s.parts.OnRevision(f.Revision)
 		}
 		now := s.parts.Clock()
 		for i := range f.Messages {
-			s.parts.Apply(f.Messages[i].Shard, f.Messages[i].message(now, owner))
+			s.parts.Apply(f.Messages[i].Shard, f.Messages[i].decode(now, owner))
 		}
 	}
 }
--- a/internal/daemon/peer/server_test.go
+++ b/internal/daemon/peer/server_test.go
@@ -9,51 +9,50 @@
 	"oxbowslip.dev/oxbowslip/internal/admission"
 )
 
-// TestAnEndedSessionIsWaitedFor is a fault that was found by reading, in search of the slot that
-// stayed taken in TestCut (see TestAnEndedRequestStaysWithItsScheduler of package dispatch): a
-// session that the server itself had ended could still apply an owner's message after the owner's
-// next link had dropped its requests. If the request had ended meanwhile, nothing would ever free its
-// slot.
-func TestAnEndedSessionIsWaitedFor(t *testing.T) {
+// TestNewLinkWaitsForOldSession guards against a session that the server closed and that still
+// applies a message after the owner's next link has dropped its requests. If the request had ended
+// in between, its slot would never be freed.
+func TestNewLinkWaitsForOldSession(t *testing.T) {
 	tests := map[string]struct {
-		// end ends the first session of the owner.
+		// end ends the owner's first session.
 		end  func(s *Server, first *session)
 		want bool
 	}{
-		"replaced by a new link":       {func(*Server, *session) {}, true},
-		"renewed after the grace":      {func(s *Server, _ *session) { s.renew("owner") }, true},
-		"too far behind":               {func(s *Server, first *session) { overflow(s, first) }, true},
-		"renewed, and has ended since": {func(s *Server, first *session) { s.renew("owner"); s.leave(first) }, false},
-		"left by itself":               {func(s *Server, first *session) { s.leave(first) }, false},
+		"replaced by a new link":         {func(*Server, *session) {}, true},
+		"reconnect forced after timeout": {func(s *Server, _ *session) { s.forceReconnect("owner") }, true},
+		"queue overflowed":               {func(s *Server, first *session) { overflow(s, first) }, true},
+		"reconnect forced, then ended":   {func(s *Server, first *session) { s.forceReconnect("owner"); s.endSession(first) }, false},
+		"closed by the owner":            {func(s *Server, first *session) { s.endSession(first) }, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			s := NewServer(ServerParts{Self: "self", Clock: time.Now, Drop: func(string) {}})
-			first, old := s.enter("owner")
+			s := NewServer(ServerParts{Self: "self", Clock: time.Now, DropOwner: func(string) {}})
+			first, old := s.openSession("owner")
 			c.Assert(old, qt.IsNil)
 			test.end(s, first)
-			_, old = s.enter("owner")
+			_, old = s.openSession("owner")
 			c.Check(old == first, qt.Equals, test.want)
 		})
 	}
 }
 
-// overflow delivers decisions until the owner counts as gone.
+// overflow delivers decisions until the owner's queue overflows.
 func overflow(s *Server, session *session) {
 	for range cap(session.queue) + 1 {
 		s.Deliver("shard", admission.Decision{Owner: session.owner})
 	}
 }
 
-// TestAnOwnerThatFellBehindIsDropped failed while only links that the owner itself ended
-// counted: an owner that fell too far behind and never came back kept its slots for good.
-func TestAnOwnerThatFellBehindIsDropped(t *testing.T) {
+// TestOwnerThatFellBehindIsDropped guards against a slot leak: the requests of an owner whose queue
+// overflowed, and which never reconnects, must be dropped as if the owner had closed the link
+// itself.
+func TestOwnerThatFellBehindIsDropped(t *testing.T) {
 	c := qt.New(t)
 	dropped := make(chan string, 1)
-	s := NewServer(ServerParts{Self: "self", Clock: time.Now, Drop: func(owner string) { dropped <- owner }})
-	session, _ := s.enter("owner")
+	s := NewServer(ServerParts{Self: "self", Clock: time.Now, DropOwner: func(owner string) { dropped <- owner }})
+	session, _ := s.openSession("owner")
 	overflow(s, session)
-	s.leave(session)
+	s.endSession(session)
 	c.Assert(<-dropped, qt.Equals, "owner")
 }
--- a/internal/daemon/poller/poller.go
+++ b/internal/daemon/poller/poller.go
@@ -1,10 +1,10 @@
-// Package poller keeps the newest accepted settings in force on a host of oxbowslipd. It polls
-// the head row of the platform's table with jitter, reads the changes since the revision that it
-// has, and keeps what it has while the platform is away. oxbowslip-front follows a feed instead
-// (package follow).
+// Package poller keeps the newest accepted settings in force on a host of oxbowslipd. It polls the
+// head row of the platform's table with jitter, reads the changes since its own revision, and keeps
+// its settings while the platform is unavailable. oxbowslip-front follows a feed instead (package
+// follow).
 //
-// It owns the document in force, and the form of the rows that hold the settings; package commit
-// writes them.
+// It owns the document in force and the format of the rows that hold the settings; package commit
+// writes the rows.
 package poller
 
 import (
@@ -27,57 +27,56 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// HeadKey is the row that names the newest revision.
+// HeadKey is the key of the row that names the newest revision.
 const HeadKey = "settings/head"
 
 // Head is the value of the head row.
 type Head struct {
 	Revision uint64 `json:"revision"`
-	// Snapshot is the revision of the newest whole tree in the object store,
-	// SnapshotName its object.
+	// Snapshot is the revision of the newest whole tree in the object store, and SnapshotName the
+	// name of its object.
 	Snapshot     uint64 `json:"snapshot"`
 	SnapshotName string `json:"snapshot_name"`
 }
 
-// ChangeKey returns the key of the row of an accepted change.
+// ChangeKey returns the key of the row that holds the accepted change of a revision.
 func ChangeKey(revision uint64) string {
 	return fmt.Sprintf("settings/change/%020d", revision)
 }
 
-// SnapshotName returns the name of the object that holds a whole revision.
+// SnapshotName returns the name of the object that holds the whole tree of a revision.
 func SnapshotName(revision uint64, changeID string) string {
 	return "settings-" + strconv.FormatUint(revision, 10) + "-" + changeID
 }
 
-// Follower keeps a holder up to date.
+// Follower keeps a settings holder up to date.
 type Follower struct {
 	parts Parts
 
-	// ctx ends with Run. nudged says that a poll for a peer's newer revision is
-	// under way.
-	ctx    context.Context
-	cancel context.CancelFunc
-	nudged atomic.Bool
+	// ctx ends with Run. pollPending is set while a poll that a peer's newer revision caused is
+	// scheduled or running.
+	ctx         context.Context
+	cancel      context.CancelFunc
+	pollPending atomic.Bool
 
 	mu       sync.Mutex
 	document change.Document
-	// problem is why nothing newer is in force, or nil.
+	// problem is the error of the last poll, or nil.
 	problem error
-	// currentAt is when the platform or a peer last showed that nothing newer is
-	// known.
-	currentAt time.Time
+	// confirmedAt is when the platform or a peer last confirmed that the host has the newest
+	// settings known to it.
+	confirmedAt time.Time
 }
 
-// Peers asks other hosts for their settings while the platform is away. It
-// returns the newest document that is newer than the revision, if any, and whether
-// any peer answered.
-type Peers func(ctx context.Context, newer uint64) (document change.Document, answered bool)
+// FetchFromPeers requests settings from other hosts while the platform is unavailable. It returns a
+// document newer than the given revision, if any, and whether any peer answered.
+type FetchFromPeers func(ctx context.Context, newer uint64) (document change.Document, answered bool)
 
-// grace is how long a host that reaches neither the platform nor a peer trusts its settings. The same as maxIsolation
-// of package front.
-const grace = 30 * time.Second
+// maxIsolation is how long a host that reaches neither the platform nor a peer trusts its settings.
+// It equals maxIsolation of package front.
+const maxIsolation = 30 * time.Second
 
-// Parts are what a follower works with.
+// Parts are the dependencies of a Follower.
 type Parts struct {
 	Client   *tableclient.Client
 	Holder   *settings.Holder
@@ -85,35 +84,35 @@
 	Log      *logrus.Entry
 	// Interval is the mean time between two reads of the head row.
 	Interval time.Duration
-	// Peers are asked while the platform is away.
-	Peers Peers
-	Clock func() time.Time
-	// Random returns numbers from 0 up to 1.
+	// FetchFromPeers is called while the platform is unavailable.
+	FetchFromPeers FetchFromPeers
+	Clock          func() time.Time
+	// Random returns numbers in [0, 1).
 	Random func() float64
 }
 
-// New returns a follower that has read nothing.
+// New returns a follower that has no settings yet.
 func New(p Parts) *Follower {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Follower{parts: p, ctx: ctx, cancel: cancel, currentAt: p.Clock()}
+	return &Follower{parts: p, ctx: ctx, cancel: cancel, confirmedAt: p.Clock()}
 }
 
-// Stale reports whether the host has been cut off for so long, from the platform
-// and from all peers, that it can't know whether its settings are current.
-func (f *Follower) Stale() bool {
+// IsStale reports whether the host has reached neither the platform nor a peer for longer than
+// maxIsolation, so that its settings may be outdated.
+func (f *Follower) IsStale() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.parts.Clock().Sub(f.currentAt) > grace
+	return f.parts.Clock().Sub(f.confirmedAt) > maxIsolation
 }
 
-// Problem returns why the last read brought nothing, or nil.
+// Problem returns the error of the last poll, or nil.
 func (f *Follower) Problem() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.problem
 }
 
-// Document returns the revision that the host has read.
+// Document returns the settings document that the host has read.
 func (f *Follower) Document() change.Document {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -126,61 +125,62 @@
 	lifetime.Every(done, f.parts.Interval, f.parts.Random, f.Poll)
 }
 
-// nudgeSpread is the time over which hosts that learn of a newer revision at once spread their reads.
-const nudgeSpread = 200 * time.Millisecond
+// maxPollDelay bounds the random delay of a poll after a peer reports a newer revision. It spreads
+// the reads of hosts that receive the report at the same time.
+const maxPollDelay = 200 * time.Millisecond
 
-// Nudge reports that a peer has a revision. If it is newer, the platform is asked
-// soon.
-func (f *Follower) Nudge(revision uint64) {
+// HandlePeerRevision processes the settings revision that a peer reports. If it is newer than the
+// one in force, the platform is polled within maxPollDelay.
+func (f *Follower) HandlePeerRevision(revision uint64) {
 	current := f.parts.Holder.Current()
-	if current == nil || revision <= current.Number || !f.nudged.CompareAndSwap(false, true) {
+	if current == nil || revision <= current.Number || !f.pollPending.CompareAndSwap(false, true) {
 		return
 	}
-	time.AfterFunc(time.Duration(f.parts.Random()*float64(nudgeSpread)), func() {
-		defer f.nudged.Store(false)
+	time.AfterFunc(time.Duration(f.parts.Random()*float64(maxPollDelay)), func() {
+		defer f.pollPending.Store(false)
 		if f.ctx.Err() == nil {
 			f.Poll(f.ctx)
 		}
 	})
 }
 
-// Poll reads the head once and puts what is new in force.
+// Poll reads the head row once and puts newer settings in force.
 func (f *Follower) Poll(ctx context.Context) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	err := f.advance(ctx)
+	err := f.refresh(ctx)
 	if ctx.Err() != nil {
 		return
 	}
 	if err == nil {
-		f.currentAt = f.parts.Clock()
+		f.confirmedAt = f.parts.Clock()
 	}
 	if err != nil && f.problem == nil {
-		f.parts.Log.WithError(err).Warn("settings can't be read, the last ones stay in force")
+		f.parts.Log.WithError(err).Warn("settings can't be read from the platform, the last ones stay in force")
 	}
 	f.problem = err
 	if errors.Is(err, tableclient.ErrUnavailable) {
-		f.askPeers(ctx)
+		f.fetchFromPeers(ctx)
 	}
 }
 
-// askPeers adopts newer settings of a peer: one that started earlier, or that
-// still reaches the platform.
-func (f *Follower) askPeers(ctx context.Context) {
-	document, answered := f.parts.Peers(ctx, f.document.Revision)
+// fetchFromPeers adopts newer settings from a peer, which may have started earlier or may still
+// reach the platform.
+func (f *Follower) fetchFromPeers(ctx context.Context) {
+	document, answered := f.parts.FetchFromPeers(ctx, f.document.Revision)
 	if !answered {
 		return
 	}
-	f.currentAt = f.parts.Clock()
+	f.confirmedAt = f.parts.Clock()
 	if document.Revision <= f.document.Revision {
 		return
 	}
-	if err := f.put(document); err != nil {
-		f.parts.Log.WithError(err).Warn("a peer's settings can't be read")
+	if err := f.apply(document); err != nil {
+		f.parts.Log.WithError(err).Warn("settings from a peer can't be decoded, they are ignored")
 	}
 }
 
-func (f *Follower) advance(ctx context.Context) error {
+func (f *Follower) refresh(ctx context.Context) error {
 	_, head, err := ReadHead(ctx, f.parts.Client)
 	if err != nil {
 		return err
@@ -192,7 +192,7 @@
 	if err != nil {
 		return err
 	}
-	return f.put(document)
+	return f.apply(document)
 }
 
 // ReadHead reads the head row.
@@ -209,8 +209,8 @@
 	return row, head, merry.Prepend(err, "settings head")
 }
 
-// ReadDocument reads the revision of a head, from the snapshot or from an older
-// revision that is known, whichever is newer.
+// ReadDocument reads the document of a head, starting from the snapshot or the known document,
+// whichever is newer.
 func ReadDocument(ctx context.Context, client *tableclient.Client, head Head, known change.Document) (change.Document, error) {
 	document := known
 	if document.Revision < head.Snapshot {
@@ -218,7 +218,7 @@
 		if err != nil {
 			return document, merry.Prepend(err, "settings snapshot")
 		}
-		canonical, err := change.Canonical(data)
+		canonical, err := change.Canonicalize(data)
 		if err != nil {
 			return document, err
 		}
@@ -236,7 +236,7 @@
 	return document, nil
 }
 
-// ReadChange reads one accepted change.
+// ReadChange reads the accepted change of a revision.
 func ReadChange(ctx context.Context, client *tableclient.Client, revision uint64) (settings.Change, error) {
 	var c settings.Change
 	row, err := client.Read(ctx, ChangeKey(revision))
@@ -247,16 +247,16 @@
 	return c, merry.Prepend(err, "settings change")
 }
 
-// put checks a revision and puts it in force. One that this program can't read
-// is left out, and the last one stays in force.
-func (f *Follower) put(document change.Document) error {
+// apply validates a document and puts it in force. If this program can't decode the document, the
+// previous one stays in force.
+func (f *Follower) apply(document change.Document) error {
 	tree, err := document.Tree()
 	if err != nil {
 		f.parts.Counters.SettingsRejected.Inc()
 		return merry.Prependf(err, "revision %d can't be read by this program", document.Revision)
 	}
 	f.document = document
-	if f.parts.Holder.Offer(&settings.Revision{Number: document.Revision, Tree: tree}) {
+	if f.parts.Holder.SetIfNewer(&settings.Revision{Number: document.Revision, Tree: tree}) {
 		f.parts.Log.WithField("revision", document.Revision).Info("settings in force")
 	}
 	return nil
--- a/internal/front/gossip/heartbeat.go
+++ b/internal/front/gossip/heartbeat.go
@@ -13,44 +13,43 @@
 	"oxbowslip.dev/oxbowslip/internal/front/envelope"
 )
 
-// heartbeat sends this host's state to all members, and announces this host to addresses
-// whose host is not known.
-func (g *Gossip) heartbeat() {
-	state := g.parts.Host.State(!g.Aggregates())
+// broadcastHeartbeat sends this host's state to all members, and announces this host to addresses of unknown hosts.
+func (g *Gossip) broadcastHeartbeat() {
+	state := g.parts.Host.State(!g.UsesAggregators())
 	g.mu.Lock()
 	if g.leaving {
 		g.mu.Unlock()
 		return
 	}
 	heartbeat := g.newHeartbeat(state)
-	members := g.addresses()
+	members := g.memberAddresses()
 	announcement := g.newAnnouncement(true, 0)
-	targets := append(g.members.ToAnnounceTo(g.parts.Clock()), g.memberToAsk()...)
+	targets := append(g.members.AnnouncementTargets(g.parts.Clock()), g.memberToQuery()...)
 	report := g.nextReport()
 	g.mu.Unlock()
-	g.send(heartbeat, members)
+	g.sendHeartbeat(heartbeat, members)
 	if report != nil {
-		report.Engines = g.parts.Host.Observed()
+		report.Engines = g.parts.Host.EngineReports()
 		g.sendDatagram(counters.PeerHeartbeats, report, members)
 	}
-	g.send(announcement, targets)
+	g.sendHeartbeat(announcement, targets)
 }
 
-// memberToAsk returns the address of a member to ask for hosts that this one does not know,
-// if that is due. The lock is held.
-func (g *Gossip) memberToAsk() []string {
+// memberToQuery returns the address of a member to ask for hosts that this host does not know, if a query is due. The
+// lock is held.
+func (g *Gossip) memberToQuery() []string {
 	now := g.parts.Clock()
-	if now.Before(g.askAt) {
+	if now.Before(g.nextQueryAt) {
 		return nil
 	}
-	g.askAt = now.Add(backoff.Spread(askInterval, askSpread, g.parts.Random()))
-	return g.someMembers(1)
+	g.nextQueryAt = now.Add(backoff.Spread(queryInterval, querySpread, g.parts.Random()))
+	return g.randomAddresses(1)
 }
 
 // newHeartbeat returns the next heartbeat. The lock is held.
 func (g *Gossip) newHeartbeat(state State) *Heartbeat {
 	g.sequence++
-	g.last = State{Settings: state.Settings, Directory: state.Directory, ReadsStore: state.ReadsStore}
+	g.lastState = State{Settings: state.Settings, Directory: state.Directory, ReadsStore: state.ReadsStore}
 	return &Heartbeat{
 		Incarnation: g.incarnation, Sequence: g.sequence, Settings: state.Settings, Directory: state.Directory,
 		Loads: state.Loads, Ejections: state.Ejections, Holders: state.Holders, Leaving: g.leaving,
@@ -58,45 +57,43 @@
 	}
 }
 
-// nextReport returns the next report, without what the host observed, or nil if none is due. The lock is
-// held.
+// nextReport returns the next report without its engines, or nil if none is due. The lock is held.
 func (g *Gossip) nextReport() *Report {
 	now := g.parts.Clock()
-	if now.Before(g.reportAt) || g.aggregates() {
+	if now.Before(g.nextReportAt) || g.usesAggregatorsLocked() {
 		return nil
 	}
-	g.reportAt = now.Add(reportPace(g.members.Count() + 1))
+	g.nextReportAt = now.Add(reportPace(g.members.Count() + 1))
 	g.reports++
 	return &Report{Incarnation: g.incarnation, Sequence: g.reports}
 }
 
-// newAnnouncement returns a heartbeat that says who this host is, with the addresses of at
-// most a number of other hosts. The lock is held.
+// newAnnouncement returns a heartbeat with this host's announcement, which carries at most a number of addresses of
+// other hosts. The lock is held.
 func (g *Gossip) newAnnouncement(wantReply bool, addresses int) *Heartbeat {
 	g.sequence++
 	return &Heartbeat{
-		Incarnation: g.incarnation, Sequence: g.sequence, Settings: g.last.Settings, Directory: g.last.Directory, ReadsStore: g.last.ReadsStore,
+		Incarnation: g.incarnation, Sequence: g.sequence, Settings: g.lastState.Settings, Directory: g.lastState.Directory, ReadsStore: g.lastState.ReadsStore,
 		Announcement: &Announcement{
-			Host: g.parts.Config.Name, Address: g.address, Zone: g.parts.Config.Zone, Start: g.start, WantReply: wantReply,
-			Hosts: g.members.Count() + 1, KnownAddresses: g.someMembers(addresses),
+			Host: g.parts.Config.Name, Address: g.address, Zone: g.parts.Config.Zone, Start: g.startNanos, WantReply: wantReply,
+			Hosts: g.members.Count() + 1, KnownAddresses: g.randomAddresses(addresses),
 		},
 	}
 }
 
-// someMembers returns the addresses of at most a number of members, picked at random. The
-// lock is held.
-func (g *Gossip) someMembers(most int) []string {
-	if most == 0 {
+// randomAddresses returns the addresses of at most a number of members, picked at random. The lock is held.
+func (g *Gossip) randomAddresses(limit int) []string {
+	if limit == 0 {
 		return nil
 	}
-	live := g.addresses()
+	live := g.memberAddresses()
 	first := int(g.parts.Random() * float64(len(live)))
 	rotated := slices.Concat(live[first:], live[:first])
-	return rotated[:min(most, len(rotated))]
+	return rotated[:min(limit, len(rotated))]
 }
 
-// addresses returns where the members are. The lock is held.
-func (g *Gossip) addresses() []string {
+// memberAddresses returns the addresses of all members. The lock is held.
+func (g *Gossip) memberAddresses() []string {
 	addresses := make([]string, 0, g.members.Count())
 	for _, member := range g.members.Live() {
 		addresses = append(addresses, member.Address)
@@ -104,15 +101,15 @@
 	return addresses
 }
 
-// reply announces this host to one that asked for it.
-func (g *Gossip) reply(asker *Announcement) {
+// replyToAnnouncement announces this host to a host that asked for a reply.
+func (g *Gossip) replyToAnnouncement(sender *Announcement) {
 	g.mu.Lock()
-	announcement := g.newAnnouncement(false, addressesFor(asker.Hosts, g.members.Count()+1))
+	announcement := g.newAnnouncement(false, addressCountFor(sender.Hosts, g.members.Count()+1))
 	g.mu.Unlock()
-	g.send(announcement, []string{asker.Address})
+	g.sendHeartbeat(announcement, []string{sender.Address})
 }
 
-func (g *Gossip) send(h *Heartbeat, targets []string) {
+func (g *Gossip) sendHeartbeat(h *Heartbeat, targets []string) {
 	kind := counters.PeerHeartbeats
 	if h.Announcement != nil {
 		kind = counters.PeerAnnouncements
@@ -127,22 +124,22 @@
 	}
 	data, err := cbor.Marshal(message)
 	if err != nil {
-		g.parts.Log.WithError(err).Error("a datagram can't be encoded")
+		g.parts.Log.WithError(err).Error("encoding a datagram failed, it is not sent")
 		return
 	}
-	g.parts.Sent(kind, len(data)*len(targets))
+	g.parts.CountSent(kind, len(data)*len(targets))
 	for _, target := range targets {
 		address, err := net.ResolveUDPAddr("udp", target)
 		if err != nil {
-			g.parts.Log.WithError(err).WithField("address", target).Debug("a peer's address can't be used")
+			g.parts.Log.WithError(err).WithField("address", target).Debug("resolving a peer's address failed, the datagram is not sent there")
 			continue
 		}
-		// The next heartbeat makes up for one that is lost.
+		// Datagrams may be lost in any case; the next one carries the state again.
 		_, _ = g.packets.WriteTo(data, address)
 	}
 }
 
-// receive handles heartbeats until the socket is closed.
+// receive handles datagrams until the socket is closed.
 func (g *Gossip) receive() {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -151,30 +148,30 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			// A single datagram could not be read, such as one that was refused.
+			// The error concerns one datagram, such as an ICMP refusal of one that was sent.
 			continue
 		}
-		g.Arrived(buffer[:n], from.String())
+		g.HandleDatagram(buffer[:n], from.String())
 	}
 }
 
-// Arrived handles a datagram from an address, which may be any bytes. The messages are told apart by their number of
-// fields.
-func (g *Gossip) Arrived(data []byte, from string) {
+// HandleDatagram decodes and handles a datagram from an address. The data are untrusted. Messages are distinguished by
+// the number and types of their fields.
+func (g *Gossip) HandleDatagram(data []byte, from string) {
 	var h Heartbeat
 	err := cbor.Unmarshal(data, &h)
 	if err == nil {
-		g.received(&h, from)
+		g.handleHeartbeat(&h, from)
 		return
 	}
-	if decodeAs(data, g.reported) || decodeAs(data, g.confirmed) ||
-		decodeAs(data, g.contributed) || decodeAs(data, g.fleetSummed) || decodeAs(data, g.zoneSummed) || decodeAs(data, g.opened) {
+	if decodeAs(data, g.handleReport) || decodeAs(data, g.handleConfirmation) ||
+		decodeAs(data, g.handleContribution) || decodeAs(data, g.handleFleetSum) || decodeAs(data, g.handleZoneSum) || decodeAs(data, g.handleEnvelope) {
 		return
 	}
-	g.parts.Log.WithError(err).WithField("address", from).Debug("a datagram is none of the messages")
+	g.parts.Log.WithError(err).WithField("address", from).Debug("a datagram can't be decoded as any known message, it is dropped")
 }
 
-// decodeAs handles a datagram if it is a certain message, and reports whether it is.
+// decodeAs handles a datagram if it decodes as a message of type T, and reports whether it does.
 func decodeAs[T any](data []byte, handle func(*T)) bool {
 	message := new(T)
 	if cbor.Unmarshal(data, message) != nil {
@@ -184,46 +181,45 @@
 	return true
 }
 
-// reported handles a report.
-func (g *Gossip) reported(r *Report) {
+func (g *Gossip) handleReport(r *Report) {
 	g.mu.Lock()
-	member, counts := g.members.Reported(r)
+	member, accepted := g.members.ApplyReport(r)
 	g.mu.Unlock()
-	if counts {
-		g.parts.Host.Reported(member, r.Engines)
+	if accepted {
+		g.parts.Host.HandleReport(member, r.Engines)
 	}
 }
 
-// received handles a heartbeat that came from an address.
-func (g *Gossip) received(h *Heartbeat, from string) {
+// handleHeartbeat handles a heartbeat that was received from an address.
+func (g *Gossip) handleHeartbeat(h *Heartbeat, from string) {
 	g.mu.Lock()
-	member, isNew, counts := g.members.Received(g.parts.Clock(), h)
-	if !counts && h.Announcement == nil && !g.members.Knows(h.Incarnation) {
-		g.members.Unknown(g.parts.Clock(), from)
+	member, isNew, accepted := g.members.ApplyHeartbeat(g.parts.Clock(), h)
+	if !accepted && h.Announcement == nil && !g.members.HasIncarnation(h.Incarnation) {
+		g.members.AddUnknownSender(g.parts.Clock(), from)
 	}
-	if isNew && counts {
+	if isNew && accepted {
 		g.joinedAt = g.parts.Clock()
 	}
 	hosts := g.members.Count() + 1
 	leaving := g.leaving
 	g.mu.Unlock()
-	if !counts {
+	if !accepted {
 		return
 	}
 	if h.Leaving {
-		g.parts.Host.Lost(member.Name)
+		g.parts.Host.HandlePeerLoss(member.Name)
 		g.parts.Log.WithFields(logrus.Fields{"peer": member.Name, "hosts": hosts}).Info("peer leaves")
 		return
 	}
 	if h.Announcement == nil {
-		g.parts.Host.Received(member.Name, h)
+		g.parts.Host.HandleHeartbeat(member.Name, h)
 	} else if h.Announcement.WantReply && !leaving {
-		g.reply(h.Announcement)
+		g.replyToAnnouncement(h.Announcement)
 	}
 	if isNew {
 		g.parts.Log.WithFields(logrus.Fields{"peer": member.Name, "address": member.Address, "hosts": hosts}).Info("peer joined")
-		g.joined(envelope.Sender{Host: member.Name, Incarnation: member.incarnation})
-		g.Changed()
+		g.onJoin(envelope.Sender{Host: member.Name, Incarnation: member.incarnation})
+		g.RequestHeartbeat()
 	}
 	g.syncWith(member)
 }
--- a/internal/front/gossip/members.go
+++ b/internal/front/gossip/members.go
@@ -10,7 +10,7 @@
 	"oxbowslip.dev/oxbowslip/internal/front/freshness"
 )
 
-// Member is another host that is alive.
+// Member is a live peer.
 type Member struct {
 	Name    string
 	Address string
@@ -18,157 +18,156 @@
 	// Settings and Directory are the newest revisions that the member has.
 	Settings  uint64
 	Directory uint64
-	// readsStore is set if the member reads the store and gets answers from it.
+	// readsStore is set if the member reads the store and receives answers from it.
 	readsStore  bool
 	incarnation uint32
-	start       int64
+	startNanos  int64
 	sequence    uint64
-	reports     uint64
-	// sums is the newest sum over all hosts that the member has sent.
-	sums     uint64
-	lastSeen time.Time
-	// wantsSums is until when the member uses this host's sums, sendsZones until when it counts as one that
-	// sends those of its zone.
-	wantsSums  time.Time
-	sendsZones time.Time
+	lastReport  uint64
+	// lastFleetSum is the sequence number of the newest sum over all hosts that the member has sent.
+	lastFleetSum uint64
+	lastSeen     time.Time
+	// wantsSumsUntil is when the member's request for this host's sums expires, sendsZoneSumsUntil when the member
+	// stops counting as a sender of sums over its zone.
+	wantsSumsUntil     time.Time
+	sendsZoneSumsUntil time.Time
 }
 
-// Members is what one host knows of the others. It does no input or output and takes the
-// time as a parameter; it is not safe for concurrent use.
+// Members is a host's view of its peers. It does no I/O and takes the time as a parameter. It is not safe for
+// concurrent use.
 type Members struct {
 	self string
 	zone string
-	// address is this host's own, which its peers name too.
+	// address is this host's own address, which announcements of peers contain as well.
 	address string
 	live    map[string]*Member
-	// names maps incarnations to members.
-	names map[uint32]string
-	// contacts are addresses where a host may be.
+	// nameByIncarnation maps incarnations to members.
+	nameByIncarnation map[uint32]string
+	// contacts are the addresses at which hosts may listen.
 	contacts map[string]*contact
 }
 
-// NewMembers returns the view of a host of a zone that knows no other.
+// NewMembers returns the view of a host without peers.
 func NewMembers(self, zone string) *Members {
 	return &Members{
-		self: self, zone: zone, live: make(map[string]*Member), names: make(map[uint32]string), contacts: make(map[string]*contact),
+		self: self, zone: zone, live: make(map[string]*Member), nameByIncarnation: make(map[uint32]string), contacts: make(map[string]*contact),
 	}
 }
 
-// contact is an address where a host may be.
+// contact is the state of an address at which a host may listen.
 type contact struct {
-	// namedAt is when a host last named the address, triedAt when it was last sent an
-	// announcement.
-	namedAt time.Time
-	triedAt time.Time
-	// unknown is set if a heartbeat came from there whose incarnation is not known: its
-	// announcement was lost.
-	unknown bool
+	// lastNamedAt is when a host last named the address, lastTriedAt when an announcement was last sent to it.
+	lastNamedAt time.Time
+	lastTriedAt time.Time
+	// hasUnknownSender is set if a heartbeat of an unknown incarnation came from the address: the sender's announcement
+	// was lost.
+	hasUnknownSender bool
 }
 
-// Contact adds an address where a host may be.
-func (m *Members) Contact(now time.Time, address string) {
-	known, ok := m.contacts[address]
+// AddContact adds an address at which a host may listen, or renews it.
+func (m *Members) AddContact(now time.Time, address string) {
+	entry, ok := m.contacts[address]
 	if !ok {
-		known = new(contact)
-		m.contacts[address] = known
+		entry = new(contact)
+		m.contacts[address] = entry
 	}
-	known.namedAt = now
+	entry.lastNamedAt = now
 }
 
-// Received handles a heartbeat. It returns the member that sent it. Counts is false if the
-// heartbeat is this host's own, older than the last one of its sender, or of an unknown
-// sender; isNew is set if the member was not live before.
-func (m *Members) Received(now time.Time, h *Heartbeat) (member Member, isNew, counts bool) {
+// ApplyHeartbeat applies a heartbeat and returns its sender. Accepted is false if the heartbeat is this host's own, is
+// not newer than the sender's last one, or has an unknown sender. IsNew is set if the sender's incarnation was not a
+// member before.
+func (m *Members) ApplyHeartbeat(now time.Time, h *Heartbeat) (member Member, isNew, accepted bool) {
 	if h.Announcement != nil {
-		isNew = m.announced(now, h)
+		isNew = m.applyAnnouncement(now, h)
 	}
-	known, ok := m.byIncarnation(h.Incarnation)
-	if !ok || h.Sequence <= known.sequence {
+	sender, ok := m.byIncarnation(h.Incarnation)
+	if !ok || h.Sequence <= sender.sequence {
 		return Member{}, false, false
 	}
-	known.sequence, known.lastSeen = h.Sequence, now
-	known.Settings, known.Directory, known.readsStore = h.Settings, h.Directory, h.ReadsStore
+	sender.sequence, sender.lastSeen = h.Sequence, now
+	sender.Settings, sender.Directory, sender.readsStore = h.Settings, h.Directory, h.ReadsStore
 	if h.Leaving {
-		m.drop(known.Name)
-		delete(m.contacts, known.Address)
+		m.drop(sender.Name)
+		delete(m.contacts, sender.Address)
 	}
-	return *known, isNew, true
+	return *sender, isNew, true
 }
 
-// byIncarnation returns the member whose present incarnation it is.
+// byIncarnation returns the member of which an incarnation is the current one.
 func (m *Members) byIncarnation(incarnation uint32) (*Member, bool) {
-	known, ok := m.live[m.names[incarnation]]
-	return known, ok && known.incarnation == incarnation
+	member, ok := m.live[m.nameByIncarnation[incarnation]]
+	return member, ok && member.incarnation == incarnation
 }
 
-// announced handles an announcement, and reports whether its host is new.
-func (m *Members) announced(now time.Time, h *Heartbeat) bool {
+// applyAnnouncement applies an announcement. It reports whether it adds a member or a new incarnation of one.
+func (m *Members) applyAnnouncement(now time.Time, h *Heartbeat) bool {
 	a := h.Announcement
 	if a.Host == m.self {
 		return false
 	}
-	known, ok := m.live[a.Host]
-	if ok && a.Start < known.start {
+	member, ok := m.live[a.Host]
+	if ok && a.Start < member.startNanos {
 		return false
 	}
 	for _, address := range a.KnownAddresses {
-		m.Contact(now, address)
+		m.AddContact(now, address)
 	}
-	m.Contact(now, a.Address)
-	if ok && known.incarnation == h.Incarnation {
+	m.AddContact(now, a.Address)
+	if ok && member.incarnation == h.Incarnation {
 		return false
 	}
 	m.drop(a.Host)
-	m.live[a.Host] = &Member{Name: a.Host, Address: a.Address, Zone: a.Zone, incarnation: h.Incarnation, start: a.Start}
-	m.names[h.Incarnation] = a.Host
+	m.live[a.Host] = &Member{Name: a.Host, Address: a.Address, Zone: a.Zone, incarnation: h.Incarnation, startNanos: a.Start}
+	m.nameByIncarnation[h.Incarnation] = a.Host
 	return true
 }
 
-// Reported handles a report. It returns the member that sent it, and whether it is newer than the last one.
-func (m *Members) Reported(r *Report) (name string, counts bool) {
-	known, ok := m.byIncarnation(r.Incarnation)
-	if !ok || r.Sequence <= known.reports {
+// ApplyReport records a report. It returns its sender, and whether the report is newer than the sender's last one.
+func (m *Members) ApplyReport(r *Report) (name string, accepted bool) {
+	sender, ok := m.byIncarnation(r.Incarnation)
+	if !ok || r.Sequence <= sender.lastReport {
 		return "", false
 	}
-	known.reports = r.Sequence
-	return known.Name, true
+	sender.lastReport = r.Sequence
+	return sender.Name, true
 }
 
-// Contributed handles the work of a host. It returns the member that sent it, and whether that is of this
-// host's zone.
-func (m *Members) Contributed(now time.Time, c *Contribution) (name string, counts bool) {
-	known, ok := m.byIncarnation(c.Incarnation)
-	if !ok || known.Zone != m.zone {
+// ApplyContribution records a contribution. It returns its sender, and whether the sender is a member of this host's
+// zone.
+func (m *Members) ApplyContribution(now time.Time, c *Contribution) (name string, accepted bool) {
+	sender, ok := m.byIncarnation(c.Incarnation)
+	if !ok || sender.Zone != m.zone {
 		return "", false
 	}
 	if c.WantsSums {
-		known.wantsSums = now.Add(aggregate.WorkTimeout)
+		sender.wantsSumsUntil = now.Add(aggregate.WorkTimeout)
 	}
-	return known.Name, true
+	return sender.Name, true
 }
 
-// ZoneSummed handles the sum of a zone. It returns the member that sent it, and whether it is known.
-func (m *Members) ZoneSummed(now time.Time, s *ZoneSum) (member Member, known bool) {
+// ApplyZoneSum records a sum over a zone. It returns its sender, and whether the sender is a member.
+func (m *Members) ApplyZoneSum(now time.Time, s *ZoneSum) (member Member, known bool) {
 	sender, ok := m.byIncarnation(s.Incarnation)
 	if !ok {
 		return Member{}, false
 	}
-	sender.sendsZones = now.Add(aggregate.WorkTimeout)
+	sender.sendsZoneSumsUntil = now.Add(aggregate.WorkTimeout)
 	return *sender, true
 }
 
-// FleetSummed handles a sum over all hosts. It returns the member that sent it, and whether it is not older than the
-// last one; the parts of one sum have the same number.
-func (m *Members) FleetSummed(s *FleetSum) (name string, counts bool) {
-	known, ok := m.byIncarnation(s.Incarnation)
-	if !ok || s.Sequence < known.sums {
+// ApplyFleetSum records a sum over all hosts. It returns its sender, and whether the sum is at least as new as the
+// sender's last one; the parts of a sum share a sequence number.
+func (m *Members) ApplyFleetSum(s *FleetSum) (name string, accepted bool) {
+	sender, ok := m.byIncarnation(s.Incarnation)
+	if !ok || s.Sequence < sender.lastFleetSum {
 		return "", false
 	}
-	known.sums = s.Sequence
-	return known.Name, true
+	sender.lastFleetSum = s.Sequence
+	return sender.Name, true
 }
 
-// Zones returns the zones of the members, in no order.
+// Zones returns the zones of the members in no particular order.
 func (m *Members) Zones() []string {
 	zones := make(map[string]bool)
 	for _, member := range m.live {
@@ -177,7 +176,7 @@
 	return slices.Collect(maps.Keys(zones))
 }
 
-// Ranked returns the names of the live hosts of a zone by rank, this host among them if it is in that zone.
+// Ranked returns the names of the live hosts of a zone in the order of Rank, including this host if it is in the zone.
 func (m *Members) Ranked(zone string) []string {
 	var names []string
 	if zone == m.zone {
@@ -192,7 +191,7 @@
 	return names
 }
 
-// Address returns the address of a member, or nothing if it is not live.
+// Address returns the address of a member, or "" if it is not live.
 func (m *Members) Address(name string) string {
 	if member, ok := m.live[name]; ok {
 		return member.Address
@@ -200,9 +199,8 @@
 	return ""
 }
 
-// Confirmed notes what a confirmation says of its sender. It returns the member that sent it, and whether it
-// is known.
-func (m *Members) Confirmed(c *Confirmation) (member Member, known bool) {
+// ApplyConfirmation records the revisions in a confirmation. It returns its sender, and whether the sender is a member.
+func (m *Members) ApplyConfirmation(c *Confirmation) (member Member, known bool) {
 	sender, ok := m.byIncarnation(c.Incarnation)
 	if !ok {
 		return Member{}, false
@@ -218,25 +216,25 @@
 	return *sender, true
 }
 
-// Knows reports whether an incarnation is that of a member.
-func (m *Members) Knows(incarnation uint32) bool {
-	_, ok := m.names[incarnation]
+// HasIncarnation reports whether an incarnation belongs to a member.
+func (m *Members) HasIncarnation(incarnation uint32) bool {
+	_, ok := m.nameByIncarnation[incarnation]
 	return ok
 }
 
-// drop forgets a member.
+// drop removes a member.
 func (m *Members) drop(name string) {
 	if member, ok := m.live[name]; ok {
-		delete(m.names, member.incarnation)
+		delete(m.nameByIncarnation, member.incarnation)
 		delete(m.live, name)
 	}
 }
 
-// Expire drops the members that have been silent for longer than a limit, and returns their
-// names. Addresses that no host has named for long are forgotten.
+// Expire removes the members without a heartbeat for longer than a limit, and returns their names. It also removes the
+// addresses that no host has named for contactTimeout.
 func (m *Members) Expire(now time.Time, limit time.Duration) []string {
-	for address, known := range m.contacts {
-		if now.Sub(known.namedAt) > contactTimeout {
+	for address, entry := range m.contacts {
+		if now.Sub(entry.lastNamedAt) > contactTimeout {
 			delete(m.contacts, address)
 		}
 	}
@@ -260,32 +258,33 @@
 	return members
 }
 
-// Count returns the number of members, without this host.
+// Count returns the number of members; this host is not counted.
 func (m *Members) Count() int { return len(m.live) }
 
-// Unknown notes that a heartbeat of an unknown incarnation came from an address.
-func (m *Members) Unknown(now time.Time, address string) {
+// AddUnknownSender records that a heartbeat of an unknown incarnation came from an address.
+func (m *Members) AddUnknownSender(now time.Time, address string) {
 	if _, ok := m.contacts[address]; !ok {
-		m.Contact(now, address)
+		m.AddContact(now, address)
 	}
-	m.contacts[address].unknown = true
+	m.contacts[address].hasUnknownSender = true
 }
 
-// ToAnnounceTo returns the addresses that are due for an announcement, and counts them as
-// tried: those that are no member's, and those of unknown senders.
-func (m *Members) ToAnnounceTo(now time.Time) []string {
-	// A fleet of 300 hosts that announce themselves to themselves sends 100 datagrams a second for nothing.
+// AnnouncementTargets returns the addresses that are due for an announcement: those of unknown senders, and those that
+// belong to no member. They count as tried.
+func (m *Members) AnnouncementTargets(now time.Time) []string {
+	// This host's own address is left out: 300 hosts that announce themselves to themselves send 100 useless datagrams
+	// a second.
 	ofMembers := map[string]bool{m.address: true}
 	for _, member := range m.live {
 		ofMembers[member.Address] = true
 	}
 	var addresses []string
-	for address, known := range m.contacts {
-		wanted := known.unknown || !ofMembers[address]
-		if !wanted || (!known.triedAt.IsZero() && now.Sub(known.triedAt) < contactInterval) {
+	for address, entry := range m.contacts {
+		wanted := entry.hasUnknownSender || !ofMembers[address]
+		if !wanted || (!entry.lastTriedAt.IsZero() && now.Sub(entry.lastTriedAt) < contactInterval) {
 			continue
 		}
-		known.triedAt, known.unknown = now, false
+		entry.lastTriedAt, entry.hasUnknownSender = now, false
 		addresses = append(addresses, address)
 	}
 	slices.Sort(addresses)
--- a/internal/front/pack/pack.go
+++ b/internal/front/pack/pack.go
@@ -1,6 +1,6 @@
-// Package pack compresses documents for the way between hosts of oxbowslip-front: by themselves, or as
-// a patch against a document that the other end has. The format is Zstandard; a patch is a frame whose
-// dictionary is the older document.
+// Package pack compresses the documents that hosts of oxbowslip-front send to each other, either alone or as a patch
+// against a document that the receiver has. The format is Zstandard; a patch is a frame with the older document as its
+// dictionary. The package owns this format; package peersync keeps the documents.
 package pack
 
 import (
@@ -10,21 +10,20 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// ErrDamaged is given for bytes that are not a packed document, or not one that was
-// packed against the given base.
-var ErrDamaged = merry.Sentinel("packed document is damaged or was made on another base")
+// ErrDamaged is returned for data that is not a compressed document, or was compressed against another base.
+var ErrDamaged = merry.Sentinel("compressed document is damaged or was compressed against another base")
 
 const (
-	// baseID identifies the dictionary of a patch in its frame. All versions use the same.
+	// baseID is the dictionary ID in the frame of a patch, the same in all versions.
 	baseID = 1
-	// maxDocument bounds an unpacked document, in bytes, so that a damaged frame can't fill the memory.
-	maxDocument = 64 << 20
+	// maxDocumentBytes bounds a decompressed document, so that a damaged frame cannot exhaust the memory.
+	maxDocumentBytes = 64 << 20
 )
 
-// Patch packs a document for those that hold base. An empty base packs it by itself.
-func Patch(base, document []byte) ([]byte, error) {
+// Compress compresses a document for receivers that have base. With an empty base it compresses the document alone.
+func Compress(base, document []byte) ([]byte, error) {
 	options := []zstd.EOption{
-		zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(window(len(base) + len(document))), zstd.WithLowerEncoderMem(true),
+		zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(windowSize(len(base) + len(document))), zstd.WithLowerEncoderMem(true),
 	}
 	if len(base) > 0 {
 		options = append(options, zstd.WithEncoderDictRaw(baseID, base))
@@ -37,11 +36,11 @@
 	return encoder.EncodeAll(document, nil), nil
 }
 
-// Apply returns the document that was packed on the same base. The frame carries a
-// checksum, so that a wrong base is found.
-func Apply(base, patch []byte) ([]byte, error) {
+// Decompress returns a document that was compressed against the same base. The frame's checksum detects a wrong
+// base.
+func Decompress(base, patch []byte) ([]byte, error) {
 	options := []zstd.DOption{
-		zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDocument), zstd.WithDecoderLowmem(true),
+		zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDocumentBytes), zstd.WithDecoderLowmem(true),
 	}
 	if len(base) > 0 {
 		options = append(options, zstd.WithDecoderDictRaw(baseID, base))
@@ -58,7 +57,7 @@
 	return document, nil
 }
 
-// window is the least window, a power of two, that reaches over a number of bytes.
-func window(size int) int {
+// windowSize returns the smallest window, a power of two, that covers a number of bytes.
+func windowSize(size int) int {
 	return min(max(1<<bits.Len(uint(size)), zstd.MinWindowSize), zstd.MaxWindowSize)
 }
--- a/internal/front/peersync/endpoints.go
+++ b/internal/front/peersync/endpoints.go
@@ -16,37 +16,36 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// maxDelta is the number of endpoints up to which a change of the directory goes with a heartbeat; a larger one is
-// fetched. 64 entries fit a datagram.
-const maxDelta = 64
+// maxDeltaChanges bounds a change of the directory that is sent with heartbeats; peers fetch a larger one. 64
+// entries fit in a datagram.
+const maxDeltaChanges = 64
 
-// mostResponses bounds the responses that are kept for peers, some KB each.
-const mostResponses = 16
+// maxCachedResponses bounds the cached responses for peers, some KB each.
+const maxCachedResponses = 16
 
-// Endpoints keeps the directory up to date, from the store or from peers. It implements
-// follow.Sink.
+// Endpoints keeps the directory up to date, from the store or from peers. It implements follow.Sink.
 type Endpoints struct {
 	parts EndpointsParts
 
 	mu sync.Mutex
-	// delta is the newest change, heartbeats in how many more heartbeats it is sent.
-	delta      *gossip.DirectoryDelta
-	heartbeats int
-	// entries are all entries as of the change entriesOf, compressed for peers.
-	entries   []byte
-	entriesOf uint64
-	// responses are the changes after some revisions up to the change responsesOf, compressed for peers.
+	// delta is the newest change, heartbeatsLeft the number of further heartbeats that carry it.
+	delta          *gossip.DirectoryDelta
+	heartbeatsLeft int
+	// compressedEntries are all entries as of the change compressedAt, compressed for peers.
+	compressedEntries []byte
+	compressedAt      uint64
+	// responses caches the compressed changes after some revisions up to the change responsesAt.
 	responses   map[uint64]gossip.ChangesResponse
-	responsesOf uint64
+	responsesAt uint64
 }
 
-// EndpointsParts are what Endpoints works with.
+// EndpointsParts are the dependencies of Endpoints.
 type EndpointsParts struct {
 	Directory *directory.Directory
 	Log       *logrus.Entry
-	// Changed is called when a change should reach peers at once.
-	Changed func()
-	// After runs a function once a time has passed.
+	// NotifyPeers is called when a change must reach peers immediately.
+	NotifyPeers func()
+	// After runs a function after a delay.
 	After func(wait time.Duration, run func())
 }
 
@@ -55,7 +54,7 @@
 	return &Endpoints{parts: parts, responses: make(map[uint64]gossip.ChangesResponse)}
 }
 
-// Replace replaces the whole table of the store.
+// Replace replaces the directory with the whole table of the store.
 func (s *Endpoints) Replace(batch follow.Batch[directory.Change]) {
 	snapshot := directory.Snapshot{Revision: batch.Revision, Changed: batch.Changed}
 	for _, change := range batch.Items {
@@ -71,59 +70,59 @@
 		return
 	}
 	era.Log(s.parts.Log, snapshot.Revision).WithFields(logrus.Fields{"from": from, "endpoints": len(snapshot.Entries)}).Info("endpoints read")
-	s.watch(snapshot.Revision)
+	s.scheduleChecks(snapshot.Revision)
 }
 
-// Apply applies changes that the store brought.
+// Apply applies changes from the store.
 func (s *Endpoints) Apply(batch follow.Batch[directory.Change]) {
 	from := s.parts.Directory.Changed()
 	if !s.parts.Directory.Apply(batch.Revision, batch.Items) {
 		return
 	}
 	if len(batch.Items) > 0 {
-		s.sendDelta(from, batch.Revision, batch.Items)
-		s.parts.Changed()
+		s.scheduleDelta(from, batch.Revision, batch.Items)
+		s.parts.NotifyPeers()
 	}
-	s.applied(batch.Revision, fromStore, batch.Items)
+	s.finishApply(batch.Revision, fromStore, batch.Items)
 }
 
-// applied logs changes that were applied, and watches what lapsed with them.
-func (s *Endpoints) applied(revision uint64, from string, changes []directory.Change) {
+// finishApply logs changes that were applied, and schedules the checks that they need.
+func (s *Endpoints) finishApply(revision uint64, from string, changes []directory.Change) {
 	for _, change := range changes {
 		era.Log(s.parts.Log, revision).WithFields(logrus.Fields{
 			"from": from, "endpoint": change.Entry.ID, "gone": change.Gone, "state": change.Entry.Endpoint.State,
 			"service": change.Entry.Endpoint.Service, "address": change.Entry.Endpoint.Address,
 		}).Info("endpoint changed")
 	}
-	s.watch(revision)
+	s.scheduleChecks(revision)
 }
 
-// sendDelta lets the next heartbeats carry changes, if they are few enough.
-func (s *Endpoints) sendDelta(from, to uint64, changes []directory.Change) {
+// scheduleDelta adds changes to the next heartbeats, if they are few enough.
+func (s *Endpoints) scheduleDelta(from, to uint64, changes []directory.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.delta, s.heartbeats = nil, 0
-	if len(changes) > maxDelta {
+	s.delta, s.heartbeatsLeft = nil, 0
+	if len(changes) > maxDeltaChanges {
 		return
 	}
-	s.delta, s.heartbeats = &gossip.DirectoryDelta{From: from, To: to}, heartbeatsPerChange
+	s.delta, s.heartbeatsLeft = &gossip.DirectoryDelta{From: from, To: to}, heartbeatsPerChange
 	for i := range changes {
 		s.delta.Changes = append(s.delta.Changes, toMessage(&changes[i]))
 	}
 }
 
-// nextDelta returns the change for the next heartbeat, or nil.
+// nextDelta returns the changes for the next heartbeat, or nil.
 func (s *Endpoints) nextDelta() *gossip.DirectoryDelta {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.heartbeats == 0 {
+	if s.heartbeatsLeft == 0 {
 		return nil
 	}
-	s.heartbeats--
+	s.heartbeatsLeft--
 	return s.delta
 }
 
-// applyDelta applies a peer's changes, if this host knows all that came before them.
+// applyDelta applies a peer's changes, if this host has all changes before them.
 func (s *Endpoints) applyDelta(peer string, delta *gossip.DirectoryDelta) {
 	if s.parts.Directory.Revision() < delta.From {
 		return
@@ -133,26 +132,27 @@
 		changes = append(changes, fromMessage(&delta.Changes[i]))
 	}
 	if s.parts.Directory.Apply(delta.To, changes) {
-		s.applied(delta.To, peer, changes)
+		s.finishApply(delta.To, peer, changes)
 	}
 }
 
-// has reports whether the directory has a change that a host lacks which knows all up to a revision. A host that
-// polls its peers would otherwise get the whole directory from each that the store has answered since.
-func (s *Endpoints) has(revision uint64) bool {
+// hasNewerThan reports whether the directory has a change after a revision. It compares with the newest change
+// rather than with the directory's revision: otherwise a host that polls its peers would get the whole directory
+// from each one that the store has answered since.
+func (s *Endpoints) hasNewerThan(revision uint64) bool {
 	if revision == 0 {
 		return s.parts.Directory.Revision() > 0
 	}
 	return s.parts.Directory.Changed() > revision
 }
 
-// changes returns what has changed after a peer's revision. Many peers ask for the same at the same time, so that it is kept
-// until the next change.
+// changes returns the changes after a peer's revision. Many peers request the same changes at the same time, so that
+// responses are cached until the next change.
 func (s *Endpoints) changes(revision uint64) (gossip.ChangesResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if changed := s.parts.Directory.Changed(); s.responsesOf != changed || len(s.responses) >= mostResponses {
-		s.responses, s.responsesOf = make(map[uint64]gossip.ChangesResponse), changed
+	if changed := s.parts.Directory.Changed(); s.responsesAt != changed || len(s.responses) >= maxCachedResponses {
+		s.responses, s.responsesAt = make(map[uint64]gossip.ChangesResponse), changed
 	}
 	if response, ok := s.responses[revision]; ok {
 		return response, nil
@@ -164,7 +164,7 @@
 	return response, err
 }
 
-// compressSince compresses what has changed after a revision.
+// compressSince compresses the changes after a revision.
 func (s *Endpoints) compressSince(revision uint64) (gossip.ChangesResponse, error) {
 	updates, to, ok := s.parts.Directory.Since(revision)
 	if !ok {
@@ -190,8 +190,8 @@
 	return response, nil
 }
 
-// applyChanges applies what has changed, if this host knows all that came before. It reports false if it lacks what is
-// changed.
+// applyChanges applies a peer's changes. It returns false if this host lacks earlier changes or an entry of which only
+// the state changes, or if the changes cannot be decompressed.
 func (s *Endpoints) applyChanges(peer string, response *gossip.ChangesResponse) bool {
 	entries, err := decompressChanges(response.Entries)
 	if err == nil {
@@ -201,11 +201,11 @@
 			return s.update(peer, response, entries, states)
 		}
 	}
-	s.parts.Log.WithError(err).WithField("from", peer).Warn("a peer's changes can't be decompressed")
+	s.parts.Log.WithError(err).WithField("from", peer).Warn("a peer's changes can't be decompressed, a snapshot is fetched instead")
 	return false
 }
 
-// update applies entries that have changed, and states of entries.
+// update applies changes of entries, and changes of states alone.
 func (s *Endpoints) update(peer string, response *gossip.ChangesResponse, entries, states []directory.Change) bool {
 	known := s.parts.Directory.Revision()
 	if known < response.From {
@@ -224,70 +224,71 @@
 	if !s.parts.Directory.Update(response.To, updates) {
 		return s.parts.Directory.Revision() >= response.To
 	}
-	era.Log(s.parts.Log, response.To).WithFields(logrus.Fields{"from": peer, "entries": len(entries), "states": len(states)}).Info("changes of endpoints read")
-	s.watch(response.To)
+	era.Log(s.parts.Log, response.To).WithFields(logrus.Fields{"from": peer, "entries": len(entries), "states": len(states)}).Info("endpoint changes read")
+	s.scheduleChecks(response.To)
 	return true
 }
 
-// snapshot returns the whole directory for a peer. Compressing it is expensive, so that the
-// result is kept until the next change.
+// snapshot returns the whole directory for a peer. The compressed entries are cached until the next change, because
+// compression is expensive.
 func (s *Endpoints) snapshot() (*gossip.DirectorySnapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	snapshot := s.parts.Directory.Snapshot()
-	if s.entries == nil || s.entriesOf != snapshot.Changed {
+	if s.compressedEntries == nil || s.compressedAt != snapshot.Changed {
 		entries, err := compressEntries(snapshot.Entries)
 		if err != nil {
 			return nil, err
 		}
-		s.entries, s.entriesOf = entries, snapshot.Changed
+		s.compressedEntries, s.compressedAt = entries, snapshot.Changed
 	}
-	return &gossip.DirectorySnapshot{Revision: snapshot.Revision, Changed: snapshot.Changed, Entries: s.entries}, nil
+	return &gossip.DirectorySnapshot{Revision: snapshot.Revision, Changed: snapshot.Changed, Entries: s.compressedEntries}, nil
 }
 
-// applySnapshot applies the whole directory of a peer, if it is newer.
+// applySnapshot applies a peer's whole directory, if it is newer.
 func (s *Endpoints) applySnapshot(peer string, snapshot *gossip.DirectorySnapshot) {
 	entries, err := decompressEntries(snapshot.Entries)
 	if err != nil {
-		s.parts.Log.WithError(err).WithField("from", peer).Warn("a peer's endpoints can't be decompressed")
+		s.parts.Log.WithError(err).WithField("from", peer).Warn("a peer's endpoints can't be decompressed, they are ignored")
 		return
 	}
 	s.replace(directory.Snapshot{Revision: snapshot.Revision, Changed: snapshot.Changed, Entries: entries}, peer)
 }
 
-// watch ends what the directory does for a while only with entries that it got at a revision.
-func (s *Endpoints) watch(revision uint64) {
-	s.watchLapse(revision)
-	s.watchReturned(revision)
+// scheduleChecks schedules the end of the grace periods of entries that lapsed or returned at a revision.
+func (s *Endpoints) scheduleChecks(revision uint64) {
+	s.scheduleLapseCheck(revision)
+	s.scheduleReturnCheck(revision)
 }
 
-// watchReturned has endpoints take new work whose entries an older copy of the store has brought back, if those last.
-func (s *Endpoints) watchReturned(revision uint64) {
-	doubted := s.parts.Directory.Doubted(revision)
-	if doubted == 0 {
+// scheduleReturnCheck allows new work, after the grace period, for endpoints whose entries a restore of the store
+// has brought back and that still exist.
+func (s *Endpoints) scheduleReturnCheck(revision uint64) {
+	returned := s.parts.Directory.CountReturned(revision)
+	if returned == 0 {
 		return
 	}
 	log := era.Log(s.parts.Log, revision)
-	log.WithField("doubted", doubted).Warn("entries that had gone are back, they are not used for a while")
+	log.WithField("doubted", returned).Warn("removed entries are back, they get no new work for the grace period")
 	s.parts.After(directory.ReturnGrace, func() {
-		if trusted := s.parts.Directory.Trust(revision); len(trusted) > 0 {
-			log.WithField("endpoints", trusted).Info("entries that had gone have lasted")
+		if accepted := s.parts.Directory.AcceptReturned(revision); len(accepted) > 0 {
+			log.WithField("endpoints", accepted).Info("returned entries outlasted the grace period, they get new work")
 		}
 	})
 }
 
-// watchLapse removes the entries that lapsed at a revision if they have not come back after a
-// while. The directory may have moved on since.
-func (s *Endpoints) watchLapse(revision uint64) {
-	lapsed := s.parts.Directory.Lapsed(revision)
+// scheduleLapseCheck removes the entries that lapsed at a revision, unless they are written again within the grace
+// period. The directory may be at a later revision by then.
+func (s *Endpoints) scheduleLapseCheck(revision uint64) {
+	lapsed := s.parts.Directory.CountLapsed(revision)
 	if lapsed == 0 {
 		return
 	}
 	log := era.Log(s.parts.Log, revision)
-	log.WithField("lapsed", lapsed).Warn("entries lapsed together, they are kept for a while")
+	log.WithField("lapsed", lapsed).Warn("entries lapsed together, keeping them for the grace period")
 	s.parts.After(directory.LapseGrace, func() {
 		if dropped := s.parts.Directory.DropLapsed(revision); len(dropped) > 0 {
-			log.WithField("endpoints", dropped).Warn("lapsed entries have not come back")
+			log.WithField("endpoints", dropped).Warn("lapsed entries were not written again within the grace period, dropped")
 		}
 	})
 }
@@ -325,7 +326,7 @@
 	if err != nil {
 		return nil, merry.Wrap(err)
 	}
-	return pack.Patch(nil, data)
+	return pack.Compress(nil, data)
 }
 
 func decompressEntries(compressed []byte) ([]directory.Entry, error) {
@@ -340,9 +341,9 @@
 	return entries, nil
 }
 
-// decompressChanges returns the changes that compressChanges has compressed.
+// decompressChanges reverses compressChanges.
 func decompressChanges(compressed []byte) ([]directory.Change, error) {
-	data, err := pack.Apply(nil, compressed)
+	data, err := pack.Decompress(nil, compressed)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/front/peersync/engines.go
+++ b/internal/front/peersync/engines.go
@@ -9,25 +9,25 @@
 	"oxbowslip.dev/oxbowslip/internal/front/placement"
 )
 
-// Observed returns what the next report carries.
-func (s *Sync) Observed() []gossip.EngineReport {
+// EngineReports returns the engine reports for the next message to peers.
+func (s *Sync) EngineReports() []gossip.EngineReport {
 	var reports []gossip.EngineReport
-	for service, report := range s.parts.Placer.Observed() {
+	for service, report := range s.parts.Placer.EngineReports() {
 		reports = append(reports, toEngineReport(service, &report))
 	}
 	return reports
 }
 
-// Reported handles a peer's report.
-func (s *Sync) Reported(peer string, reports []gossip.EngineReport) {
-	observed := make(placement.Observed, len(reports))
+// HandleReport handles a peer's engine reports.
+func (s *Sync) HandleReport(peer string, reports []gossip.EngineReport) {
+	observed := make(placement.EngineReports, len(reports))
 	for i := range reports {
 		observed[reports[i].Service] = fromEngineReport(&reports[i])
 	}
-	s.parts.Placer.SetObserved(peer, observed)
+	s.parts.Placer.SetPeerEngineReports(peer, observed)
 }
 
-// toEngineReport turns what this host knows of a service into its form in heartbeats.
+// toEngineReport encodes this host's observations of a service for messages.
 func toEngineReport(service keys.Service, r *engine.Report) gossip.EngineReport {
 	report := gossip.EngineReport{
 		Service:  service,
@@ -35,17 +35,17 @@
 		EventRead: toFigure(r.Figures.EventRead),
 	}
 	for class, d := range r.Traffic {
-		if requests := toUnits(d.Requests * gossip.RequestUnit); requests > 0 {
+		if requests := roundToInt(d.Requests * gossip.RequestUnit); requests > 0 {
 			report.Classes = append(report.Classes, gossip.ClassDemand{
-				Class: class, Requests: requests, Prompt: toUnits(d.Prompt / gossip.TokenUnit),
-				Unread: toUnits(d.Unread / gossip.TokenUnit), Open: toUnits(d.Open),
+				Class: class, Requests: requests, Prompt: roundToInt(d.Prompt / gossip.TokenUnit),
+				Unread: roundToInt(d.Unread / gossip.TokenUnit), Open: roundToInt(d.Open),
 			})
 		}
 	}
 	return report
 }
 
-// fromEngineReport is the reverse of toEngineReport.
+// fromEngineReport reverses toEngineReport.
 func fromEngineReport(r *gossip.EngineReport) engine.Report {
 	report := engine.Report{
 		Figures: engine.Figures{
@@ -64,11 +64,11 @@
 }
 
 func toFigure(f engine.Figure) gossip.Figure {
-	return gossip.Figure{Value: float32(f.Value), Samples: toUnits(f.Samples)}
+	return gossip.Figure{Value: float32(f.Value), Samples: roundToInt(f.Samples)}
 }
 
 func fromFigure(f gossip.Figure) engine.Figure {
 	return engine.Figure{Value: float64(f.Value), Samples: float64(f.Samples)}
 }
 
-func toUnits(count float64) int { return int(math.Round(count)) }
+func roundToInt(count float64) int { return int(math.Round(count)) }
--- a/internal/front/peersync/freshness.go
+++ b/internal/front/peersync/freshness.go
@@ -7,11 +7,11 @@
 	"oxbowslip.dev/oxbowslip/internal/front/gossip"
 )
 
-// Confirmations returns what this host can confirm to others, or nothing if that is not all topics.
+// Confirmations returns this host's confirmations, or nil unless it has one of each topic.
 func (s *Sync) Confirmations() []gossip.TopicConfirmation {
-	confirmations := make([]gossip.TopicConfirmation, freshness.Topics)
-	for topic := range freshness.Topics {
-		own, ok := s.parts.Freshness.Own(topic)
+	confirmations := make([]gossip.TopicConfirmation, freshness.NumTopics)
+	for topic := range freshness.NumTopics {
+		own, ok := s.parts.Freshness.OwnConfirmation(topic)
 		if !ok {
 			return nil
 		}
@@ -22,16 +22,16 @@
 	return confirmations
 }
 
-// MustAsk reports whether a host with a number of hosts before it has to ask others about a topic.
+// MustAsk reports whether a host with a number of hosts before it in the order must ask others about a topic.
 func (s *Sync) MustAsk(topic freshness.Topic, before int) bool {
 	return s.parts.Freshness.MustAsk(topic, before)
 }
 
-// Confirmed handles a peer's confirmations.
-func (s *Sync) Confirmed(topics []gossip.TopicConfirmation) {
-	for topic := range min(len(topics), int(freshness.Topics)) {
+// HandleConfirmations handles a peer's confirmations.
+func (s *Sync) HandleConfirmations(topics []gossip.TopicConfirmation) {
+	for topic := range min(len(topics), int(freshness.NumTopics)) {
 		c := &topics[topic]
-		s.parts.Freshness.Confirmed(freshness.Topic(topic), freshness.Confirmation{
+		s.parts.Freshness.RecordConfirmation(freshness.Topic(topic), freshness.Confirmation{
 			Newest: c.Newest, Revision: c.Revision, AsOf: freshness.StoreTime(time.Duration(c.AsOf) * time.Millisecond),
 		})
 	}
--- a/internal/front/peersync/settings.go
+++ b/internal/front/peersync/settings.go
@@ -14,58 +14,58 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// Settings puts configurations in force, from the store or from peers. It implements
-// follow.Sink.
+// Settings puts configurations in force, from the store or from peers. It implements follow.Sink.
 type Settings struct {
 	parts SettingsParts
-	// documents are for peers that lack them.
+	// documents holds the configuration in force for peers that lack it.
 	documents documents
 
 	// mu is held while a configuration is compared with the one in force and replaces it.
-	mu    sync.Mutex
-	known versions
-	// version is the Version of the configuration in force, readIn the era in which the store had it when this host read it
-	// there, or 0 if a peer brought it.
-	version uint64
-	readIn  uint64
+	mu            sync.Mutex
+	knownVersions versionHashes
+	// version is the Version of the configuration in force. readInEra is the era of the store when this host read
+	// that configuration there, or 0 if it came from a peer.
+	version   uint64
+	readInEra uint64
 }
 
-// rewriteGrace is how long a restored store may have an older configuration that no host has seen, until it counts as one that
-// was written since. Operators write theirs again at once.
+// rewriteGrace is how long a restored store may hold an older configuration that no host has seen before it counts
+// as written after the restore. Operators write their configuration again right after a restore.
 const rewriteGrace = time.Second
 
-// SettingsParts are what Settings works with.
+// SettingsParts are the dependencies of Settings.
 type SettingsParts struct {
-	// Decode turns a configuration into a revision of the tree.
+	// Decode decodes a configuration into a revision of the settings tree.
 	Decode   func(settings.Raw) (*settings.Revision, error)
 	Holder   *settings.Holder
 	Counters *counters.Counters
 	Log      *logrus.Entry
 	// InForce is called with each tree that comes into force.
 	InForce func(*settings.Tree)
-	// Changed is called when something newer is in force that peers should have at once.
-	Changed func()
+	// NotifyPeers is called when a newer configuration is in force that must reach peers immediately.
+	NotifyPeers func()
 	// ReadsStore reports whether this host reads the store and gets answers.
 	ReadsStore func() bool
-	// Age returns how long ago the settings were last known to be complete.
+	// Age returns the time since the settings were last confirmed to be complete.
 	Age func() time.Duration
-	// After runs a function after a time.
+	// After runs a function after a delay.
 	After func(time.Duration, func())
 }
 
-// NewSettings returns a sink with no configuration in force.
+// NewSettings returns a sink without a configuration in force.
 func NewSettings(parts SettingsParts) *Settings { return &Settings{parts: parts} }
 
 // Replace puts the newest configuration of the whole table in force.
-func (s *Settings) Replace(batch follow.Batch[settings.Raw]) { s.read(batch, false) }
+func (s *Settings) Replace(batch follow.Batch[settings.Raw]) { s.applyNewest(batch, false) }
 
-// Apply puts the newest configuration in force that was written since the store was read last.
-func (s *Settings) Apply(batch follow.Batch[settings.Raw]) { s.read(batch, true) }
+// Apply puts the newest configuration in force that was written since the last read of the store.
+func (s *Settings) Apply(batch follow.Batch[settings.Raw]) { s.applyNewest(batch, true) }
 
-// read puts the newest configuration in force that the store brought. One that can't be decoded is left out, and the one before
-// it counts. Those in between never come into force: a change that is sent to peers leads from what they have to the newest,
-// also when several came at once. IsNew is set if they were written since the store was read last.
-func (s *Settings) read(batch follow.Batch[settings.Raw], isNew bool) {
+// applyNewest puts the newest configuration of a batch in force. A configuration that cannot be decoded is skipped
+// in favour of the one before it. Intermediate configurations never come into force: the patch for peers must lead
+// from the configuration that they have to the newest, also if several arrived together. The flag isNew is set if
+// the batch was written since the last read of the store.
+func (s *Settings) applyNewest(batch follow.Batch[settings.Raw], isNew bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	isNewest := true
@@ -75,37 +75,37 @@
 			continue
 		}
 		if isNewest {
-			s.offerRead(document, revision, era.Of(batch.Revision), isNew)
+			s.offerFromStore(document, revision, era.Of(batch.Revision), isNew)
 		}
 		isNewest = false
-		s.known.note(revision.Number, document)
+		s.knownVersions.record(revision.Number, document)
 	}
 }
 
-// offerRead puts a configuration in force that the store brought in an era, if it is newer than the one that is. A store that
-// has come back from an older copy brings one of before or one that was written since, under any Version. The lock is held.
-func (s *Settings) offerRead(document settings.Raw, revision *settings.Revision, storeEra uint64, isNew bool) {
+// offerFromStore puts a configuration from the store in force if it is newer than the current one. After a restore,
+// the configuration may be from before the restore or written since, under any Version. The lock is held.
+func (s *Settings) offerFromStore(document settings.Raw, revision *settings.Revision, storeEra uint64, isNew bool) {
 	version := revision.Number
 	writtenIn := era.Of(s.parts.Holder.Number())
 	if storeEra > writtenIn {
 		switch {
-		case isNew, s.known.contradicts(version, document):
+		case isNew, s.knownVersions.conflicts(version, document):
 			writtenIn = storeEra
-		case version < s.version && !s.known.has(version):
-			s.offerLater(document, storeEra)
+		case version < s.version && !s.knownVersions.has(version):
+			s.scheduleOffer(document, storeEra)
 		}
 	}
-	revision.Number = numberOf(writtenIn, version)
+	revision.Number = revisionNumber(writtenIn, version)
 	if !s.offer(document, revision, version, fromStore) && !s.documents.isNewest(document) {
-		s.parts.Log.WithFields(logrus.Fields{"revision": s.parts.Holder.Number(), "store_revision": revision.Number}).Warn("the store has an older configuration, the one in force stays")
+		s.parts.Log.WithFields(logrus.Fields{"revision": s.parts.Holder.Number(), "store_revision": revision.Number}).Warn("the store has an older configuration, keeping the one in force")
 		return
 	}
-	s.readIn = storeEra
+	s.readInEra = storeEra
 }
 
-// offerLater puts a configuration in force that a restored store has if nothing was written in its era for a while: nobody knows
-// of it from before.
-func (s *Settings) offerLater(document settings.Raw, storeEra uint64) {
+// scheduleOffer puts a configuration of a restored store in force after rewriteGrace, unless another one has been
+// written in the store's era by then. No host has seen this configuration before the restore.
+func (s *Settings) scheduleOffer(document settings.Raw, storeEra uint64) {
 	s.parts.After(rewriteGrace, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -113,48 +113,49 @@
 			return
 		}
 		if revision, ok := s.decode(document, fromStore); ok {
-			s.offerRead(document, revision, storeEra, true)
+			s.offerFromStore(document, revision, storeEra, true)
 		}
 	})
 }
 
-// offerFrom puts a peer's configuration in force if it is newer than the one that is. Announced is the number that the peer
-// gave it. The lock is held.
-func (s *Settings) offerFrom(peer string, document settings.Raw, announced uint64) {
+// offerFromPeer puts a peer's configuration in force if it is newer than the current one. The parameter announced is
+// the number that the peer announced for it. The lock is held.
+func (s *Settings) offerFromPeer(peer string, document settings.Raw, announced uint64) {
 	revision, ok := s.decode(document, peer)
 	if !ok {
 		return
 	}
 	version := revision.Number
-	s.known.note(version, document)
-	// The peer may have put another one in force since it announced that one.
+	s.knownVersions.record(version, document)
+	// The peer may have put another configuration in force since its announcement.
 	if era.Number(announced) == version {
 		revision.Number = announced
 	}
-	if s.isOlderRead(revision.Number, version) {
+	if s.predatesLocalRead(revision.Number, version) {
 		s.renumber(era.Of(revision.Number))
 		return
 	}
 	if s.offer(document, revision, version, peer) {
-		s.readIn = 0
+		s.readInEra = 0
 	}
 }
 
-// isOlderRead reports whether a peer's configuration was written before the one in force, which this host read in the same era,
-// or a later one, without knowing that it was written in it.
-func (s *Settings) isOlderRead(number, version uint64) bool {
+// predatesLocalRead reports whether a peer's configuration was written before the current one although its number is
+// of a later era. This host read the current one in that era or a later one, without knowing in which era it was
+// written.
+func (s *Settings) predatesLocalRead(number, version uint64) bool {
 	writtenIn := era.Of(number)
-	return writtenIn > era.Of(s.parts.Holder.Number()) && writtenIn <= s.readIn && version < s.version
+	return writtenIn > era.Of(s.parts.Holder.Number()) && writtenIn <= s.readInEra && version < s.version
 }
 
-// renumber notes that the configuration in force was written in an era.
+// renumber records that the configuration in force was written in an era.
 func (s *Settings) renumber(writtenIn uint64) {
 	revision := *s.parts.Holder.Current()
-	revision.Number = numberOf(writtenIn, s.version)
+	revision.Number = revisionNumber(writtenIn, s.version)
 	s.offer(s.documents.current(), &revision, s.version, fromStore)
 }
 
-// decode turns a configuration into a revision whose number is its Version. It reports false if it can't be decoded.
+// decode decodes a configuration into a revision with its Version as the number. It returns false if that fails.
 func (s *Settings) decode(document settings.Raw, from string) (*settings.Revision, bool) {
 	revision, err := s.parts.Decode(document)
 	if err != nil {
@@ -164,18 +165,19 @@
 	return revision, err == nil
 }
 
-// offer puts a configuration in force if it is newer than the one that is, and reports whether it was. The lock is held.
+// offer puts a configuration in force if it is newer than the current one, and reports whether it was. The lock is
+// held.
 func (s *Settings) offer(document settings.Raw, revision *settings.Revision, version uint64, from string) bool {
 	p := &s.parts
 	age := p.Age()
-	if !p.Holder.Offer(revision) {
+	if !p.Holder.SetIfNewer(revision) {
 		return false
 	}
 	s.version = version
 	p.InForce(revision.Tree)
-	s.documents.keep(document, revision.Number)
-	if s.forwards(from) {
-		s.sendChange()
+	s.documents.setNewest(document, revision.Number)
+	if s.shouldForward(from) {
+		s.announceChange()
 	}
 	p.Log.WithFields(logrus.Fields{
 		"revision": revision.Number, "from": from, "routes": len(revision.Tree.Routes), "workspaces": len(revision.Tree.Workspaces),
@@ -184,21 +186,20 @@
 	return true
 }
 
-// forwards reports whether this host sends a change on at once. What the store brought it
-// does. What a peer sent it does only if it reads the store itself: readers sometimes learn of
-// a change from each other first, and the heartbeat of the other may have been lost; if all
-// hosts sent it on, the bytes would grow with the square of the fleet.
-func (s *Settings) forwards(from string) bool {
+// shouldForward reports whether this host sends a change on immediately. It does for changes from the store. For a
+// peer's change it does only if it reads the store itself: readers may get a change from each other first, and the
+// other's heartbeat may have been lost. If all hosts forwarded changes, the traffic would grow with the square of
+// the fleet.
+func (s *Settings) shouldForward(from string) bool {
 	return from == fromStore || s.parts.ReadsStore()
 }
 
-// sendChange lets the next heartbeats carry the change. Peers fetch one that can't be
-// compressed.
-func (s *Settings) sendChange() {
-	if err := s.documents.sendPatch(); err != nil {
+// announceChange adds the change to the next heartbeats. Peers fetch a change that cannot be compressed.
+func (s *Settings) announceChange() {
+	if err := s.documents.schedulePatch(); err != nil {
 		s.parts.Log.WithError(err).Error("a change of the settings can't be compressed, peers fetch it whole")
 	}
-	s.parts.Changed()
+	s.parts.NotifyPeers()
 }
 
 // applyPatch applies a peer's change of the settings.
@@ -206,18 +207,18 @@
 	s.applyCompressed(peer, patch.From, patch.Data, patch.To)
 }
 
-// applyCompressed puts a peer's configuration in force, which has the number that the peer announced. One that was compressed
-// against another revision than the one in force is left out; it is fetched whole if it is newer.
+// applyCompressed puts a peer's configuration in force, under the number that the peer announced. A configuration
+// that was compressed against another revision than the one in force is ignored; it is fetched whole if it is newer.
 func (s *Settings) applyCompressed(peer string, base uint64, data []byte, announced uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	document, ok, err := s.documents.decompress(base, data)
 	if err != nil {
 		s.parts.Counters.SettingsRejected.Inc()
-		s.parts.Log.WithError(err).WithFields(logrus.Fields{"from": peer, "base": base}).Warn("a peer's configuration can't be decompressed")
+		s.parts.Log.WithError(err).WithFields(logrus.Fields{"from": peer, "base": base}).Warn("a peer's configuration can't be decompressed, it is ignored")
 		return
 	}
 	if ok {
-		s.offerFrom(peer, document, announced)
+		s.offerFromPeer(peer, document, announced)
 	}
 }
--- a/internal/front/relay/stream.go
+++ b/internal/front/relay/stream.go
@@ -17,73 +17,71 @@
 )
 
 const (
-	// maxEventBytes bounds one event; a stream with a larger one counts as broken. Events of the users have up to 400
-	// bytes.
+	// maxEventBytes bounds an event; a stream with a larger one counts as broken. Typical events have up to 400 bytes.
 	maxEventBytes = 256 << 10
-	// eventBuffer is the buffer that is allocated for each stream.
-	eventBuffer = 4 << 10
+	// eventBufferBytes is the initial buffer of each stream.
+	eventBufferBytes = 4 << 10
 )
 
-// streamState is what is known of a stream over all its attempts.
+// streamState is the state of a stream across all its attempts.
 type streamState struct {
-	// started is set once the head went to the caller.
-	started bool
-	// events is the number of events that were passed on, lastID the ID of the last.
+	// isHeadSent is set once the head of the answer has been sent to the caller.
+	isHeadSent bool
+	// events is the number of events forwarded, lastID the ID of the last one.
 	events  int
 	lastID  string
 	lastAt  time.Time
 	firstAt time.Time
-	// longestPause is the longest time between two events, and beside the prompt tokens that the
-	// endpoint had to read when it ended.
-	longestPause time.Duration
-	beside       int
+	// longestPause is the longest time between two events, unprocessedTokens the number of prompt tokens that the
+	// endpoint had yet to process at its end.
+	longestPause      time.Duration
+	unprocessedTokens int
 }
 
-// observed returns what was seen of the stream.
-func (s *streamState) observed() engine.Stream {
+// summary returns the observations of the stream.
+func (s *streamState) summary() engine.Stream {
 	return engine.Stream{
-		Events: s.events, Lasted: s.lastAt.Sub(s.firstAt), Longest: s.longestPause, Beside: s.beside,
+		Events: s.events, Duration: s.lastAt.Sub(s.firstAt), LongestPause: s.longestPause, UnreadBeside: s.unprocessedTokens,
 	}
 }
 
-// relayStream passes whole events on until the stream ends or breaks. It blocks while the
-// caller does not read.
-func (x *exchange) relayStream(ctx context.Context, a *owner.Attempt, answer *upstream.Answer, watch *httprelay.SilenceWatch) owner.Result {
+// relayStream forwards complete events until the stream ends or breaks. It blocks while the caller does not read.
+func (x *exchange) relayStream(ctx context.Context, a *owner.Attempt, answer *upstream.Answer, idle *httprelay.IdleTimer) owner.Result {
 	scanner := bufio.NewScanner(answer)
-	scanner.Buffer(make([]byte, 0, eventBuffer), maxEventBytes)
+	scanner.Buffer(make([]byte, 0, eventBufferBytes), maxEventBytes)
 	scanner.Split(splitEvents)
 	for scanner.Scan() {
-		watch.Reset()
-		x.began()
+		idle.Reset()
+		x.countRun()
 		event := scanner.Bytes()
 		if !x.stream.isNext(eventID(event)) {
 			continue
 		}
-		if result := x.passOn(a, answer, event); result != nil {
+		if result := x.forwardEvent(a, answer, event); result != nil {
 			return *result
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		x.failed(ctx, a, err)
-		x.broke(ctx, a, true)
+		x.reportFailure(ctx, a, err)
+		x.reportBroken(ctx, a, true)
 		return owner.Result{Event: request.EventBroken, Err: err}
 	}
-	x.answered(a)
-	if !a.Deliver() {
+	x.reportAnswered(a)
+	if !a.StartDelivery() {
 		return owner.Result{Event: request.EventBroken}
 	}
-	x.begin(answer)
+	x.sendHead(answer)
 	return owner.Result{Event: request.EventWhole}
 }
 
-// passOn sends one event to the caller. It returns a result if the attempt is over.
-func (x *exchange) passOn(a *owner.Attempt, answer *upstream.Answer, event []byte) *owner.Result {
-	if !a.Deliver() {
+// forwardEvent sends an event to the caller. It returns a result if the attempt has ended.
+func (x *exchange) forwardEvent(a *owner.Attempt, answer *upstream.Answer, event []byte) *owner.Result {
+	if !a.StartDelivery() {
 		return &owner.Result{Event: request.EventBroken}
 	}
-	x.begin(answer)
+	x.sendHead(answer)
 	control := http.NewResponseController(x.w)
-	// The writers of tests have no deadlines; those of net/http do.
+	// Writers of net/http support deadlines; those of tests do not.
 	_ = control.SetWriteDeadline(time.Now().Add(x.server.parts.Timeouts.Write))
 	if _, err := x.w.Write(event); err != nil {
 		return &owner.Result{Event: request.EventCallerGone, Err: err}
@@ -91,27 +89,27 @@
 	if err := control.Flush(); err != nil {
 		return &owner.Result{Event: request.EventCallerGone, Err: err}
 	}
-	if x.stream.passed(x.server.parts.Clock.Now(), eventID(event)) {
-		x.stream.beside = x.server.parts.Health.Unread(a.EndpointID)
+	if x.stream.recordEvent(x.server.parts.Clock.Now(), eventID(event)) {
+		x.stream.unprocessedTokens = x.server.parts.Health.UnprocessedTokens(a.EndpointID)
 	}
-	a.Tokens(x.stream.events)
+	a.RecordTokens(x.stream.events)
 	return nil
 }
 
-// begin sends the head of the answer, once: an answer that is resumed elsewhere keeps the head
-// of the endpoint that began it.
-func (x *exchange) begin(answer *upstream.Answer) {
-	if x.stream.started {
+// sendHead sends the head of the answer, once. An answer that another endpoint resumes keeps the head of the first
+// endpoint.
+func (x *exchange) sendHead(answer *upstream.Answer) {
+	if x.stream.isHeadSent {
 		return
 	}
-	x.stream.started = true
+	x.stream.isHeadSent = true
 	httprelay.CopyHeader(x.w.Header(), answer.Header)
 	x.w.WriteHeader(answer.Status)
 }
 
-// passed counts an event that went to the caller, and reports whether the pause before it was the
-// longest.
-func (s *streamState) passed(now time.Time, id string) bool {
+// recordEvent records an event that was sent to the caller. It reports whether the pause before it is the longest so
+// far.
+func (s *streamState) recordEvent(now time.Time, id string) bool {
 	longest := false
 	if s.events == 0 {
 		s.firstAt = now
@@ -127,8 +125,8 @@
 	return longest
 }
 
-// isNext reports whether an event follows the last one that was passed on. Endpoints number
-// events upwards; an event without a number always does.
+// isNext reports whether an event follows the last one that was forwarded. Endpoints number their events in ascending
+// order; an event without a number always follows.
 func (s *streamState) isNext(id string) bool {
 	last, lastErr := strconv.ParseUint(s.lastID, 10, 64)
 	this, thisErr := strconv.ParseUint(id, 10, 64)
@@ -148,11 +146,10 @@
 	return ""
 }
 
-// errCutEvent is the error of a stream that ended inside an event.
-var errCutEvent = errors.New("the stream ended inside an event")
+// errTruncatedEvent is the error of a stream that ended within an event.
+var errTruncatedEvent = errors.New("the stream ended inside an event")
 
-// splitEvents is a bufio.SplitFunc that returns whole events with their blank line, as they are
-// on the wire.
+// splitEvents is a bufio.SplitFunc that returns complete events as on the wire, including the blank line.
 func splitEvents(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	for _, end := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
 		if i := bytes.Index(data, end); i >= 0 {
@@ -160,7 +157,7 @@
 		}
 	}
 	if atEOF && len(data) > 0 {
-		return 0, nil, errCutEvent
+		return 0, nil, errTruncatedEvent
 	}
 	return 0, nil, nil
 }
--- a/internal/front/scaler/scaler_test.go
+++ b/internal/front/scaler/scaler_test.go
@@ -19,8 +19,8 @@
 	"oxbowslip.dev/oxbowslip/internal/settings"
 )
 
-// fake is the store, the provider and the mandate of a leader.
-type fake struct {
+// fakeLeadership implements the store, the provider and the mandate of a leader.
+type fakeLeadership struct {
 	records    map[string][]byte
 	orders     []capacity.Order
 	err        error
@@ -28,18 +28,18 @@
 	unanswered int
 }
 
-func (f *fake) Fence() (uint64, time.Duration, bool) { return 1, time.Second, true }
-func (f *fake) Answered()                            { f.answered++ }
-func (f *fake) Unanswered()                          { f.unanswered++ }
+func (f *fakeLeadership) Fence() (uint64, time.Duration, bool) { return 1, time.Second, true }
+func (f *fakeLeadership) RecordAnswer()                        { f.answered++ }
+func (f *fakeLeadership) RecordNoAnswer()                      { f.unanswered++ }
 
-func (f *fake) Keep(_ context.Context, records ...leader.Record) error {
+func (f *fakeLeadership) WriteRecords(_ context.Context, records ...leader.Record) error {
 	for _, r := range records {
 		f.records[r.Key] = r.Value
 	}
 	return nil
 }
 
-func (f *fake) Records(context.Context) ([]leader.Record, error) {
+func (f *fakeLeadership) Records(context.Context) ([]leader.Record, error) {
 	var records []leader.Record
 	for key, value := range f.records {
 		records = append(records, leader.Record{Key: key, Value: value})
@@ -47,24 +47,24 @@
 	return records, nil
 }
 
-func (f *fake) Scale(_ context.Context, _ leader.Fence, _ string, order capacity.Order) error {
+func (f *fakeLeadership) Scale(_ context.Context, _ leader.Fence, _ string, order capacity.Order) error {
 	f.orders = append(f.orders, order)
 	return f.err
 }
 
-// play has a scaler lead for some seconds.
-func play(f *fake, reading float64, lasts time.Duration) {
+// runScaler runs a scaler as the leader for a time, with a steady load.
+func runScaler(f *fakeLeadership, reading float64, lasts time.Duration) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	holder := settings.NewHolder()
-	holder.Offer(&settings.Revision{Number: 1, Tree: &settings.Tree{Services: map[string]settings.Service{
+	holder.SetIfNewer(&settings.Revision{Number: 1, Tree: &settings.Tree{Services: map[string]settings.Service{
 		"llm": {Scaling: &settings.Scaling{Max: 60, SpotPrice: 0.2, ZonePrices: map[string]float64{"a": 1, "b": 1, "c": 1}}},
 		"app": {},
 	}}})
 	inventory := capacity.NewInventory(func(string) bool { return false })
 	inventory.Replace(follow.Batch[capacity.Change]{Revision: 3})
 	s := New(Parts{
-		Inventory: inventory, Settings: holder, Provider: f, Load: func(string) engine.Load { return engine.Load{Reading: reading} },
+		Inventory: inventory, Settings: holder, Provider: f, Load: func(string) engine.Load { return engine.Load{BusyEngines: reading} },
 		FirstPart: 0.5, Log: logrus.NewEntry(log), Clock: time.Now,
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), lasts)
@@ -77,24 +77,24 @@
 		records map[string][]byte
 		reading float64
 		err     error
-		// zone is what is ordered of spot endpoints in each zone.
+		// zone is the number of spot endpoints ordered in each zone.
 		zone                 int
 		answered, unanswered bool
 	}{
-		"before anything is known":           {map[string][]byte{}, 0, nil, 30, true, false},
-		"what a former leader has found out": {map[string][]byte{recordKey: []byte(`{"llm":80}`)}, 0, nil, 40, true, false},
-		"a record that can't be read":        {map[string][]byte{recordKey: []byte(`[]`)}, 0, nil, 30, true, false},
-		"more is needed":                     {map[string][]byte{}, 67, nil, 50, true, false},
-		"none to be had":                     {map[string][]byte{}, 0, merry.Wrap(ErrNone), 30, true, false},
-		"refused":                            {map[string][]byte{}, 0, merry.Wrap(ErrRefused), 30, true, false},
-		"not answered":                       {map[string][]byte{}, 0, errors.New("silent"), 30, false, true},
+		"no record and no traffic":             {map[string][]byte{}, 0, nil, 30, true, false},
+		"the need recorded by a former leader": {map[string][]byte{recordKey: []byte(`{"llm":80}`)}, 0, nil, 40, true, false},
+		"a record that can't be decoded":       {map[string][]byte{recordKey: []byte(`[]`)}, 0, nil, 30, true, false},
+		"the need grows":                       {map[string][]byte{}, 67, nil, 50, true, false},
+		"no such endpoints available":          {map[string][]byte{}, 0, merry.Wrap(ErrNoneAvailable), 30, true, false},
+		"refused":                              {map[string][]byte{}, 0, merry.Wrap(ErrRefused), 30, true, false},
+		"no answer":                            {map[string][]byte{}, 0, errors.New("silent"), 30, false, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				f := &fake{records: test.records, err: test.err}
-				play(f, test.reading, 5*time.Second)
+				f := &fakeLeadership{records: test.records, err: test.err}
+				runScaler(f, test.reading, 5*time.Second)
 				desired := make(map[capacity.Place]int)
 				for _, o := range f.orders {
 					desired[o.Place] = o.Desired
@@ -104,7 +104,7 @@
 				}
 				c.Check(f.answered > 0, qt.Equals, test.answered)
 				c.Check(f.unanswered > 0, qt.Equals, test.unanswered)
-				c.Check(string(f.records[recordKey]), qt.Not(qt.Equals), "[]", qt.Commentf("the next leader has something to go on from"))
+				c.Check(string(f.records[recordKey]), qt.Not(qt.Equals), "[]", qt.Commentf("the record is valid for the next leader"))
 			})
 		})
 	}
--- a/internal/httprelay/silence.go
+++ b/internal/httprelay/silence.go
@@ -5,35 +5,34 @@
 	"time"
 )
 
-// SilenceWatch ends an attempt when its endpoint sends nothing for too long. Its methods
-// are called from the goroutine of the attempt.
-type SilenceWatch struct {
+// IdleTimer cancels an attempt whose endpoint sends nothing for too long. Its methods must be called from the goroutine
+// of the attempt.
+type IdleTimer struct {
 	cancel context.CancelCauseFunc
 	cause  error
 	timer  *time.Timer
 	limit  time.Duration
 }
 
-// WatchSilence returns a context for an attempt, which ends with the cause once the
-// endpoint has been silent for the limit, and the watch. A limit of 0 means that silence
-// is no reason to end the attempt. Stop must be called.
-func WatchSilence(ctx context.Context, limit time.Duration, cause error) (context.Context, *SilenceWatch) {
+// WithIdleTimeout returns a context for an attempt and its timer. The context is cancelled with a cause when Reset has
+// not been called for the limit. A limit of 0 sets no timeout. Stop must be called.
+func WithIdleTimeout(ctx context.Context, limit time.Duration, cause error) (context.Context, *IdleTimer) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	w := &SilenceWatch{cancel: cancel, cause: cause}
+	w := &IdleTimer{cancel: cancel, cause: cause}
 	w.SetLimit(ctx, limit)
 	return ctx, w
 }
 
-// Reset starts the time again: the endpoint has sent something.
-func (w *SilenceWatch) Reset() {
+// Reset restarts the timeout after the endpoint has sent data.
+func (w *IdleTimer) Reset() {
 	if w.timer != nil {
 		w.timer.Reset(w.limit)
 	}
 }
 
-// SetLimit replaces the limit from now on; 0 means none. It does nothing once the context
-// of the attempt has ended.
-func (w *SilenceWatch) SetLimit(ctx context.Context, limit time.Duration) {
+// SetLimit replaces the limit and restarts the timeout; 0 sets no timeout. It starts no timer once the context of the
+// attempt has ended.
+func (w *IdleTimer) SetLimit(ctx context.Context, limit time.Duration) {
 	w.stopTimer()
 	w.limit = limit
 	if limit > 0 && ctx.Err() == nil {
@@ -41,13 +40,13 @@
 	}
 }
 
-// Stop ends the watch and the context.
-func (w *SilenceWatch) Stop() {
+// Stop stops the timer and cancels the context.
+func (w *IdleTimer) Stop() {
 	w.stopTimer()
 	w.cancel(nil)
 }
 
-func (w *SilenceWatch) stopTimer() {
+func (w *IdleTimer) stopTimer() {
 	if w.timer != nil {
 		w.timer.Stop()
 		w.timer = nil
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -25,7 +25,7 @@
 
 var goldenChange = settings.Change{Revision: 3, ID: "other", Base: 2, Patch: []byte(`{"root":{}}`), Who: "who", At: goldenTime}
 
-// goldenStatus has every field set.
+// goldenStatus sets most fields, to fixed values.
 var goldenStatus = Status{
 	Host: "host", Zone: "zone", Version: "1.2.3", Revision: 4, Ready: true, Problem: "problem", Open: 5,
 	Shards: []ShardStatus{{Name: "shard", Waiting: 6, Running: 7, Endpoints: []EndpointStatus{
@@ -36,7 +36,7 @@
 	Pushback: []EndpointPushback{{Endpoint: "e3", Leaving: true, Rest: time.Second, Rejects: 0.5}},
 }
 
-// goldenServer answers with fixed values. Accept fails by the ID of the change.
+// goldenServer returns a server that serves fixed values. The ID of a change selects the error of Accept.
 func goldenServer(ready bool, holder *settings.Holder, tree SettingsAnswer) *Server {
 	ring := explain.New()
 	ring.Begin(explain.Record{ID: "id-1", Host: "host", Workspace: "w", Class: "c", Shard: "s", Tier: 1})
@@ -54,7 +54,7 @@
 		"faults":   &ChangeError{Cause: CauseInvalid, Detail: "the tree would not be valid", Faults: []strictjson.Fault{{Path: "/root", Problem: "wrong"}}},
 		"patch":    &ChangeError{Cause: CauseInvalid, Detail: "the patch is no JSON merge patch"},
 		"unknown":  &ChangeError{Cause: CauseUnknown, Detail: "it is not known whether the change was accepted; send it again with the same ID"},
-		"away":     &ChangeError{Cause: CauseAway, Detail: "the platform is away; the change was not accepted"},
+		"away":     &ChangeError{Cause: CauseUnavailable, Detail: "the platform is away; the change was not accepted"},
 	}
 	keys := []hostconfig.OperatorKey{
 		{Name: "reader", SHA256: settings.HashKey("read"), Role: hostconfig.RoleRead},
@@ -71,7 +71,7 @@
 	})
 }
 
-// goldenChanges fails by the ID of a change.
+// goldenChanges maps the ID of a change to the error of Accept.
 type goldenChanges map[string]error
 
 func (c goldenChanges) Accept(_ context.Context, change settings.Change) (uint64, error) {
@@ -83,19 +83,19 @@
 	case 3:
 		return goldenChange, nil
 	case 4:
-		return settings.Change{}, ErrNoChange
+		return settings.Change{}, ErrChangeNotFound
 	}
 	return settings.Change{}, errors.New("away")
 }
 
-// TestGoldenAnswers holds the answers of the operators' interface to those of commit
-// 4c58500.
+// TestGoldenAnswers checks that the responses of the operators' interface equal the
+// recorded ones.
 func TestGoldenAnswers(t *testing.T) {
 	c := qt.New(t)
 	tree, err := settings.Decode("tree", []byte(`{"root":{"classes":{"c":{"values":{"tier":1}}}},"workspaces":{"w":{}}}`))
 	c.Assert(err, qt.IsNil)
 	holder := settings.NewHolder()
-	holder.Offer(&settings.Revision{Number: 4, Tree: tree})
+	holder.SetIfNewer(&settings.Revision{Number: 4, Tree: tree})
 	servers := map[string]*Server{
 		"ready":     goldenServer(true, holder, SettingsAnswer{Revision: 4, Tree: []byte(`{"root":{}}`)}),
 		"not ready": goldenServer(false, settings.NewHolder(), SettingsAnswer{}),
