--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -6,14 +6,14 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// Change is an accepted change of the tree. Its JSON form is stored and shown to
+// Change is an accepted change of the tree. Its JSON encoding is stored and shown to
 // operators; a stored change is never modified.
 type Change struct {
 	Revision uint64 `json:"revision"`
-	// ID is chosen by the operator, so that a change whose answer was lost can be found
-	// again.
+	// ID is chosen by the operator, so that a change can be found again if the response
+	// to it was lost.
 	ID string `json:"id"`
-	// Base is the revision that the operator saw.
+	// Base is the revision that the operator made the patch for.
 	Base uint64 `json:"base"`
 	// Patch is a JSON merge patch (RFC 7396) of the tree.
 	Patch jsontext.Value `json:"patch"`
--- a/internal/settings/effective.go
+++ b/internal/settings/effective.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Origin is the node that an effective value comes from, as a path in the
-// tree, or originBuiltIn.
+// Origin is the path of the tree node that sets an effective value, or
+// originBuiltIn.
 type Origin string
 
 const originBuiltIn Origin = "built in"
@@ -21,14 +21,14 @@
 	Origin Origin `json:"origin"`
 }
 
-// layer is one node's values on the way from the root to a class.
+// layer holds the values of one node on the path from the root to a class.
 type layer struct {
 	origin Origin
 	values Values
 }
 
-// Effective merges the values for a workspace and class. It reports false if
-// the workspace does not know the class or has it disabled.
+// Effective returns the effective policy of a workspace and class. It returns false
+// if the class does not exist for the workspace or is disabled.
 func (t *Tree) Effective(workspace, class string) (Policy, bool) {
 	layers, ok := t.layers(workspace, class)
 	if !ok {
@@ -38,17 +38,17 @@
 	return policy, policy.Enabled
 }
 
-// merge lets each layer override those before it.
+// merge applies the layers in order to the default policy: later layers override earlier ones.
 func merge(layers []layer) Policy {
-	policy := builtIn
+	policy := defaultPolicy
 	for _, l := range layers {
 		override(&policy, &l.values)
 	}
 	return policy
 }
 
-// RoutePolicy returns the policy of a host route's class for a workspace, or for
-// no workspace if the name is empty.
+// RoutePolicy returns the effective policy of a host route's class for a workspace. If
+// the workspace is empty, only the root's values apply.
 func (t *Tree) RoutePolicy(workspace, class string) (Policy, bool) {
 	if workspace != "" {
 		return t.Effective(workspace, class)
@@ -61,24 +61,24 @@
 	return policy, policy.Enabled
 }
 
-// Explain lists each effective value of a workspace and class in the order of
-// Values, with the node that it comes from.
+// Explain lists the effective values of a workspace and class with their origins, in the
+// order of the fields of Values.
 func (t *Tree) Explain(workspace, class string) ([]EffectiveValue, bool) {
 	layers, ok := t.layers(workspace, class)
 	if !ok {
 		return nil, false
 	}
-	policy := builtIn
+	policy := defaultPolicy
 	origins := make(map[string]Origin)
 	for _, l := range layers {
 		for _, field := range override(&policy, &l.values) {
 			origins[field] = l.origin
 		}
 	}
-	return explained(policy, origins), true
+	return effectiveValues(policy, origins), true
 }
 
-// ClassNames lists the paths of all classes that a workspace can use, sorted.
+// ClassNames returns the sorted paths of all classes that a workspace can use.
 func (t *Tree) ClassNames(workspace string) []string {
 	seen := make(map[string]bool)
 	collectClasses("", t.Root.Classes, seen)
@@ -93,7 +93,7 @@
 	return names
 }
 
-// DefaultClass is the class of a workspace's requests that name none.
+// DefaultClass returns the class of a workspace's requests that don't name a class.
 func (t *Tree) DefaultClass(workspace string) string {
 	if class := t.Workspaces[workspace].DefaultClass; class != "" {
 		return class
@@ -118,9 +118,9 @@
 	return false
 }
 
-// layers returns the nodes that a class inherits from, the least specific first:
-// root, the root's classes along the path, workspace, the workspace's classes
-// along the path.
+// layers returns the nodes that a class inherits from, least specific first: the
+// root, the root's classes along the path, the workspace, and the workspace's
+// classes along the path. It returns false if the class exists in neither.
 func (t *Tree) layers(workspace, class string) ([]layer, bool) {
 	ws, ok := t.Workspaces[workspace]
 	if !ok {
@@ -135,7 +135,7 @@
 	return layers, inRoot || inWorkspace
 }
 
-// classLayers appends the nodes along a path and reports whether the whole
+// classLayers appends the nodes along a class path and reports whether the whole
 // path exists.
 func classLayers(layers []layer, origin Origin, classes map[string]Class, path []string) ([]layer, bool) {
 	for _, name := range path {
@@ -157,8 +157,8 @@
 	}
 }
 
-// override copies the set fields of values into the policy and names them as
-// the settings file does.
+// override copies the set fields of values into the policy and returns their names
+// in the settings file.
 func override(policy *Policy, values *Values) []string {
 	from := reflect.ValueOf(values).Elem()
 	to := reflect.ValueOf(policy).Elem()
@@ -174,7 +174,7 @@
 	return set
 }
 
-func explained(policy Policy, origins map[string]Origin) []EffectiveValue {
+func effectiveValues(policy Policy, origins map[string]Origin) []EffectiveValue {
 	fields := reflect.TypeFor[Values]()
 	value := reflect.ValueOf(policy)
 	list := make([]EffectiveValue, 0, fields.NumField())
@@ -199,10 +199,10 @@
 	if d, ok := v.Interface().(time.Duration); ok {
 		return d.String()
 	}
-	return toText(v)
+	return scalarText(v)
 }
 
-func toText(v reflect.Value) string {
+func scalarText(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.Bool:
 		return strconv.FormatBool(v.Bool())
@@ -215,5 +215,5 @@
 	}
 }
 
-// EndpointNames lists the endpoints, sorted.
+// EndpointNames returns the sorted names of all endpoints.
 func (t *Tree) EndpointNames() []string { return sortedKeys(t.Endpoints) }
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -9,8 +9,8 @@
 	"oxbowslip.dev/oxbowslip/internal/proof/golden"
 )
 
-// TestGoldenTree holds the schema and the form of a tree with every field set to those of
-// commit 4c58500. Stored trees and hosts of that version use the same form.
+// TestGoldenTree checks that the schema and the encoding of a tree with every field set equal
+// the recorded ones. Stored trees and hosts of older versions use the same encoding.
 func TestGoldenTree(t *testing.T) {
 	c := qt.New(t)
 	golden.Text(t, "schema.json", string(schemaText))
--- a/internal/settings/holder.go
+++ b/internal/settings/holder.go
@@ -2,20 +2,21 @@
 
 import "sync"
 
-// Revision is a tree with its place in the order of accepted changes.
+// Revision is a tree with its revision number. Numbers increase with each accepted change.
 type Revision struct {
 	Number uint64
 	Tree   *Tree
 }
 
-// Holder keeps the revision in force on this host. It only ever goes up.
+// Holder holds the revision in force on this host. The revision number only increases. It is
+// safe for concurrent use.
 type Holder struct {
 	mu      sync.Mutex
 	current *Revision
 	changed chan struct{}
 }
 
-// NewHolder returns a holder with nothing in force.
+// NewHolder returns a holder without a revision.
 func NewHolder() *Holder {
 	return &Holder{changed: make(chan struct{})}
 }
@@ -35,7 +36,8 @@
 	return 0
 }
 
-// SetIfNewer puts a revision in force if it is newer than the one that is.
+// SetIfNewer puts a revision in force if its number is greater than that of the current one,
+// and reports whether it did.
 func (h *Holder) SetIfNewer(revision *Revision) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -48,8 +50,7 @@
 	return true
 }
 
-// Changed returns a channel that is closed when the next revision comes into
-// force.
+// Changed returns a channel that is closed when the next revision is put in force.
 func (h *Holder) Changed() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,9 @@
-// Package settings holds the tree of settings that operators edit: workspaces and request classes that
-// inherit values from their parents, and the models, services, endpoints and routes that requests run
-// on. Both programs use it; on the users' platform the tree is made from the platform's configuration.
+// Package settings defines the settings tree that operators edit: workspaces and request classes, which
+// inherit values from their parents, and the models, services, endpoints and routes for requests. Both
+// programs use it. On the users' platform the tree is derived from the platform's configuration.
 //
-// It owns the form of the tree, how values are inherited, and which revision is in force on this host
-// (Holder). It does no input or output.
+// It owns the encoding and validation of the tree, the inheritance of values, and the revision in force
+// on this host (Holder). It relies on package strictjson for decoding and does no input or output.
 package settings
 
 import (
@@ -25,36 +25,36 @@
 	Models     map[string]Model     `json:"models,omitzero"`
 	Services   map[string]Service   `json:"services,omitzero"`
 	Endpoints  map[string]Endpoint  `json:"endpoints,omitzero"`
-	// Routes name the class and the services of calls by host name and path.
+	// Routes map the host name and path of a call to its class and services.
 	Routes []HostRoute `json:"routes,omitzero"`
 }
 
-// Root is the top of the tree. Its classes are known to every workspace.
+// Root is the root of the tree. Every workspace can use its classes.
 type Root struct {
 	Values       Values           `json:"values,omitzero"`
 	DefaultClass string           `json:"default_class,omitzero"`
 	Classes      map[string]Class `json:"classes,omitzero"`
 }
 
-// Workspace is one customer. It may override values of the root's classes and
-// add classes of its own.
+// Workspace holds the settings of one customer. It can override values of the root's
+// classes and define classes of its own.
 type Workspace struct {
 	Values       Values `json:"values,omitzero"`
 	DefaultClass string `json:"default_class,omitzero"`
 	Keys         []Key  `json:"keys,omitzero"`
-	// Models lists the models that the workspace may call. Empty means all.
+	// Models are the models that the workspace can call. An empty list means all.
 	Models  []string         `json:"models,omitzero"`
 	Classes map[string]Class `json:"classes,omitzero"`
 }
 
-// Key lets a caller act for a workspace. Only its hash is kept.
+// Key authorizes a caller for a workspace. Only its hash is stored.
 type Key struct {
 	Name   string `json:"name"`
 	SHA256 string `json:"sha256"`
 }
 
-// Class is a request class. Classes nest; a nested one is named by its path,
-// such as "itinerary/express".
+// Class is a request class. Classes can be nested; the name of a nested class is its
+// path, such as "itinerary/express".
 type Class struct {
 	Values  Values           `json:"values,omitzero"`
 	Classes map[string]Class `json:"classes,omitzero"`
@@ -63,15 +63,15 @@
 // Model is a language model that endpoints serve.
 type Model struct {
 	Version string `json:"version,omitzero"`
-	// MaxWaiting bounds the requests that wait for the model; 0 means the
-	// built-in bound.
+	// MaxWaiting limits the number of waiting requests for the model; 0 means the
+	// built-in limit.
 	MaxWaiting int `json:"max_waiting,omitzero"`
 }
 
 // Service is an HTTP service behind the router.
 type Service struct {
 	Routes []Route `json:"routes,omitzero"`
-	// MaxConnections bounds the connections that one endpoint takes from all
+	// MaxConnections is the number of connections that one endpoint accepts from all
 	// hosts together; 0 means unknown.
 	MaxConnections int `json:"max_connections,omitzero"`
 	// Engine is set if the service's endpoints are engines.
@@ -80,58 +80,58 @@
 	Scaling *Scaling `json:"scaling,omitzero"`
 }
 
-// Scaling is which endpoints of a service may be ordered, and what they cost.
+// Scaling configures which endpoints of a service can be ordered, and their prices.
 type Scaling struct {
-	// Min and Max bound the endpoints in each zone, both kinds together.
+	// Min and Max limit the number of endpoints in each zone, regular and spot together.
 	Min int `json:"min,omitzero"`
 	Max int `json:"max,omitzero"`
-	// Boot is how long after an order an endpoint serves.
+	// Boot is the time from an order until the endpoint serves requests.
 	Boot time.Duration `json:"boot,omitzero"`
-	// SpotPrice is what an endpoint that may be taken away costs, as a part of what a regular one does; 0 means
-	// that there are none. ZonePrices are what one costs in each zone, in the same unit.
+	// SpotPrice is the price of a spot endpoint, which the provider can reclaim, as a fraction of the price of a
+	// regular one; 0 means that there are no spot endpoints. ZonePrices are the prices in each zone, in the same unit.
 	SpotPrice  float64            `json:"spot_price,omitzero"`
 	ZonePrices map[string]float64 `json:"zone_prices,omitzero"`
 }
 
-// EngineShape is what all engines of a service have in common.
+// EngineShape holds the properties that all engines of a service share.
 type EngineShape struct {
-	// Slots is how many requests an engine runs at once.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots int `json:"slots,omitzero"`
-	// CacheTokens is the size of its cache memory in tokens, CacheTokenBytes the
-	// size of one token there.
+	// CacheTokens is the capacity of an engine's cache in tokens. CacheTokenBytes is the
+	// size of one cached token.
 	CacheTokens     int `json:"cache_tokens,omitzero"`
 	CacheTokenBytes int `json:"cache_token_bytes,omitzero"`
 }
 
-// HostRoute sends the calls of a host name and path prefix to services. The
-// longest prefix that matches wins.
+// HostRoute routes the calls with a host name and path prefix to services. The
+// longest matching prefix wins.
 type HostRoute struct {
 	Name string `json:"name"`
 	Host string `json:"host"`
 	Path string `json:"path"`
 	// Class is the request class of the calls.
 	Class string `json:"class"`
-	// Targets are the services that share the calls by weight.
+	// Targets are the services among which calls are divided by weight.
 	Targets []Target `json:"targets"`
-	// Public calls need no key.
+	// Public is set if the calls need no key.
 	Public bool `json:"public,omitzero"`
 }
 
-// Target is one service of a route with its part of the calls.
+// Target is a service of a host route with its weight.
 type Target struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
 }
 
-// Route is the class of calls with a method and a path prefix. An empty
-// method matches all. The longest path that matches wins.
+// Route maps the calls with a method and path prefix to a class. An empty method
+// matches all methods. The longest matching prefix wins.
 type Route struct {
 	Method string `json:"method,omitzero"`
 	Path   string `json:"path"`
 	Class  string `json:"class"`
 }
 
-// EndpointState is whether an endpoint is to get work.
+// EndpointState determines whether an endpoint gets new requests.
 type EndpointState string
 
 // The states of an endpoint. The empty state means StateIn.
@@ -140,7 +140,7 @@
 	StateOut EndpointState = "out"
 )
 
-// Role is the part of the work that an engine does. It is accepted and without effect.
+// Role is the part of inference that an engine runs. It is accepted but has no effect.
 type Role string
 
 // The roles of an engine. The empty role means RoleServe.
@@ -150,34 +150,33 @@
 	RoleDecode  Role = "decode"
 )
 
-// Endpoint is one back end: an engine that serves a model, or a server of a
-// plain service.
+// Endpoint is one backend: an engine that serves a model, or a server of an HTTP
+// service.
 type Endpoint struct {
 	Address string `json:"address"`
-	// Region is without effect; see docs/operate/setup.md.
+	// Region has no effect; see docs/operate/setup.md.
 	Region  string        `json:"region,omitzero"`
 	Zone    string        `json:"zone"`
 	State   EndpointState `json:"state,omitzero"`
 	Model   string        `json:"model,omitzero"`
 	Service string        `json:"service,omitzero"`
-	// Adapter and Role are without effect: no orders are given to engines.
+	// Adapter and Role have no effect: the hosts send no orders to engines.
 	Adapter string `json:"adapter,omitzero"`
 	Version string `json:"version,omitzero"`
 	Role    Role   `json:"role,omitzero"`
-	// ChecksFences is set if the endpoint refuses an order with an older fence. It is without
-	// effect: no orders are given.
+	// ChecksFences is set if the endpoint rejects orders with an outdated fencing token. It has
+	// no effect: the hosts send no orders to engines.
 	ChecksFences bool `json:"checks_fences,omitzero"`
-	// Continues is set if the engine can go on from a part of an answer.
+	// Continues is set if the engine can continue a partial answer.
 	Continues bool `json:"continues,omitzero"`
-	// MaxInFlight bounds the requests sent to the endpoint at a time; 0 means
-	// that only the learned limit counts.
+	// MaxInFlight limits the concurrent requests to the endpoint; 0 means that only
+	// the learned limit applies.
 	MaxInFlight int `json:"max_in_flight,omitzero"`
-	// CacheTokens is the size of the engine's cache memory in tokens; 0 means
-	// unknown.
+	// CacheTokens is the capacity of the engine's cache in tokens; 0 means unknown.
 	CacheTokens int `json:"cache_tokens,omitzero"`
 }
 
-// LatePolicy is what becomes of a request that can't meet its target.
+// LatePolicy determines whether a request that can't meet its target is served.
 type LatePolicy string
 
 // The policies for late requests.
@@ -186,7 +185,7 @@
 	LateRefuse LatePolicy = "refuse"
 )
 
-// Values is what a node of the tree sets. A nil field is inherited.
+// Values are the values that a node of the tree sets. A nil field is inherited.
 type Values struct {
 	Enabled         *bool          `json:"enabled,omitzero"`
 	Tier            *int           `json:"tier,omitzero"`
@@ -216,47 +215,47 @@
 // Its fields match those of Values by name.
 type Policy struct {
 	Enabled bool
-	// Tier orders service levels; 0 is the highest.
+	// Tier is the service level; 0 is the highest.
 	Tier int
-	// Urgency orders the classes inside a tier; 0 is the most urgent.
+	// Urgency is the priority of the class within its tier; 0 is the most urgent.
 	Urgency int
-	// FirstToken, BetweenTokens and WholeAnswer are the targets; 0 means none.
+	// FirstToken, BetweenTokens and WholeAnswer are latency targets; 0 means none.
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
 	WholeAnswer   time.Duration
 	WhenLate      LatePolicy
-	// MaxWait bounds the time before the answer begins.
+	// MaxWait limits the time until the answer begins.
 	MaxWait time.Duration
 	// Repeatable is set if a request may run more than once.
 	Repeatable bool
 	MaxTries   int
-	// RetryBudget is the retries allowed as a fraction of first tries.
+	// RetryBudget is the number of allowed retries as a fraction of the first attempts.
 	RetryBudget float64
-	// Share is the fraction of grants that the class gets at least while it
-	// waits.
+	// Share is the guaranteed fraction of grants for the class while it has waiting
+	// requests.
 	Share float64
-	// Weight divides capacity among the workspaces of a tier.
+	// Weight is the weight of a workspace in dividing the capacity within a tier.
 	Weight float64
-	// MaxInFlight, MaxWaiting and TokensPerMinute are limits of the workspace
-	// for the class; 0 means none.
+	// MaxInFlight, MaxWaiting and TokensPerMinute limit the class within the workspace;
+	// 0 means no limit.
 	MaxInFlight     int
 	MaxWaiting      int
 	TokensPerMinute int
 	MaxBodyBytes    int
 	MaxAnswerTokens int
-	// TimeLimit bounds the whole request; 0 means no bound.
+	// TimeLimit limits the duration of the whole request; 0 means no limit.
 	TimeLimit time.Duration
-	// Stream is set if answers are event streams, Resumable if another
-	// endpoint can go on with a broken one after its last event.
+	// Stream is set if answers are event streams. Resumable is set if another endpoint
+	// can continue a broken stream after its last event.
 	Stream    bool
 	Resumable bool
-	// MaxPause is the target for the time between two events; 0 means none.
+	// MaxPause is the target for the time between two events; 0 means no target.
 	MaxPause time.Duration
 }
 
-// builtIn is what holds where the tree has no value. The targets are those of the users
-// (docs/DEVELOPERS.md, latency).
-var builtIn = Policy{
+// defaultPolicy provides the values that the tree does not set. The latency targets are those of
+// the users (docs/DEVELOPERS.md, latency).
+var defaultPolicy = Policy{
 	Enabled:         true,
 	Tier:            2,
 	FirstToken:      1300 * time.Millisecond,
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -11,12 +11,12 @@
 	"oxbowslip.dev/oxbowslip/internal/strictjson"
 )
 
-// maxTotalShare bounds the guaranteed shares of all classes together, so that most of the capacity always follows the
-// tiers.
+// maxTotalShare limits the sum of the guaranteed shares of all classes, so that at least half of the capacity is always
+// assigned by tier.
 const maxTotalShare = 0.5
 
-// Decode reads a tree and checks it whole. The error is a *strictjson.Error
-// with every fault that was found.
+// Decode decodes and validates a tree. The error is a *strictjson.Error with all
+// faults.
 func Decode(document string, data []byte) (*Tree, error) {
 	tree, err := strictjson.Decode[Tree](schema, document, data)
 	if err != nil {
@@ -28,20 +28,20 @@
 	return &tree, nil
 }
 
-// Encode writes a tree in the form that Decode reads. The same tree always
-// has the same encoding.
+// Encode encodes a tree so that Decode can decode it. The encoding is
+// deterministic.
 func Encode(tree *Tree) ([]byte, error) {
 	return strictjson.Encode(tree)
 }
 
-// HashKey returns the form of a caller's key that the settings keep.
+// HashKey returns the hash of a caller's key that the settings store.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// WorkspaceOf returns the workspace that a caller's key belongs to. All hashes
-// are compared, each in constant time, so that timing reveals nothing.
+// WorkspaceOf returns the workspace that a caller's key belongs to. It compares all
+// hashes, each in constant time, to prevent timing attacks.
 func (t *Tree) WorkspaceOf(key string) (string, bool) {
 	hash := []byte(HashKey(key))
 	found := ""
@@ -55,8 +55,8 @@
 	return found, found != ""
 }
 
-// ClassOfRoute returns the class of a service's call, or "" if no route of the
-// service matches.
+// ClassOfRoute returns the class of the service's route that matches a call, or "" if
+// no route matches.
 func (s Service) ClassOfRoute(method, path string) string {
 	best := Route{}
 	for _, route := range s.Routes {
@@ -70,8 +70,8 @@
 	return best.Class
 }
 
-// RouteFor returns the route of a call: of the routes of its host, the one with the
-// longest prefix of its path.
+// RouteFor returns the route of a call: the route of its host name with the longest
+// matching path prefix.
 func (t *Tree) RouteFor(host, path string) (HostRoute, bool) {
 	best := HostRoute{}
 	found := false
@@ -86,8 +86,7 @@
 	return best, found
 }
 
-// PickService chooses one of the route's services by weight. At is a number from 0 up
-// to 1.
+// PickService selects a service of the route by weight. at is a number in [0, 1).
 func (r *HostRoute) PickService(at float64) string {
 	total := 0.0
 	for _, target := range r.Targets {
@@ -103,8 +102,8 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// faults finds what the schema can't express: names that point nowhere, keys
-// used twice, shares that add up to too much.
+// faults returns the faults that the schema can't express: names that don't exist,
+// duplicate addresses and keys, and shares whose sum is too large.
 func (t *Tree) faults() []strictjson.Fault {
 	var faults []strictjson.Fault
 	add := func(path, format string, args ...any) {
@@ -143,7 +142,7 @@
 }
 
 func (t *Tree) checkWorkspaces(add addFault) {
-	owners := make(map[string]string)
+	pathOfKey := make(map[string]string)
 	for _, name := range sortedKeys(t.Workspaces) {
 		workspace := t.Workspaces[name]
 		path := "/workspaces/" + name
@@ -153,10 +152,10 @@
 			}
 		}
 		for i, key := range workspace.Keys {
-			if owner, ok := owners[key.SHA256]; ok {
-				add(fmt.Sprintf("%s/keys/%d", path, i), "the same key stands at %s", owner)
+			if other, ok := pathOfKey[key.SHA256]; ok {
+				add(fmt.Sprintf("%s/keys/%d", path, i), "the same key stands at %s", other)
 			}
-			owners[key.SHA256] = path
+			pathOfKey[key.SHA256] = path
 		}
 		for i, model := range workspace.Models {
 			if _, ok := t.Models[model]; !ok {
